--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock is the program's one source of time: milliseconds as float64.
+// Package clock provides the time to the whole program, as float64 milliseconds, so that tests can set it.
 package clock
 
 import (
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Clock tells the time. The zero value is not usable; see [System] and [Manual].
+// Clock provides monotonic and wall-clock time. The zero value is not usable; see [System] and [Manual].
 type Clock struct {
-	start time.Time // carries the monotonic reading
+	start time.Time // includes a monotonic clock reading
 
 	mu     sync.Mutex
 	manual bool
 	now    float64
-	step   float64 // of a manual clock's Unix against its Now
+	step   float64 // offset of Unix from Now, on a manual clock
 }
 
-// System returns a clock that starts at the system's Unix time and then runs evenly, so that a
-// step of the system's clock never turns a running request's time back.
+// System returns a clock whose Now starts at the system's Unix time and then advances monotonically, so that a step of the
+// system clock does not change the deadlines of open requests.
 func System() *Clock { return &Clock{start: time.Now()} }
 
-// Manual returns a clock that stands at ms until a test sets it.
+// Manual returns a clock for tests that stays at ms until it is set or advanced.
 func Manual(ms float64) *Clock { return &Clock{manual: true, now: ms} }
 
-// Now is the even time, in Unix milliseconds as of the start.
+// Now returns the monotonic time: the Unix time in ms at the start plus the time elapsed since.
 func (c *Clock) Now() float64 {
 	if c.manual {
 		c.mu.Lock()
@@ -33,8 +33,8 @@
 	return float64(c.start.UnixNano())/1e6 + float64(time.Since(c.start))/1e6
 }
 
-// Unix is the system's present Unix time in milliseconds, steps included: dates that others signed
-// are judged by it.
+// Unix returns the system's current Unix time in ms, including clock steps. It is used to check dates that other systems
+// have signed.
 func (c *Clock) Unix() float64 {
 	if c.manual {
 		c.mu.Lock()
@@ -53,7 +53,7 @@
 	}
 }
 
-// Advance moves a manual clock on by ms.
+// Advance moves a manual clock forward by ms; on a system clock it does nothing.
 func (c *Clock) Advance(ms float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,7 +62,8 @@
 	}
 }
 
-// Step steps a manual clock's Unix time by ms, forward or back, as an administrator may step the system's. Now runs on evenly.
+// Step changes a manual clock's Unix time by ms, as a step of the system clock does; Now is not affected. On a system clock
+// it does nothing.
 func (c *Clock) Step(ms float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,8 +72,8 @@
 	}
 }
 
-// Duration turns milliseconds into the standard library's form, for its time-outs and the module.
+// Duration converts milliseconds to a time.Duration.
 func Duration(ms float64) time.Duration { return time.Duration(ms * 1e6) }
 
-// Ms turns a duration into milliseconds.
+// Ms converts a duration to milliseconds.
 func Ms(d time.Duration) float64 { return float64(d) / 1e6 }
--- a/core/actions.go
+++ b/core/actions.go
@@ -6,10 +6,10 @@
 )
 
 // Actions: every stage reports events to the controller through notifyController, which carries out the actions that the
-// controller returns. Nothing is decided here.
+// controller returns. No policy decision is made here.
 
-// notifyController hands the controller an event and carries out the actions it returns. An event that arises while that
-// is being done is queued and handed on afterwards: the controller is never re-entered.
+// notifyController passes an event to the controller and carries out the actions it returns. An event reported during
+// that is queued and passed on afterwards: the controller is never re-entered.
 func (c *Core) notifyController(ev control.Event) {
 	c.pendingEvents = append(c.pendingEvents, ev)
 	if c.dispatching {
@@ -45,6 +45,6 @@
 		c.upstream.CheckHealth(uint32(action.To))
 	case control.SetTimer:
 		c.schedule(timer{at: clock.Ms(action.At), kind: controllerTimer, token: action.Token})
-	case control.RefreshEndpoints: // the endpoint list is watched, so updates come without being asked for
+	case control.RefreshEndpoints: // nothing to do: the watch of the endpoint list delivers each update
 	}
 }
--- a/core/answers.go
+++ b/core/answers.go
@@ -2,13 +2,13 @@
 
 import "turnfork.dev/turnfork/control"
 
-// Answers: what a frontend is told about a request, and the names of that in the log.
+// Answers: the final answers that frontends receive, and the names of verdicts and reasons in the log.
 
-// Frontend is where requests come from.
+// Frontend posts requests and receives their answers.
 type Frontend interface {
-	// Answer takes the final answer to the request that was posted with a tag. It is called exactly once for each Request,
-	// but for one that the frontend canceled with CancelRequest and without ReportAfterCancel: for that one, not at all
-	// once the core has handled the cancellation. It must not block.
+	// Answer delivers the final answer to the request that was posted with a tag. It is called exactly once for each
+	// Request, except for one that the frontend canceled with CancelRequest and without ReportAfterCancel: then it is not
+	// called any more once the core has handled the cancellation. It must not block.
 	Answer(tag uint64, a Answer)
 }
 
@@ -20,24 +20,24 @@
 	Served      Verdict = iota // with the body
 	NotModified                // the client's copy is current
 	Rejected                   // not served, and a retry is harmless
-	Failed                     // not served, and nothing is promised about a retry
+	Failed                     // not served, and a retry may not be harmless
 )
 
-// Reason says why a request was not served.
+// Reason is why a request was not served.
 type Reason uint8
 
 // The reasons.
 const (
 	NoReason              Reason = iota // it was served
-	Shed                                // the controller gave it up before its deadline
-	DeadlineExceeded                    // the client's time ran out
+	Shed                                // the controller rejected or failed it before its deadline
+	DeadlineExceeded                    // the client's deadline passed
 	UnknownClass                        // there is no class of that name
 	Overloaded                          // too many requests are open
 	DuplicateID                         // a request of the same ID is open
 	AuthorizationExpired                // its authorization expired before it was forwarded
 	MissingIdempotencyKey               // its class is idempotent by key, and it has no key
 	UpstreamFailed                      // its last attempt failed
-	ClientGone                          // its client went before it was forwarded
+	ClientGone                          // its client disconnected
 	ShuttingDown                        // the process is shutting down
 )
 
@@ -47,10 +47,10 @@
 	Reason     Reason
 	Body       []byte
 	ETag       string       // of the copy served
-	Note       control.Note // how the endpoint came by the copy
-	CreatedAt  float64      // Unix ms at which the origin gave out this copy; 0: unknown
-	RetryAfter float64      // ms that the client should wait before a retry; 0: no advice
-	MayHaveRun bool         // it was forwarded, and may have run
+	Note       control.Note // where the endpoint got the copy from, e.g. its cache
+	CreatedAt  float64      // Unix time in ms at which the origin sent this copy; 0: unknown
+	RetryAfter float64      // ms that the client should wait before a retry; 0: not specified
+	MayHaveRun bool         // the request was forwarded and may have run
 }
 
 var (
--- a/core/attempts.go
+++ b/core/attempts.go
@@ -6,10 +6,10 @@
 )
 
 // Attempts: startAttempt carries out the controller's decision to forward a request, executeCancel its decision to cancel
-// an attempt; attemptTimedOut is called by the attempt's timer. An attempt started here leaves through startOrDefer in
+// an attempt; timeOutAttempt is called by the attempt's timer. Attempts started here are sent by startOrDefer in
 // cancellation.go.
 
-// startAttempt starts the next attempt of a request. The controller numbers attempts from 0, and so does the table.
+// startAttempt starts the next attempt of a request. Controller and core both number the attempts of a request from 0.
 func (c *Core) startAttempt(action control.Attempt) {
 	r := c.requests[action.ID]
 	if r == nil {
@@ -36,8 +36,8 @@
 	c.traceAttemptStarted(r, a, action)
 }
 
-// abandonAttempt ends an attempt before it starts, because the client has gone or its authorization has expired. The
-// controller hears that nothing was sent, and a client that still waits gets its answer now.
+// abandonAttempt ends an attempt before it is sent, because the client has disconnected or its authorization has expired.
+// The controller is notified that nothing was sent, and a client that is still connected gets its answer now.
 func (c *Core) abandonAttempt(a *attempt) {
 	a.ended = true
 	a.neverSent = true
@@ -48,7 +48,7 @@
 	})
 }
 
-// attemptRequest returns what the upstream is asked to send.
+// attemptRequest returns the request that the upstream is to send for an attempt.
 func (c *Core) attemptRequest(a *attempt, action control.Attempt) AttemptRequest {
 	r := a.request
 	return AttemptRequest{
@@ -75,8 +75,8 @@
 	}
 }
 
-// attemptDeadline returns the clock time in ms at which an attempt's time ends: by the controller's time-out, and never later
-// than the client's.
+// attemptDeadline returns the deadline of an attempt, as clock time in ms: the controller's time-out or the client's
+// deadline, whichever is earlier.
 func attemptDeadline(a *attempt, action control.Attempt) float64 {
 	deadline := a.request.ReceivedAt + a.request.Remaining
 	if action.Timeout > 0 {
@@ -93,11 +93,11 @@
 	}
 }
 
-// attemptTimedOut cancels an attempt whose time has run out.
+// attemptTimedOut cancels an attempt whose deadline has passed.
 func (c *Core) attemptTimedOut(a *attempt) { c.cancelAttempt(a, control.TimedOut) }
 
-// cancelAttempt has the upstream cancel an attempt, whose result then follows. A deferred attempt, which the upstream does
-// not know, ends at once.
+// cancelAttempt has the upstream cancel an attempt; the attempt's result follows. A deferred attempt, which was not passed
+// to the upstream yet, ends at once.
 func (c *Core) cancelAttempt(a *attempt, outcome control.Outcome) {
 	if a.deferred != nil {
 		c.withdrawDeferred(a)
--- a/core/attempts_test.go
+++ b/core/attempts_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// No attempt starts once a request's authorization has expired; the client is told at once.
+// No attempt is started once a request's authorization has expired; the request is answered at once.
 func TestNoAttemptAfterAuthorizationExpired(t *testing.T) {
 	c, h, clk := newCore(t)
 	a := newRequest(h, 1, "tile", clk.Now())
--- a/core/cancellation.go
+++ b/core/cancellation.go
@@ -9,37 +9,37 @@
 // Cancellation: two attempts of one request must never be at the endpoints at the same time.
 //
 // A DROP command, or the close of a connection, is ordered only within its own connection. An endpoint that reads several
-// connections may read a further attempt on one before the cancellation of the previous attempt on another, and then has
-// the request twice. So the end of an attempt that was canceled, or whose connection broke, is unconfirmed at first. The
-// controller hears of the end and decides at once; a rejection or failure is not delayed; only the start of a further
-// attempt waits:
+// connections may read a further attempt on one before the cancellation of the previous attempt on another, and then
+// processes the request twice at the same time. So the end of an attempt that was canceled, or whose connection broke, is
+// unconfirmed at first. The controller is notified of the end and decides at once, and a rejection or failure is not
+// delayed; only the start of a further attempt is deferred:
 //
 //   - to any endpoint: until the endpoint of the ended attempt acknowledges the cancellation (CancelConfirmed), or the grace
-//     period has passed. For a request that is idempotent by its key the grace period is not enough, see needsAck;
+//     period has passed. For a request that is idempotent by its key the grace period is not sufficient, see needsAck;
 //   - to the same endpoint: until that endpoint has answered a barrier ping written after the cancellation
-//     (BarrierAnswered) or has acknowledged the cancellation. No grace period is enough, because an endpoint that was
-//     stopped finds all that was written to it when it goes on, and reads its connections in any order.
+//     (BarrierAnswered) or has acknowledged the cancellation. No grace period is sufficient, because an endpoint that was
+//     suspended finds everything that was written to it when it resumes, and reads its connections in any order.
 //
 // attempts.go starts attempts through startOrDefer; results.go calls recordUnconfirmedCancel; Handle calls cancelConfirmed
 // and barrierAnswered; the timer calls cancelGraceExpired.
 
-// defaultCancelGrace is how long, in ms, an endpoint may take to notice a cancellation, unless Options.CancelGrace is set.
+// defaultCancelGrace is the default of Options.CancelGrace, in ms.
 const defaultCancelGrace = 40.0
 
-// unconfirmedCancel describes the end of an attempt that its endpoint may not have noticed yet.
+// unconfirmedCancel describes the end of an attempt that its endpoint may not have processed yet.
 type unconfirmedCancel struct {
 	key        AttemptKey
 	endedAt    float64 // ms
 	graceUntil float64 // ms; 0: there is none
-	needsAck   bool    // the end of the grace period is not enough, only CancelConfirmed is
+	needsAck   bool    // the end of the grace period is not sufficient, only CancelConfirmed is
 }
 
-// recordUnconfirmedCancel notes that the endpoint of an attempt that ended may not have noticed that, and starts the grace
-// period.
+// recordUnconfirmedCancel records that the endpoint of an ended attempt may not have processed the end yet, and starts the
+// grace period.
 //
-// An attempt of a keyed request that was canceled needs the acknowledgement: an endpoint that was stopped may run it
-// whenever it goes on, also after it has forgotten the key. A connection that the endpoint closed ended all the attempts on
-// it at the endpoint, and the grace period covers what was still on its way.
+// A canceled attempt of a keyed request requires the acknowledgement: an endpoint that was suspended may run it after it
+// resumes, even if the key has expired there by then. A connection that the endpoint closed ended all the attempts on
+// it at the endpoint, and the grace period covers data that was still in transit.
 func (c *Core) recordUnconfirmedCancel(r *request, a *attempt, outcome control.Outcome) {
 	a.needsBarrier = true
 	r.unconfirmedCancel = unconfirmedCancel{
@@ -65,8 +65,8 @@
 	}
 }
 
-// requestBarriers has the upstream ask an endpoint for an answer behind each unconfirmed cancellation there. If the kind
-// of endpoint cannot be asked, the grace period has to be enough.
+// requestBarriers has the upstream send an endpoint a barrier ping for each unconfirmed cancellation there. If the
+// upstream cannot do this, the grace period alone has to suffice.
 func (c *Core) requestBarriers(r *request, endpoint uint32) {
 	for _, previous := range r.attempts {
 		if previous.needsBarrier && previous.endpoint == endpoint && !c.upstream.ConfirmCancel(previous.key, endpoint) {
@@ -85,8 +85,8 @@
 	})
 }
 
-// barrierAnswered handles the result of a barrier ping. If the endpoint stays silent, an attempt deferred for it is never
-// sent, and the controller decides again.
+// barrierAnswered handles the result of a barrier ping. If the endpoint did not respond, an attempt deferred for it ends
+// unsent, and the controller decides again.
 func (c *Core) barrierAnswered(ev BarrierAnswered) {
 	for _, key := range ev.Keys {
 		r := c.requests[key.ID]
@@ -105,7 +105,7 @@
 	}
 }
 
-// cancelConfirmed handles an endpoint's acknowledgement that it has noticed the end of an attempt.
+// cancelConfirmed handles an endpoint's acknowledgement that it has processed the end of an attempt.
 func (c *Core) cancelConfirmed(ev CancelConfirmed) {
 	r := c.requests[ev.ID]
 	if r == nil {
@@ -129,7 +129,7 @@
 	c.confirmCancel(r, key)
 }
 
-// confirmCancel takes an attempt's end as noticed by its endpoint, whether by acknowledgement or by the end of the grace
+// confirmCancel marks an attempt's end as processed by its endpoint, after an acknowledgement or at the end of the grace
 // period.
 func (c *Core) confirmCancel(r *request, key AttemptKey) {
 	if r.unconfirmedCancel.graceUntil != 0 && r.unconfirmedCancel.key == key {
@@ -139,8 +139,7 @@
 	c.startDeferred(r.lastAttempt())
 }
 
-// startDeferred sends a deferred attempt if it may start by now, or withdraws it if the request must not be forwarded any
-// more.
+// startDeferred sends a deferred attempt if it may start now, or cancels it if the request must not be forwarded any more.
 func (c *Core) startDeferred(a *attempt) {
 	switch {
 	case a.deferred == nil:
@@ -155,7 +154,7 @@
 	}
 }
 
-// withdrawDeferred ends a deferred attempt as never sent.
+// withdrawDeferred ends a deferred attempt with the outcome NotSent.
 func (c *Core) withdrawDeferred(a *attempt) {
 	a.deferred = nil
 	c.attemptEnded(AttemptResult{AttemptKey: a.key, Outcome: control.NotSent})
--- a/core/cancellation_test.go
+++ b/core/cancellation_test.go
@@ -7,9 +7,9 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// A keyed request whose connection the endpoint broke is retried once the grace period is over and the endpoint has answered a
-// barrier; one that was canceled here, only once the endpoint has acknowledged that. The grace period alone is enough for
-// neither, as both retries would go to the same endpoint.
+// A keyed request whose connection was closed by the endpoint is retried once the grace period is over and the endpoint has
+// answered a barrier ping; one that the gateway canceled, only once the endpoint has acknowledged the cancellation. The grace
+// period alone is not sufficient in either case, because the retry goes to the same endpoint.
 func TestKeyedRetryNeedsAcknowledgement(t *testing.T) {
 	for _, x := range []struct {
 		res                    control.Outcome
@@ -25,7 +25,7 @@
 			clk.Advance(ms)
 			c.Tick()
 		}
-		if n := len(h.sent); n != 1 { // there is one origin
+		if n := len(h.sent); n != 1 { // the retry would go to the same endpoint, the only origin
 			t.Errorf("%v: %d attempts after the grace period alone, want 1", x.res, n)
 		}
 		h.confirm(c, BarrierAnswered{Keys: []AttemptKey{k}})
@@ -39,15 +39,15 @@
 	}
 }
 
-// A deferred attempt is never sent if the client goes, or its authorization expires, before the previous attempt's cancellation
-// is confirmed. The core has not handled the client's CancelRequest yet, only the flag is set.
-func TestDeferredAttemptIsNotSentForNobody(t *testing.T) {
+// A deferred attempt is never sent if the client disconnects, or its authorization expires, before the previous attempt's
+// cancellation is confirmed. Only the Canceled flag is set: the core has not handled the client's CancelRequest yet.
+func TestDeferredAttemptIsNotSentAfterClientGoneOrAuthorizationExpired(t *testing.T) {
 	for _, x := range []struct {
 		name    string
-		expires bool // the authorization, else the client goes
+		expires bool // the authorization expires, else the client disconnects
 		want    Reason
 	}{
-		{"the client goes", false, ClientGone},
+		{"the client disconnects", false, ClientGone},
 		{"the authorization expires", true, AuthorizationExpired},
 	} {
 		t.Run(x.name, func(t *testing.T) {
--- a/core/clock_step_test.go
+++ b/core/clock_step_test.go
@@ -8,14 +8,15 @@
 
 const hour = 3600 * 1000.0 // ms
 
-// The rest of an authorization is a span: a step of the wall clock neither ends nor extends it.
+// The remaining time of an authorization is measured by the monotonic clock: a step of the wall clock neither ends nor extends it.
 func TestClockStepKeepsAuthorization(t *testing.T) {
 	for _, x := range []struct {
 		name         string
 		step, passes float64
 		goesOn       bool
 	}{
-		{"ahead", hour, 10, true}, {"back", -hour, 101, false}, {"ahead, and its end", hour, 101, false}, {"back, before its end", -hour, 10, true},
+		{"step forward, not expired", hour, 10, true}, {"step back, expired", -hour, 101, false},
+		{"step forward, expired", hour, 101, false}, {"step back, not expired", -hour, 10, true},
 	} {
 		c, h, clk := newCore(t)
 		a := newRequest(h, 1, "tile", clk.Now())
@@ -36,14 +37,14 @@
 	}
 }
 
-// A purge is no older than both clocks say, so a step of the wall clock lets no older copy pass.
+// The age of a purge is the smaller of the ages by the two clocks, so a step of the wall clock does not allow older copies.
 func TestClockStepKeepsPurgeAge(t *testing.T) {
 	for _, x := range []struct {
 		name               string
 		before, step, want float64
 	}{
-		{"no step", 300, 0, 300}, {"ahead", 300, hour, 300}, {"back", 300, -hour, 0}, {"dated by a clock ahead", -hour, 0, 0},
-		{"dated before a step back that was made good", 300 - hour, hour, 0},
+		{"no step", 300, 0, 300}, {"step forward", 300, hour, 300}, {"step back", 300, -hour, 0}, {"dated in the future", -hour, 0, 0},
+		{"dated by a clock ahead, then step forward", 300 - hour, hour, 0},
 	} {
 		c, h, clk := newCore(t)
 		made := clk.Now() - x.before
@@ -54,12 +55,12 @@
 			t.Errorf("%s: %v ms ago, want %v", x.name, got, x.want)
 		}
 		if got := h.sent[0].MaxAge; got <= 0 || got > max(1, x.want) {
-			t.Errorf("%s: a copy of %v ms will do, want %v", x.name, got, x.want)
+			t.Errorf("%s: MaxAge is %v ms, want at most %v", x.name, got, x.want)
 		}
 	}
 }
 
-// Steps of the wall clock begin no new second for the sampler.
+// Steps of the wall clock do not start a new second for the sampler, which would let it sample more requests.
 func TestClockStepSamplesNoMoreRequests(t *testing.T) {
 	c, h, clk := newCore(t)
 	c.sampler = newSampler(1)
@@ -74,6 +75,6 @@
 		}
 	}
 	if followed != maxSampledPerSecond {
-		t.Errorf("%d are traced in a second, want %d", followed, maxSampledPerSecond)
+		t.Errorf("%d requests are traced in a second, want %d", followed, maxSampledPerSecond)
 	}
 }
--- a/core/concurrent_attempts_test.go
+++ b/core/concurrent_attempts_test.go
@@ -9,18 +9,19 @@
 	"turnfork.dev/turnfork/internal/fakestore"
 )
 
-// However an attempt ends, the next one of its request is sent only once the endpoints cannot have both.
+// However an attempt ends, the next attempt of its request is sent only once it is certain that the endpoints do not process
+// both at the same time.
 func TestNoConcurrentAttemptsAtSlowEndpoint(t *testing.T) {
 	const (
-		answered = iota // by the endpoint
-		closed          // its connection
-		canceled        // and the endpoint acknowledges that
-		unasked         // canceled at an endpoint that must not be asked anything new
+		answered = iota // the endpoint answers
+		closed          // the connection is closed
+		canceled        // the gateway cancels, and the endpoint acknowledges that
+		unasked         // the gateway cancels at a draining endpoint, which gets no barrier ping
 	)
 	ways := []struct {
 		name     string
 		behavior fakestore.Behavior
-		kind     int // how it ends for the endpoint
+		kind     int // how the attempt ends, one of the constants above
 		act      func(r *rig)
 	}{
 		{"good", fakestore.Good, answered, nil},
@@ -32,8 +33,8 @@
 		{"reset while reading", fakestore.ResetReading, closed, nil},
 		{"reset while writing", fakestore.ResetWriting, closed, nil},
 		{"stalled", fakestore.Stall, closed, nil},
-		{"silent, canceled by time-out", fakestore.Hang, canceled, (*rig).advanceUntilCanceled},
-		{"canceled at an endpoint that drains", fakestore.Hang, unasked, func(r *rig) {
+		{"no response, canceled by time-out", fakestore.Hang, canceled, (*rig).advanceUntilCanceled},
+		{"canceled at a draining endpoint", fakestore.Hang, unasked, func(r *rig) {
 			list := core.EndpointList{}
 			for _, s := range r.list.Endpoints[:4] {
 				s.Info.State = control.Draining
@@ -47,47 +48,47 @@
 		t.Run(w.name, func(t *testing.T) {
 			r := newRig(t)
 			r.endpoints.Hold()
-			// Another request is open beside it, and may lose its connection too.
+			// Another request is open at the same time, and may also lose its connection.
 			other := r.post(1, fakestore.Hang, 1)
 			r.waitFor("the other request's attempt", func() bool { return r.endpoints.Gets(other) == 1 })
 			txn := other
 			if w.behavior != fakestore.Hang {
 				txn = r.post(2, w.behavior, 2)
-				r.waitFor("attempt", func() bool { return r.endpoints.Gets(txn) >= 1 })
+				r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) >= 1 })
 			}
 			if w.act != nil {
 				w.act(r)
 			}
 			switch w.kind {
 			case answered:
-				r.waitFor("answer", func() bool { r.clock.Advance(1); r.stats(); return r.answered(2) == 1 || w.behavior != fakestore.Good })
+				r.waitFor("an answer", func() bool { r.clock.Advance(1); r.stats(); return r.answered(2) == 1 || w.behavior != fakestore.Good })
 				r.endpoints.Notice()
 			case closed, unasked:
 				r.waitFor("a deferred attempt", func() bool { return r.stats().Deferred > 0 })
 				r.endpoints.Notice()
-				r.waitFor("all canceled", func() bool { return r.endpoints.Out(txn) == 0 })
+				r.waitFor("the end of all attempts at the endpoints", func() bool { return r.endpoints.Out(txn) == 0 })
 				r.clock.Advance(41)
 			case canceled:
 				r.waitFor("a deferred attempt", func() bool { return r.stats().Deferred > 0 })
 				r.endpoints.Notice()
 				r.waitFor("the acknowledgement", func() bool { return r.stats().CancelConfirmed > 0 }) // no time has passed
 			}
-			r.waitFor("answers", func() bool {
+			r.waitFor("all answers", func() bool {
 				r.clock.Advance(1)
 				r.stats()
 				return r.answered(1) == 1 && (w.behavior == fakestore.Hang || r.answered(2) == 1)
 			})
 			if n := r.endpoints.Twice(); n > 0 {
-				t.Errorf("%d times a request was at the endpoints twice", n)
+				t.Errorf("%d times a request had two concurrent attempts at the endpoints", n)
 			}
 		})
 	}
-	t.Logf("%d ways in which an attempt ends", len(ways))
+	t.Logf("%d ways for an attempt to end", len(ways))
 }
 
-// No grace period lets a retry go to an endpoint that has stopped, as it would find both attempts when it goes on: only its
-// answer to a barrier does.
-func TestNoRetryAtStoppedEndpoint(t *testing.T) {
+// A retry is not sent to an endpoint that is suspended, even after the grace period, because the endpoint would find both
+// attempts when it resumes. It is sent once the endpoint has answered a barrier ping.
+func TestNoRetryAtSuspendedEndpoint(t *testing.T) {
 	for name, behavior := range map[string]fakestore.Behavior{
 		"cut": fakestore.Cut, "reset while reading": fakestore.ResetReading, "reset while writing": fakestore.ResetWriting,
 		"stalled": fakestore.Stall, "canceled": fakestore.Hang,
@@ -98,28 +99,28 @@
 			good := func(tag uint64) {
 				r.clock.Advance(1)
 				r.post(tag, fakestore.Good, 1)
-				r.waitFor("answer beside it", func() bool { r.stats(); return r.answered(tag) == 1 })
+				r.waitFor("the other request's answer", func() bool { r.stats(); return r.answered(tag) == 1 })
 			}
-			good(2) // the endpoint has cached the part from now on
+			good(2) // has the endpoint cache the part
 			r.endpoints.Stop()
 			txn := r.post(1, behavior, 1)
-			r.waitFor("attempt", func() bool { return r.endpoints.Gets(txn) == 1 })
+			r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) == 1 })
 			if behavior == fakestore.Hang {
-				good(3) // the endpoint is alive
+				good(3) // the endpoint still answers other requests
 				r.advanceUntilCanceled()
 			}
-			r.waitFor("its end at the endpoint", func() bool { return r.endpoints.Unnoticed() > 0 })
+			r.waitFor("its end to reach the endpoint", func() bool { return r.endpoints.Unnoticed() > 0 })
 			r.waitFor("a deferred attempt", func() bool { return r.stats().Deferred > 0 })
 			r.clock.Advance(41)
 			r.stats()
-			for tag := range uint64(5) { // what had been sent by now would reach the endpoint before these do
+			for tag := range uint64(5) { // a retry sent by now would reach the endpoint before these requests
 				good(10 + tag)
 			}
 			if n := r.endpoints.Gets(txn); n != 1 {
 				t.Fatalf("%d attempts reached the endpoint", n)
 			}
 			r.endpoints.Notice()
-			r.waitFor("answer", func() bool { r.clock.Advance(1); r.stats(); return r.answered(1) == 1 })
+			r.waitFor("the answer", func() bool { r.clock.Advance(1); r.stats(); return r.answered(1) == 1 })
 			if a := r.answerTo(1); a.Verdict != core.Served || r.endpoints.Gets(txn) != 2 {
 				t.Errorf("%+v after %d attempts", a, r.endpoints.Gets(txn))
 			}
@@ -127,23 +128,23 @@
 	}
 }
 
-// An endpoint is told the time that the client has left when the attempt is sent, also if it was deferred before.
-func TestDeferredAttemptTellsRemainingTime(t *testing.T) {
+// The remaining time sent to an endpoint is computed when the attempt is sent, also if it was deferred before.
+func TestDeferredAttemptSendsRemainingTime(t *testing.T) {
 	const has, waits = 2500, 900 // ms
 	r := newRig(t)
 	r.allowConcurrent = true
 	r.post(2, fakestore.Good, 1)
-	r.waitFor("answer beside it", func() bool { r.stats(); return r.answered(2) == 1 }) // the endpoint has cached the part from now on
+	r.waitFor("the other request's answer", func() bool { r.stats(); return r.answered(2) == 1 }) // the endpoint caches the part
 	r.endpoints.Stop()
 	came := r.clock.Now()
 	txn := r.post(1, fakestore.Cut, 1)
-	r.waitFor("attempt", func() bool { return r.endpoints.Gets(txn) == 1 })
+	r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) == 1 })
 	r.waitFor("a deferred attempt", func() bool { return r.stats().Deferred > 0 })
 	r.clock.Advance(waits)
 	r.stats()
 	r.endpoints.Notice()
 	r.waitFor("the next attempt", func() bool { r.clock.Advance(1); r.stats(); return r.endpoints.Gets(txn) == 2 })
-	most, least := has-waits, has-(r.clock.Now()-came)-10 // the controller reserves a little for events that come late
+	most, least := has-waits, has-(r.clock.Now()-came)-10 // the controller reserves some time for delayed events
 	for _, c := range r.endpoints.Calls() {
 		ttl, err := strconv.ParseFloat(c.Fields["ttl"], 64)
 		if err != nil {
--- a/core/core.go
+++ b/core/core.go
@@ -12,12 +12,12 @@
 )
 
 // The core itself: its options, its state, and the loop of the one goroutine that owns that state. Run takes events from
-// the two queues and timers from the heap; Handle gives each event to the file of its stage.
+// the two queues and timers from the heap; Handle dispatches each event to its stage.
 
-// maxQueuedEvents bounds the events that wait for the core. Post blocks while the queue is full.
+// maxQueuedEvents is the capacity of the event queue. Post blocks while the queue is full.
 const maxQueuedEvents = 4096
 
-// maxQueuedAdminEvents bounds the events that Order has queued.
+// maxQueuedAdminEvents is the capacity of the queue that Order fills.
 const maxQueuedAdminEvents = 64
 
 // maxOpenRequests is the default and the upper bound of Options.MaxOpen.
@@ -29,28 +29,28 @@
 // errStopped is returned by Order once the core has stopped.
 var errStopped = errors.New("core: stopped")
 
-// Options configure a core. Times in float64 are milliseconds.
+// Options configure a core. Durations of type float64 are in milliseconds.
 type Options struct {
 	Settings    control.Settings // of the controller
 	Classes     []string         // names of the request classes, in the order of Settings.Classes
-	Seed        uint64           // of the controller's random numbers
-	MaxOpen     int              // maximum of open requests, above which new ones are rejected; 0 or more than 4096: 4096
-	Flow        float64          // bytes a second at which one client is sent a response; 0: unknown
-	CancelGrace float64          // ms that an endpoint may take to notice a cancellation; 0: 40
+	Seed        uint64           // of the controller's random number generator
+	MaxOpen     int              // maximum number of open requests; further ones are rejected; 0 or more than 4096: 4096
+	Flow        float64          // rate in bytes/s at which a response is sent to one client; 0: unknown
+	CancelGrace float64          // ms within which an endpoint is assumed to process a cancellation; 0: 40
 	Clock       *clock.Clock
 	Log         zerolog.Logger
 
-	// TraceShare is the share of requests, 0 to 1, that are traced at level info too, at most 10 a second. The choice
-	// is by request ID, so gateways with the same share trace the same requests.
+	// TraceShare is the fraction of requests, 0 to 1, that are also traced at level info, at most 10 per second. Requests
+	// are selected by a hash of their ID, so gateways with the same share trace the same requests.
 	TraceShare float64
 
-	// MaxCopyAge returns the bound on the age of copies that may be served, or 0 for none. It is set while purges may have
-	// been missed. It must be safe for concurrent use. Nil: there is never a bound.
+	// MaxCopyAge returns the maximum age of copies that may be served, or 0 for no limit. The limit applies while purges
+	// may have been missed. It must be safe for concurrent use. Nil: there is never a limit.
 	MaxCopyAge func() time.Duration
 }
 
 // Core connects frontends, the controller and an upstream. Post and Order are safe for concurrent use; Run, Handle and
-// Tick belong to the goroutine that owns the core.
+// Tick may be called only by the goroutine that owns the core.
 type Core struct {
 	opt        Options
 	classes    map[string]int // class name to its index in the settings
@@ -59,37 +59,37 @@
 	upstream   Upstream
 
 	events      chan Event
-	adminEvents chan Event // taken before events
+	adminEvents chan Event // handled before events
 	stopped     chan struct{}
 
 	timers        timerHeap
-	actions       []control.Action // reused for each call of the controller
-	pendingEvents []control.Event  // for the controller, once the present actions are carried out
+	actions       []control.Action // buffer, reused for each call of the controller
+	pendingEvents []control.Event  // passed to the controller after the current actions are carried out
 	dispatching   bool             // notifyController is running
 
-	// A request is in requests and byTxn until it is answered and all its attempts have ended and been confirmed,
-	// and in byTag until it is answered.
+	// A request is in requests and byTxn until it is answered, all its attempts have ended, and the end of the last one
+	// is confirmed or its grace period is over. It is in byTag until it is answered.
 	requests map[control.RequestID]*request
 	byTxn    map[string]*request
 	byTag    map[frontendTag]*request
 	lastID   control.RequestID
 
-	healthChecks map[uint32]float64 // endpoint to the time at which its outstanding check was sent
+	healthChecks map[uint32]float64 // endpoint to the time at which its pending health check was sent, in ms
 	stats        Stats
-	idleWaiters  []chan<- struct{} // closed once no request waits for its answer
-	shuttingDown bool              // Abort came: new requests are rejected
+	idleWaiters  []chan<- struct{} // closed once every open request has its final answer
+	shuttingDown bool              // Abort was received: new requests are rejected
 }
 
-// Stats counts what the core has done since its start.
+// Stats holds the core's counters since its start.
 type Stats struct {
 	Received, Served, NotModified, Rejected, Failed, ClientGone, Attempts, HealthChecks, Canceled int
 
-	// Deferred counts the attempts that had to wait for the previous one's cancellation to be confirmed,
-	// CancelConfirmed those of them that the endpoint's acknowledgement let start.
+	// Deferred counts the attempts that were deferred until the previous attempt's cancellation was confirmed;
+	// CancelConfirmed counts those of them for which the endpoint's acknowledgement arrived.
 	Deferred, CancelConfirmed int
 }
 
-// New returns a core whose attempts and health checks upstream carries out.
+// New returns a core that sends its attempts and health checks through upstream.
 func New(opt Options, upstream Upstream) (*Core, error) {
 	controller, err := control.New(opt.Settings, opt.Seed)
 	if err != nil {
@@ -132,8 +132,8 @@
 	}
 }
 
-// Order queues an event ahead of all that Post has queued, so that an operator's call does not wait behind the traffic
-// that it is about. It returns an error if ctx ends first or the core has stopped.
+// Order queues an event ahead of all events queued by Post, so that an operator's command takes effect before the queued
+// requests that it concerns. It returns an error if ctx ends first or the core has stopped.
 func (c *Core) Order(ctx context.Context, ev Event) error {
 	select {
 	case c.adminEvents <- ev:
@@ -205,12 +205,12 @@
 	case WhenIdle:
 		c.idleWaiters = append(c.idleWaiters, ev.Tell)
 	case GetStats:
-		ev.Reply <- c.stats // has room for one
+		ev.Reply <- c.stats // buffered, does not block
 	}
 	c.notifyIdle()
 }
 
-// notifyIdle tells those who asked with WhenIdle if no request waits for its answer.
+// notifyIdle closes the channels passed with WhenIdle if every request has its final answer.
 func (c *Core) notifyIdle() {
 	if len(c.byTag) > 0 {
 		return
@@ -221,7 +221,7 @@
 	c.idleWaiters = nil
 }
 
-// abort has the controller give up every unanswered request, as if its time were up.
+// abort has the controller end every unanswered request, as if its deadline had passed.
 func (c *Core) abort() {
 	c.shuttingDown = true
 	for _, r := range c.openRequests() {
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An operator's order overtakes all the traffic in the queue, and one about an endpoint that was never listed is an error.
+// An operator's command is handled before all queued events, and one about an endpoint that was never listed is an error.
 func TestAdminEventsOvertakeTraffic(t *testing.T) {
 	c, h, clk := newCore(t)
 	for i := range uint64(15) {
@@ -29,7 +29,7 @@
 	done := make(chan error)
 	go func() { done <- c.Run(ctx) }()
 	reply := make(chan Stats, 1)
-	c.Post(GetStats{Reply: reply}) // behind the traffic
+	c.Post(GetStats{Reply: reply}) // handled after the requests
 	<-reply
 	end()
 	<-done
--- a/core/deferred_test.go
+++ b/core/deferred_test.go
@@ -11,14 +11,14 @@
 	"turnfork.dev/turnfork/internal/fakestore"
 )
 
-// What happens while an attempt is deferred applies to it. The endpoint notices nothing meanwhile and the clock stands, so that
-// the attempt is deferred until all events are handled.
+// Events that are handled while an attempt is deferred apply to it. The endpoint does not process cancellations meanwhile and the
+// clock does not advance, so that the attempt stays deferred until all events are handled.
 func TestDeferredAttemptIsReconsidered(t *testing.T) {
 	drains := func(m *control.Endpoint) { m.State = control.Draining }
 	for _, c := range []struct {
 		name  string
 		event func(r *rig, canceled *atomic.Bool)
-		holds func(r *rig, second []fakestore.Call) bool // of the GETs that came after the first
+		holds func(r *rig, second []fakestore.Call) bool // checks the GETs received after the first
 	}{
 		{"nothing", func(*rig, *atomic.Bool) {}, func(_ *rig, second []fakestore.Call) bool { return len(second) > 0 }},
 		{"all endpoints drain", func(r *rig, _ *atomic.Bool) { r.changeEndpoints(drains, 0, 1, 2, 3, 4) },
@@ -53,9 +53,9 @@
 			r.core.Post(core.Purge{Object: 7, At: r.clock.Unix()})
 			r.core.Post(core.CopyAgeBounded{})
 		}, func(_ *rig, second []fakestore.Call) bool { return len(second) > 0 && second[0].Fields["fresh"] == "1" }},
-		{"the client goes", func(r *rig, _ *atomic.Bool) { r.core.Post(core.CancelRequest{Frontend: r, RequestTag: 1}) },
+		{"the client disconnects", func(r *rig, _ *atomic.Bool) { r.core.Post(core.CancelRequest{Frontend: r, RequestTag: 1}) },
 			func(_ *rig, second []fakestore.Call) bool { return len(second) == 0 }},
-		{"the client goes, which the core does not know yet", func(_ *rig, canceled *atomic.Bool) { canceled.Store(true) },
+		{"the client disconnects, CancelRequest not handled yet", func(_ *rig, canceled *atomic.Bool) { canceled.Store(true) },
 			func(_ *rig, second []fakestore.Call) bool { return len(second) == 0 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,10 +71,10 @@
 			c.event(r, &canceled)
 			r.stats() // all events are handled
 			r.endpoints.Notice()
-			r.waitFor("the first canceled", func() bool { return r.endpoints.Out(txn) == 0 })
+			r.waitFor("the end of the first attempt at the endpoint", func() bool { return r.endpoints.Out(txn) == 0 })
 			idle := make(chan struct{})
 			r.core.Post(core.WhenIdle{Tell: idle})
-			r.waitFor("end", func() bool {
+			r.waitFor("the core to become idle", func() bool {
 				r.clock.Advance(41)
 				r.stats()
 				select {
@@ -85,7 +85,7 @@
 				}
 			})
 			if second := r.endpoints.Calls()[1:]; !c.holds(r, second) {
-				t.Errorf("after the first these came: %+v; %+v", second, r.stats())
+				t.Errorf("unexpected GETs after the first: %+v; %+v", second, r.stats())
 			}
 		})
 	}
--- a/core/duplicate_id_test.go
+++ b/core/duplicate_id_test.go
@@ -8,21 +8,22 @@
 	"turnfork.dev/turnfork/internal/fakestore"
 )
 
-// A request under the ID of an open one is rejected, also while the endpoints may still have it after its client has gone.
+// A request with the ID of an open one is rejected, also while an attempt of the open one may still be at the endpoints after its
+// client has disconnected.
 func TestDuplicateIDIsRejected(t *testing.T) {
 	r := newRig(t)
 	r.endpoints.Hold()
 	txn := r.post(1, fakestore.Hang, 1)
-	r.waitFor("attempt", func() bool { return r.endpoints.Gets(txn) == 1 })
-	r.post(2, fakestore.Hang, 2) // another object under it
-	r.waitFor("rejection", func() bool { return r.answered(2) == 1 })
+	r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) == 1 })
+	r.post(2, fakestore.Hang, 2) // another object with the same ID
+	r.waitFor("the rejection", func() bool { return r.answered(2) == 1 })
 	r.core.Post(core.CancelRequest{Frontend: r, RequestTag: 1})
 	r.waitFor("its cancellation", func() bool { return r.stats().Canceled == 1 })
 	r.post(3, fakestore.Hang, 1)
-	r.waitFor("rejection", func() bool { return r.answered(3) == 1 })
+	r.waitFor("the rejection", func() bool { return r.answered(3) == 1 })
 	r.endpoints.Notice()
 	tag := uint64(4)
-	r.waitFor("accepted again", func() bool {
+	r.waitFor("a request with the ID to be accepted", func() bool {
 		r.post(tag, fakestore.Hang, 1)
 		r.stats()
 		tag++
@@ -30,7 +31,7 @@
 	})
 	served := 0
 	for i := uint64(2); i < tag; i++ {
-		r.waitFor("answer", func() bool { return r.answered(i) == 1 })
+		r.waitFor("the answer", func() bool { return r.answered(i) == 1 })
 		switch a := r.answerTo(i); {
 		case a.Verdict == core.Served:
 			served++
@@ -39,9 +40,9 @@
 		}
 	}
 	if served == 0 {
-		t.Error("none served")
+		t.Error("no request was served")
 	}
 	if n := r.endpoints.Twice(); n > 0 || r.answered(1) > 0 {
-		t.Error(fmt.Sprint(n, " times at the endpoints twice; answers to the client that has gone: ", r.answered(1)))
+		t.Error(fmt.Sprint(n, " times two concurrent attempts; answers to the disconnected client: ", r.answered(1)))
 	}
 }
--- a/core/endpoints.go
+++ b/core/endpoints.go
@@ -5,8 +5,9 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Endpoints: Handle calls updateEndpoints for each update of the endpoint list and exclude for an operator's order. The
-// controller and the upstream are told, and deferred attempts that the change makes pointless are decided again.
+// Endpoints: Handle calls updateEndpoints for each update of the endpoint list and exclude for an operator's command. The
+// controller and the upstream are notified, and the controller decides again on deferred attempts whose endpoint or
+// source is no longer usable.
 
 // updateEndpoints applies an update of the endpoint list.
 func (c *Core) updateEndpoints(list EndpointList) {
@@ -20,14 +21,14 @@
 	c.reconsiderDeferred(list)
 }
 
-// reconsiderDeferred withdraws the deferred attempts whose endpoint or source has left the list, takes no new work any
-// more, or has restarted since the controller chose it, so that the controller decides again.
+// reconsiderDeferred cancels the deferred attempts whose endpoint or source has been removed from the list, no longer
+// accepts new requests, or has restarted since the controller chose it, so that the controller decides again.
 func (c *Core) reconsiderDeferred(list EndpointList) {
 	listed := map[uint32]control.Endpoint{}
 	for _, endpoint := range list.Endpoints {
 		listed[uint32(endpoint.Info.ID)] = endpoint.Info
 	}
-	// unusable reports whether an endpoint chosen at a time must not be used any more.
+	// unusable reports whether an endpoint that was chosen at chosenAt, in ms, must not be used any more.
 	unusable := func(id uint32, chosenAt float64) bool {
 		info, ok := listed[id]
 		if !ok {
@@ -49,8 +50,8 @@
 	}
 }
 
-// exclude takes an endpoint out of service or lets it serve again. The controller decides what that means for requests;
-// the upstream takes back what has not been sent yet.
+// exclude takes an endpoint out of service or returns it to service. The controller decides on the affected requests;
+// the upstream cancels the attempts that have not been sent yet.
 func (c *Core) exclude(ev Exclude) {
 	var err error
 	if ev.AssumeListed || c.controller.WasListed(control.EndpointID(ev.Endpoint)) {
--- a/core/events.go
+++ b/core/events.go
@@ -7,42 +7,43 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Events: what frontends, upstreams, discovery and the admin API post to the core. Times are in ms, of the monotonic clock
+// Events that frontends, upstreams, discovery and the admin API post to the core. Times are in ms, of the monotonic clock
 // unless a comment says otherwise.
 
-// ErrUnknown answers an Exclude of an endpoint that no endpoint list has named.
+// ErrUnknown is the reply to an Exclude of an endpoint that has never been in an endpoint list.
 var ErrUnknown = errors.New("core: no list has named this store")
 
-// Event is something that happened. The types of this file implement it.
+// Event is an input of the core. The types in this file implement it.
 type Event interface{ event() }
 
 // Request is a request that a frontend has received completely.
 type Request struct {
 	Frontend              Frontend
-	RequestTag            uint64 // the frontend's name for the request, unique among its open ones
-	Txn                   string // the request's ID, under which endpoints know it too (X-Txn)
+	RequestTag            uint64 // chosen by the frontend, unique among its open requests
+	Txn                   string // the request's ID, which is also sent to endpoints (X-Txn)
 	Class                 string
-	Name                  string // of the object, as the client wrote it
+	Name                  string // of the object, as sent by the client
 	Object                uint64
 	Part                  uint32
 	Group                 uint16 // the object's group, for purges
 	SizeKB                float64
-	ReceivedAt, Remaining float64 // when it was received, and how long the client waits from then on
-	Retry                 bool    // the client says that it tried before
+	ReceivedAt, Remaining float64 // when it was received, and the time from then until the client's deadline
+	Retry                 bool    // the client marked the request as a retry
 	ClientETag            string  // of the client's copy
 	IdempotencyKey        string  // the client's key
 	Body                  []byte
-	AuthorizedUntil       float64 // no attempt starts later; 0: no limit
+	AuthorizedUntil       float64 // no attempt is started later; 0: no limit
 
-	// Canceled is set by the frontend as soon as the client has gone, ahead of the CancelRequest that follows: whatever the
-	// request waits for, it is not forwarded any more. The core sets it with the final answer. Nil: the core makes one.
+	// Canceled is set by the frontend as soon as the client disconnects, before it posts the CancelRequest: in whatever
+	// state the request is, it is not forwarded any more. The core sets it with the final answer. Nil: the core allocates it.
 	Canceled *atomic.Bool
 
-	// ReportAfterCancel has the core answer the frontend also after the client has gone, as the frontend accounts for what ran.
+	// ReportAfterCancel has the core answer the frontend even after the client has disconnected, because the frontend
+	// keeps account of the requests that may have run.
 	ReportAfterCancel bool
 }
 
-// CancelRequest reports that a request's client has gone.
+// CancelRequest reports that a request's client has disconnected.
 type CancelRequest struct {
 	Frontend   Frontend
 	RequestTag uint64
@@ -53,24 +54,24 @@
 	AttemptKey
 	Outcome control.Outcome
 
-	// Unconfirmed says that nothing proves that the endpoint has noticed the end. Until CancelConfirmed comes or the grace
-	// period ends, no further attempt of the request is sent.
+	// Unconfirmed is set if the endpoint may not have processed the end of the attempt yet. No further attempt of the
+	// request is sent until CancelConfirmed is received or the grace period ends.
 	Unconfirmed bool
 
 	Note        control.Note
-	QueueDelay  float64 // ms that the endpoint waited for the source
+	QueueDelay  float64 // ms for which the endpoint waited for the source
 	Load        *control.LoadReport
 	Body        []byte
 	ETag        string
-	CreatedAt   float64 // Unix ms at which the origin gave out the copy; 0: unknown
+	CreatedAt   float64 // Unix time in ms at which the origin sent the copy; 0: unknown
 	NotModified bool    // the client's copy is current
 }
 
-// CancelConfirmed reports that the endpoint has noticed the end of an attempt that ended Unconfirmed.
+// CancelConfirmed reports that the endpoint has acknowledged the end of an attempt that ended Unconfirmed.
 type CancelConfirmed struct{ AttemptKey }
 
-// BarrierAnswered reports that an endpoint has answered a barrier ping, which was written after the ends of these attempts but
-// on another connection, or with Silent that no answer is to be expected.
+// BarrierAnswered reports that an endpoint has answered a barrier ping, which was written after the cancellations of these
+// attempts but on another connection, or with Silent that no answer is expected any more.
 type BarrierAnswered struct {
 	Keys   []AttemptKey
 	Silent bool
@@ -83,7 +84,7 @@
 	Load     *control.LoadReport
 }
 
-// EndpointList is an update of the endpoint list: all of it if Snapshot, else the entries that changed.
+// EndpointList is an update of the endpoint list: the complete list if Snapshot, else the entries that changed.
 type EndpointList struct {
 	Snapshot  bool
 	Endpoints []Endpoint
@@ -93,32 +94,32 @@
 type Purge struct {
 	Object uint64
 	Group  uint16
-	At     float64 // Unix ms
+	At     float64 // Unix time in ms
 }
 
-// CopyAgeBounded reports that Options.MaxCopyAge has begun to return a bound. It applies to the attempts that have not been
-// sent yet, too.
+// CopyAgeBounded reports that Options.MaxCopyAge now returns a limit, which also applies to attempts that have not been sent
+// yet.
 type CopyAgeBounded struct{}
 
-// Exclude is an operator's order that nothing more is sent to an endpoint, or with On false that it may serve again.
+// Exclude is an operator's command to take an endpoint out of service, or with On false to return it to service.
 type Exclude struct {
 	Endpoint     uint32
 	On           bool
-	AssumeListed bool         // the endpoint is known from elsewhere to have been listed
-	Reply        chan<- error // with room for one, is sent nil once the order holds, or ErrUnknown; nil: nobody asks
+	AssumeListed bool         // skip the check that the endpoint has been in an endpoint list
+	Reply        chan<- error // buffered; receives nil once the command is in effect, or ErrUnknown; nil: no reply
 }
 
-// ProcessCount reports how many processes make up this gateway at present.
+// ProcessCount reports the current number of processes of this gateway.
 type ProcessCount struct{ Processes int }
 
-// Abort has every open request given up at once, each with its final answer, and all later ones rejected: the process
-// is shutting down.
+// Abort ends every open request at once with a final answer, and has all later ones rejected: the process is shutting
+// down.
 type Abort struct{}
 
-// WhenIdle has Tell closed once no request waits for its answer.
+// WhenIdle has Tell closed once every open request has its final answer.
 type WhenIdle struct{ Tell chan<- struct{} }
 
-// GetStats asks for the counts. Reply must have room for one.
+// GetStats requests the counters. Reply must be buffered.
 type GetStats struct{ Reply chan<- Stats }
 
 func (Request) event()           {}
--- a/core/freshness.go
+++ b/core/freshness.go
@@ -5,11 +5,11 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Freshness: Handle calls purge and applyCopyAgeBound; attempts.go asks maxCopyAge for every attempt. An attempt that was
-// decided on before a purge but has not been sent yet (it is deferred, or waits for a connection) must not ask for a copy
-// older than the purge.
+// Freshness: Handle calls purge and applyCopyAgeBound; attempts.go calls maxCopyAge for every attempt. An attempt that the
+// controller requested before a purge but that has not been sent yet (it is deferred, or queued for a connection) must not
+// accept a copy older than the purge.
 
-// purge tells the controller of a purge and applies it to the attempts that have not been sent.
+// purge reports a purge to the controller and applies it to the attempts that have not been sent.
 func (c *Core) purge(ev Purge) {
 	c.notifyController(control.Purged{
 		Object: control.ObjectID(ev.Object),
@@ -23,7 +23,7 @@
 	}
 }
 
-// covers reports whether a purge is about the object of a request.
+// covers reports whether a purge applies to the object of a request.
 func (ev Purge) covers(r *request) bool {
 	if ev.Object != 0 {
 		return r.Object == ev.Object
@@ -31,9 +31,9 @@
 	return r.Group == ev.Group
 }
 
-// purgeAge returns how long ago, in ms, a purge was that its origin dated in Unix ms. Both the wall clock and the monotonic
-// clock are consulted and the smaller age counts, as a larger one would let older copies pass: so a step of the wall clock,
-// or one that was corrected since the start, never adds to it.
+// purgeAge returns the age in ms of a purge that another machine dated, in Unix ms. It is computed by the wall clock and by the
+// monotonic clock, and the smaller result is used, because too large an age would allow copies from before the purge. A
+// step of the wall clock, even one that was corrected since the start, therefore never increases it.
 func (c *Core) purgeAge(date float64) float64 {
 	return max(0, min(c.opt.Clock.Unix(), c.now())-date)
 }
@@ -47,8 +47,8 @@
 	}
 }
 
-// maxCopyAge returns the age in ms of the oldest copy that a request may be served, where the controller allows age (0: the
-// FreshFor of its class).
+// maxCopyAge returns the maximum age in ms of a copy served to a request: the age that the controller allows (0: the
+// FreshFor of its class), or Options.MaxCopyAge if that is lower.
 func (c *Core) maxCopyAge(r *request, age float64) float64 {
 	if c.opt.MaxCopyAge == nil || r.write {
 		return age
@@ -66,7 +66,7 @@
 	return min(age, bound)
 }
 
-// limitCopyAge has the attempts of a request that have not been sent ask for no copy older than age ms.
+// limitCopyAge has the unsent attempts of a request accept no copy older than age ms.
 func (c *Core) limitCopyAge(r *request, age float64) {
 	if age <= 0 {
 		return
--- a/core/fuzz_test.go
+++ b/core/fuzz_test.go
@@ -7,8 +7,8 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// FuzzCore takes random steps and checks the promises of the core: one final answer for each request, no later than its
-// deadline, at most 8 attempts and never two at once, no retry of a non-idempotent request that may have run.
+// FuzzCore runs random steps and checks the core's guarantees: one final answer for each request, no later than its deadline,
+// at most 8 attempts and never two at once, no retry of a non-idempotent request that may have run.
 func FuzzCore(f *testing.F) {
 	f.Add([]byte{0, 1, 8, 16, 2, 3, 40, 80, 5, 5, 5})
 	f.Add([]byte{0, 0, 0, 1, 9, 17, 25, 33, 41, 49, 57, 4, 4, 4})
@@ -45,7 +45,7 @@
 	lastTag    uint64
 	class      map[uint64]string  // by request tag
 	deadline   map[uint64]float64 // by request tag
-	gone       map[uint64]bool    // requests whose client went before the answer
+	gone       map[uint64]bool    // requests whose client disconnected before the answer
 	mayHaveRun map[control.RequestID]bool
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// take takes the step that a byte stands for.
+// take runs the step that a byte encodes.
 func (r *fuzzRun) take(step byte) {
 	pick := int(step / 8)
 	switch step % 8 {
@@ -75,7 +75,7 @@
 	}
 }
 
-// request posts a request, one in four a non-idempotent one.
+// request posts a request; one in four is non-idempotent.
 func (r *fuzzRun) request(pick int) {
 	r.lastTag++
 	class := "tile"
@@ -87,7 +87,7 @@
 	r.core.Handle(newRequest(r.harness, r.lastTag, class, r.clock.Now()))
 }
 
-// endSome has one of the open attempts end.
+// endSome ends one of the open attempts.
 func (r *fuzzRun) endSome(pick int) {
 	outcomes := []control.Outcome{
 		control.OK, control.Miss, control.ServerError, control.Overloaded, control.ConnectFailed, control.ConnectionLost,
@@ -103,7 +103,7 @@
 	}
 }
 
-// end has an attempt end, and for one request in three the endpoint acknowledge that.
+// end ends an attempt. For one request in three the endpoint acknowledges that at once.
 func (r *fuzzRun) end(k AttemptKey, outcome control.Outcome) {
 	unconfirmed := outcome == control.ConnectionLost || outcome == control.Canceled || outcome == control.TimedOut
 	if unconfirmed || outcome == control.ServerError {
@@ -125,7 +125,7 @@
 	}
 }
 
-// clientGoes has the client of some request go.
+// clientGoes disconnects the client of a request.
 func (r *fuzzRun) clientGoes(pick int) {
 	if r.lastTag == 0 {
 		return
@@ -137,7 +137,7 @@
 	r.core.Handle(CancelRequest{Frontend: r.harness, RequestTag: tag})
 }
 
-// endCanceled has the attempts end that the core has canceled: the upstream writes a cancellation some time later.
+// endCanceled ends the attempts that the core has canceled, as the upstream does once it has written the cancellation.
 func (r *fuzzRun) endCanceled(outcome control.Outcome) {
 	for len(r.harness.canceled) > 0 {
 		k := r.harness.canceled[0]
@@ -148,7 +148,7 @@
 	}
 }
 
-// answerBarriers has endpoints answer the barriers that the core has asked for, or be silent.
+// answerBarriers reports the results of the barrier pings that the core has requested.
 func (r *fuzzRun) answerBarriers(silent bool) {
 	for ; len(r.harness.barriers) > 0; r.harness.barriers = r.harness.barriers[1:] {
 		r.harness.confirm(r.core, BarrierAnswered{Keys: r.harness.barriers[:1], Silent: silent})
@@ -165,10 +165,10 @@
 	}
 }
 
-// checkNothingIsLeft checks that the core has forgotten all requests.
+// checkNothingIsLeft checks that the core's tables of requests are empty.
 func (r *fuzzRun) checkNothingIsLeft() {
 	c := r.core
 	if len(c.byTag) != 0 || len(c.requests) != 0 || len(c.byTxn) != 0 {
-		r.Fatalf("%d requests, %d entries and %d IDs are left over", len(c.byTag), len(c.requests), len(c.byTxn))
+		r.Fatalf("%d unanswered requests, %d entries and %d IDs are left", len(c.byTag), len(c.requests), len(c.byTxn))
 	}
 }
--- a/core/harness_test.go
+++ b/core/harness_test.go
@@ -11,7 +11,7 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// harness stands in for a frontend and an upstream, and checks what the core promises them.
+// harness is a fake frontend and upstream. It checks the core's guarantees on the calls that it receives.
 type harness struct {
 	t     testing.TB
 	clock *clock.Clock
@@ -19,13 +19,13 @@
 	answers    map[uint64][]Answer                          // by request tag
 	open       map[control.RequestID]map[int]AttemptRequest // attempts without a result
 	sent       []AttemptRequest
-	canceled   []AttemptKey // by the core, and without a result yet
-	barriers   []AttemptKey // for which the core asked with ConfirmCancel, and without an answer yet
-	excludedAt []int        // how many attempts had been sent at each call of Exclude
+	canceled   []AttemptKey // canceled by the core, and without a result yet
+	barriers   []AttemptKey // passed to ConfirmCancel, and without an answer yet
+	excludedAt []int        // number of attempts sent before each call of Exclude
 
-	graceEnds     map[control.RequestID]float64 // when the grace period of the last attempt's end is over
-	localFailures map[control.RequestID]int     // attempts that failed on this host, so that they don't count
-	unconfirmed   map[AttemptKey]uint32         // endpoints of attempts that ended unconfirmed, until they have shown that they read
+	graceEnds     map[control.RequestID]float64 // end of the grace period after the last attempt
+	localFailures map[control.RequestID]int     // attempts that failed on this host, which don't count towards MaxAttempts
+	unconfirmed   map[AttemptKey]uint32         // endpoints of attempts that ended unconfirmed, until acknowledgement or barrier
 }
 
 // Answer implements Frontend.
@@ -49,7 +49,7 @@
 	return true
 }
 
-// endAttempt has the upstream report an attempt's result.
+// endAttempt passes an attempt's result to the core, as the upstream does.
 func (h *harness) endAttempt(c *Core, e AttemptResult) {
 	delete(h.open[e.ID], e.Number)
 	if e.Outcome == control.LocalFailure {
@@ -61,7 +61,7 @@
 	c.Handle(e)
 }
 
-// confirm has the upstream report what an endpoint has shown since an attempt ended unconfirmed there.
+// confirm passes a CancelConfirmed or BarrierAnswered to the core, as the upstream does.
 func (h *harness) confirm(c *Core, ev Event) {
 	switch ev := ev.(type) {
 	case CancelConfirmed:
@@ -101,7 +101,7 @@
 	}
 	for k, endpoint := range h.unconfirmed {
 		if k.ID == s.ID && endpoint == s.To {
-			h.t.Errorf("request %d: attempt %d was sent to an endpoint that has shown nothing since attempt %d", s.ID, s.Number, k.Number)
+			h.t.Errorf("request %d: attempt %d was sent to an endpoint that has not confirmed the end of attempt %d", s.ID, s.Number, k.Number)
 		}
 	}
 	if s.Number-h.localFailures[s.ID] >= 8 {
@@ -154,7 +154,7 @@
 	return c, h, clk
 }
 
-// newRequest returns a request of a class, received at a time, whose client waits for 2.5 s.
+// newRequest returns a request of a class that was received at a time, with 2.5 s until the client's deadline.
 func newRequest(h *harness, tag uint64, class string, at float64) Request {
 	return Request{Frontend: h, RequestTag: tag, Txn: fmt.Sprint(tag), Class: class, Object: tag % 7, Name: "x", SizeKB: 40, ReceivedAt: at, Remaining: 2500}
 }
--- a/core/idempotency_test.go
+++ b/core/idempotency_test.go
@@ -7,14 +7,14 @@
 	"turnfork.dev/turnfork/internal/fakestore"
 )
 
-// A keyed request is retried under its key within the deduplication window, and only once the end of the previous attempt is
-// confirmed: time proves nothing about an endpoint that has stopped.
+// A keyed request is retried with its key within the deduplication window, and only once the end of the previous attempt is
+// confirmed: elapsed time does not confirm it, because the endpoint may be suspended.
 func TestKeyedRetryWithinDedupWindow(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		behavior fakestore.Behavior
-		notice   bool // the endpoint goes on and reads what was written to it
-		cancel   bool // the attempt is canceled here
+		notice   bool // the endpoint resumes and reads what was written to it
+		cancel   bool // the gateway cancels the attempt
 		gets     int
 	}{
 		{"overloaded", fakestore.Busy, true, false, 2},
@@ -23,21 +23,21 @@
 		{"cut", fakestore.Cut, true, false, 2},
 		{"reset", fakestore.ResetReading, true, false, 2},
 		{"canceled, and the endpoint acknowledges that", fakestore.Hang, true, true, 2},
-		{"canceled at an endpoint that stops for longer than the window", fakestore.Hang, false, true, 1},
+		{"canceled at an endpoint suspended for longer than the window", fakestore.Hang, false, true, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			r := newRig(t)
 			r.endpoints.Hold()
 			began := r.clock.Now()
 			txn := r.postKeyed(x.behavior, idempotencyKey, 3000, false)
-			r.waitFor("attempt", func() bool { return r.endpoints.Gets(txn) >= 1 })
+			r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) >= 1 })
 			if x.cancel {
 				r.advanceUntilCanceled()
 				r.waitFor("a deferred attempt", func() bool { return r.stats().Deferred > 0 })
 			}
 			if x.notice {
 				r.endpoints.Notice()
-				r.waitFor("canceled at the endpoint", func() bool { return r.endpoints.Out(txn) == 0 })
+				r.waitFor("the end of the attempt at the endpoint", func() bool { return r.endpoints.Out(txn) == 0 })
 				r.waitFor("the retry", func() bool { r.clock.Advance(1); r.stats(); return r.endpoints.Gets(txn) == 2 })
 			} else {
 				r.clock.Advance(began + dedupWindowMs - 10 - r.clock.Now())
@@ -50,24 +50,24 @@
 				t.Errorf("%+v", a)
 			}
 			if r.clock.Now() > began+dedupWindowMs+5 {
-				t.Errorf("answered %v ms after the request came", r.clock.Now()-began)
+				t.Errorf("answered %v ms after the request was received", r.clock.Now()-began)
 			}
 			r.endpoints.Notice()
 			calls := r.endpoints.Calls()
 			if len(calls) != x.gets || r.endpoints.Twice() > 0 {
-				t.Errorf("%d attempts, %d twice at the endpoint", len(calls), r.endpoints.Twice())
+				t.Errorf("%d attempts, %d times two at once at the endpoint", len(calls), r.endpoints.Twice())
 			}
 			for _, c := range calls {
 				if c.Fields["dedupe"] != idempotencyKey {
-					t.Errorf("an attempt with the key %q", c.Fields["dedupe"])
+					t.Errorf("an attempt was sent with the key %q", c.Fields["dedupe"])
 				}
 			}
 		})
 	}
 }
 
-// A keyed request that the client says is a retry, which another gateway may have run already, is forwarded only within the
-// deduplication window: how long ago that may have been follows from the client's remaining time. A first try is always
+// A keyed request that the client marks as a retry, which another gateway may have run already, is forwarded only within the
+// deduplication window. The time since the first try is estimated from the client's remaining time. A first try is always
 // forwarded.
 func TestClientRetryOfKeyedRequest(t *testing.T) {
 	for _, x := range []struct {
@@ -79,8 +79,8 @@
 		gets      int
 	}{
 		{"first try, little time left", 900, idempotencyKey, false, core.NoReason, 1},
-		{"retry, the key is surely known", 1500, idempotencyKey, true, core.NoReason, 1},
-		{"retry, the key may be forgotten", 900, idempotencyKey, true, core.Shed, 0},
+		{"retry, the key is still in the window", 1500, idempotencyKey, true, core.NoReason, 1},
+		{"retry, the key may have expired", 900, idempotencyKey, true, core.Shed, 0},
 		{"no key", 3000, "", false, core.MissingIdempotencyKey, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// The key is sent to endpoints for the classes that are keyed, and for no other.
+// The key is sent to endpoints only for classes that are idempotent by key.
 func TestKeyOnlyInKeyedClasses(t *testing.T) {
 	r := newRig(t)
 	r.core.Post(core.Request{Frontend: r, RequestTag: 1, Txn: "a", Class: "tile", Object: 7, Name: "7", SizeKB: 1, ReceivedAt: r.clock.Now(), Remaining: 2000, IdempotencyKey: idempotencyKey})
--- a/core/ingress.go
+++ b/core/ingress.go
@@ -8,17 +8,17 @@
 )
 
 // Ingress, the first stage: Handle calls receive for each Request that a frontend posts, and cancelRequest when its client
-// has gone. A request that passes the checks is entered in the table and handed to the controller, which holds it,
+// has disconnected. A request that passes the checks is added to the table and passed to the controller, which queues it,
 // forwards it or sheds it; any other is answered here.
 
-// What a client is told to wait, in ms, before it retries a request that was rejected here.
+// The RetryAfter, in ms, of requests that are rejected here.
 const (
 	overloadedRetryAfter = 50.0
-	duplicateRetryAfter  = 100.0 // the first request of that ID should have ended by then
+	duplicateRetryAfter  = 100.0 // the open request of the same ID should have ended by then
 	shutdownRetryAfter   = 100.0
 )
 
-// receive enters a new request in the table, or answers it at once.
+// receive adds a new request to the table, or answers it at once.
 func (c *Core) receive(req Request) {
 	c.stats.Received++
 	if req.Canceled == nil {
@@ -30,11 +30,11 @@
 	}
 	tag := frontendTag{req.Frontend, req.RequestTag}
 	if c.byTag[tag] != nil {
-		// A bug of the frontend; the first request goes on undisturbed.
+		// A bug of the frontend; the first request is not affected.
 		c.opt.Log.Error().Uint64("request_tag", req.RequestTag).Msg("duplicate request tag")
 		return
 	}
-	// Endpoints know requests by ID: a second one under the same ID would be a concurrent attempt of the first, and
+	// Endpoints identify requests by ID: a second one with the same ID would be a concurrent attempt of the first, and
 	// canceling either may cancel both.
 	if other := c.byTxn[req.Txn]; other != nil {
 		c.respondDuplicate(req, other)
@@ -50,7 +50,7 @@
 	c.admit(r)
 }
 
-// receivedCanceled ends a request whose client has gone while it waited in the core's queue.
+// receivedCanceled ends a request whose client disconnected while the request was in the event queue.
 func (c *Core) receivedCanceled(req Request) {
 	c.stats.ClientGone++
 	if req.ReportAfterCancel {
@@ -70,14 +70,14 @@
 	if len(c.requests) >= c.opt.MaxOpen {
 		return Answer{Verdict: Rejected, Reason: Overloaded, RetryAfter: overloadedRetryAfter}, false
 	}
-	// Without a key, endpoints could not tell a repeat of the request from another one.
+	// Without a key, endpoints could not distinguish a retry of the request from a new request.
 	if c.opt.Settings.Classes[class].Idempotency == control.IdempotentByKey && req.IdempotencyKey == "" {
 		return Answer{Verdict: Failed, Reason: MissingIdempotencyKey}, false
 	}
 	return Answer{}, true
 }
 
-// register enters a valid request in the table.
+// register adds a valid request to the table.
 func (c *Core) register(req Request, tag frontendTag) *request {
 	class := &c.opt.Settings.Classes[c.classes[req.Class]]
 	c.lastID++
@@ -98,7 +98,7 @@
 	return r
 }
 
-// admit hands the request to the controller. The time it has waited for the core counts as the client's.
+// admit passes the request to the controller. The time it has spent in the event queue is deducted from its remaining time.
 func (c *Core) admit(r *request) {
 	waited := c.now() - r.ReceivedAt
 	c.notifyController(control.Request{
@@ -114,8 +114,8 @@
 	})
 }
 
-// respondDuplicate answers a request whose ID another open request has. A rejection promises that a retry is harmless,
-// which is untrue if the open one may have run and must not run twice: then the answer is a failure.
+// respondDuplicate answers a request that has the same ID as an open one. A rejection guarantees that a retry is harmless,
+// which is not the case if the open request may have run and must not run twice: then the answer is a failure.
 func (c *Core) respondDuplicate(req Request, open *request) {
 	answer := Answer{Verdict: Rejected, Reason: DuplicateID, RetryAfter: duplicateRetryAfter}
 	if open.nonIdempotent && !open.idempotentByKey && open.mayHaveRun() {
@@ -125,12 +125,12 @@
 	req.Frontend.Answer(req.RequestTag, answer)
 }
 
-// cancelRequest handles a client that has gone: no answer is owed to it, and nothing more is forwarded. If the frontend
-// accounts for what ran, an attempt under way goes on to its end and is reported.
+// cancelRequest handles a client that has disconnected: it gets no answer, and its request is not forwarded any more. If
+// the frontend set ReportAfterCancel, an attempt in flight continues and its outcome is reported.
 func (c *Core) cancelRequest(ev CancelRequest) {
 	r := c.byTag[frontendTag{ev.Frontend, ev.RequestTag}]
 	if r == nil {
-		return // its answer was already under way
+		return // already answered
 	}
 	r.Canceled.Store(true)
 	if r.ReportAfterCancel && r.mayHaveRun() {
@@ -140,7 +140,7 @@
 	c.clientGone(r)
 }
 
-// clientGone ends a request whose client has gone.
+// clientGone ends a request whose client has disconnected.
 func (c *Core) clientGone(r *request) {
 	c.stats.ClientGone++
 	c.traceClientGone(r)
--- a/core/ingress_test.go
+++ b/core/ingress_test.go
@@ -7,14 +7,14 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// A request whose client goes before it is forwarded is never forwarded. A frontend that accounts for what ran is told the end
-// of the request, and whether it may have run.
+// A request whose client disconnects before it is forwarded is never forwarded. With ReportAfterCancel the frontend receives the
+// final answer, which states whether the request may have run.
 func TestClientGone(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		report bool             // ReportAfterCancel
-		before bool             // the client goes before the core receives the request
-		result *control.Outcome // of the attempt that was open when it went
+		before bool             // the client disconnects before the core receives the request
+		result *control.Outcome // of the attempt that was open when it disconnected
 		sends  int
 		want   []Answer
 	}{
@@ -54,8 +54,8 @@
 	}
 }
 
-// A request under the ID of an open one is rejected, which promises that a retry is harmless; but if the open one must not run
-// twice and may have run, it fails.
+// A request with the ID of an open one is rejected, which guarantees that a retry is harmless; but if the open one must not run
+// twice and may have run, the new request fails.
 func TestDuplicateOfNonIdempotentIsNotRejected(t *testing.T) {
 	for _, x := range []struct {
 		name, class string
@@ -64,11 +64,11 @@
 		want        Verdict
 	}{
 		{"idempotent, open", "tile", nil, false, Rejected},
-		{"keyed, open", "mark", nil, false, Rejected}, // endpoints drop a repeat
+		{"keyed, open", "mark", nil, false, Rejected}, // endpoints ignore a duplicate
 		{"non-idempotent, open", "ride-end", nil, false, Failed},
-		{"non-idempotent, its connection broke", "ride-end", new(control.ConnectionLost), true, Failed},
-		{"non-idempotent, never connected, and open again", "ride-end", new(control.ConnectFailed), false, Failed},
-		{"idempotent, its connection broke", "tile", new(control.ConnectionLost), true, Rejected},
+		{"non-idempotent, connection lost", "ride-end", new(control.ConnectionLost), true, Failed},
+		{"non-idempotent, connection failed, retry open", "ride-end", new(control.ConnectFailed), false, Failed},
+		{"idempotent, connection lost", "tile", new(control.ConnectionLost), true, Rejected},
 	} {
 		c, h, clk := newCore(t)
 		first := newRequest(h, 1, x.class, clk.Now())
--- a/core/requests.go
+++ b/core/requests.go
@@ -8,27 +8,28 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// The table of open requests and their attempts. Every stage reads and writes it; only the core's goroutine does.
+// The table of open requests and their attempts. Every stage reads and writes it, on the core's goroutine only.
 
-// frontendTag identifies a request to its frontend.
+// frontendTag identifies a request by its frontend and the tag that the frontend chose.
 type frontendTag struct {
 	frontend Frontend
 	tag      uint64
 }
 
-// request is an entry of the table: what the frontend posted, and how far it has come.
+// request is an entry of the table: the request as posted by the frontend, and its state.
 type request struct {
 	Request
 	id              control.RequestID
 	write           bool // it runs at the origin and is not cached
-	nonIdempotent   bool // it must not run twice; set for keyed requests too
-	idempotentByKey bool // endpoints drop a repeat under the same idempotency key, for its deduplication window
-	answered        bool // the final answer is given, or the client has gone and none is owed
+	nonIdempotent   bool // it must not run twice; also set for keyed requests
+	idempotentByKey bool // within the deduplication window, endpoints ignore a retry with the same idempotency key
+	answered        bool // the final answer was given, or the client has disconnected and gets none
 	sampled         bool // it is traced at level info
 	attempts        []*attempt
 	openAttempts    int // attempts without a result
 
-	// unconfirmedCancel is about the attempt that ended last: a further one, to whatever endpoint, waits for it.
+	// unconfirmedCancel describes the attempt that ended last. Until it is confirmed, a further attempt to any endpoint is
+	// deferred.
 	unconfirmedCancel unconfirmedCancel
 }
 
@@ -38,13 +39,13 @@
 	key       AttemptKey
 	endpoint  uint32
 	startedAt float64         // when the controller decided on it, in ms
-	deferred  *AttemptRequest // non-nil while it waits for the previous attempt's cancellation
-	canceling bool            // the upstream was told to cancel it
+	deferred  *AttemptRequest // non-nil until the previous attempt's cancellation is confirmed
+	canceling bool            // the upstream was asked to cancel it
 	ended     bool            // its result is recorded
-	neverSent bool            // it ended, and provably nothing of it reached an endpoint
+	neverSent bool            // it ended, and it is certain that nothing of it reached an endpoint
 
-	// needsBarrier is set when the attempt ended without its endpoint having confirmed that, and cleared once that
-	// endpoint has shown that it reads what was written to it later. Until then no further attempt goes to that endpoint.
+	// needsBarrier is set when the attempt ended without confirmation from its endpoint, and cleared once that endpoint has
+	// answered a barrier ping or acknowledged the end. Until then no further attempt is sent to that endpoint.
 	needsBarrier bool
 }
 
@@ -61,13 +62,13 @@
 // lastAttempt returns the attempt that was started last. There must be one.
 func (r *request) lastAttempt() *attempt { return r.attempts[len(r.attempts)-1] }
 
-// openRequests returns the requests in the order in which they were received, so that the controller hears of them in the
-// same order in every run.
+// openRequests returns the requests in the order in which they were received, so that events are reported to the
+// controller in a deterministic order.
 func (c *Core) openRequests() []*request {
 	return slices.SortedFunc(maps.Values(c.requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
 
-// markAnswered notes that no answer is owed any more. The entry stays until its attempts have ended.
+// markAnswered marks a request as needing no answer any more. The entry is kept until its attempts have ended.
 func (c *Core) markAnswered(r *request) {
 	r.answered = true
 	r.Canceled.Store(true)
@@ -83,7 +84,7 @@
 		return
 	}
 	if r.unconfirmedCancel.graceUntil > c.now() {
-		return // cancelGraceExpired comes back to it
+		return // cancelGraceExpired calls removeIfDone again
 	}
 	delete(c.requests, r.id)
 	delete(c.byTxn, r.Txn)
--- a/core/respond.go
+++ b/core/respond.go
@@ -4,12 +4,14 @@
 
 // Responses, the last stage: attemptEnded calls respond for a served request, execute calls respondUnserved for the
 // controller's decision to reject or fail one, and stopForwarding is called where an attempt must not start any more. Only
-// requests that never entered the table are answered elsewhere, in ingress.go.
+// requests that were never added to the table are answered elsewhere, in ingress.go.
 
-// deadlineMargin is how close to the end of the client's time, in ms, a shed request counts as one that ran out of time.
+// deadlineMargin is the time before the client's deadline, in ms, within which a shed request is reported as
+// DeadlineExceeded.
 const deadlineMargin = 20.0
 
-// respondUnserved gives a request the controller's final answer, with the reason as far as the core knows it better.
+// respondUnserved answers a request that the controller has rejected or failed, with a more specific reason where the core
+// has one.
 func (c *Core) respondUnserved(id control.RequestID, answer Answer) {
 	r := c.requests[id]
 	if r == nil || r.answered {
@@ -21,7 +23,7 @@
 	c.respond(r, answer)
 }
 
-// unservedReason says why a request that the controller gave up was not served.
+// unservedReason returns why a request that the controller rejected or failed was not served.
 func (c *Core) unservedReason(r *request) Reason {
 	switch {
 	case c.now() >= r.ReceivedAt+r.Remaining-deadlineMargin:
@@ -32,8 +34,8 @@
 	return Shed
 }
 
-// stopForwarding ends a request that must not be forwarded any more, because its client has gone or its authorization has
-// expired.
+// stopForwarding ends a request that must not be forwarded any more, because its client has disconnected or its
+// authorization has expired.
 func (c *Core) stopForwarding(r *request) {
 	switch {
 	case r.answered:
@@ -44,7 +46,7 @@
 	}
 }
 
-// respond gives a request its final answer. Its caller has checked that there was none before.
+// respond sends the final answer to a request. The caller has checked that the request is unanswered.
 func (c *Core) respond(r *request, answer Answer) {
 	answer.MayHaveRun = r.mayHaveRun()
 	c.countVerdict(answer.Verdict)
--- a/core/respond_test.go
+++ b/core/respond_test.go
@@ -6,7 +6,7 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// A request that the controller sheds is answered at once, with advice when to retry.
+// A request that the controller sheds is answered at once, with a RetryAfter.
 func TestShedRequestIsAnsweredAtOnce(t *testing.T) {
 	c, h, clk := newCore(t)
 	c.Handle(newRequest(h, 1, "tile", clk.Now()))
--- a/core/results.go
+++ b/core/results.go
@@ -7,9 +7,9 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Results: Handle calls attemptEnded and healthCheckEnded when the upstream reports how an attempt or a health check
-// ended. The result is recorded and reported to the controller, which decides on a retry; the first successful attempt
-// answers its request.
+// Results: Handle calls attemptEnded and healthCheckEnded when the upstream reports the result of an attempt or a health
+// check. The result is recorded and reported to the controller, which decides on a retry; the first successful attempt
+// provides the response to its request.
 
 // attemptEnded records the result of an attempt. A second result of the same attempt is ignored.
 func (c *Core) attemptEnded(result AttemptResult) {
@@ -48,7 +48,7 @@
 	return outcome == control.NotSent || outcome == control.ConnectFailed || outcome == control.LocalFailure
 }
 
-// servedAnswer returns the answer that a successful attempt gives its request.
+// servedAnswer returns the final answer for the result of a successful attempt.
 func servedAnswer(result AttemptResult) Answer {
 	answer := Answer{Verdict: Served, Body: result.Body, ETag: result.ETag, CreatedAt: result.CreatedAt, Note: result.Note}
 	if result.NotModified {
@@ -66,7 +66,7 @@
 	return time.Duration(float64(len(result.Body)) / c.opt.Flow * float64(time.Second))
 }
 
-// healthCheckEnded reports the result of an outstanding health check to the controller.
+// healthCheckEnded reports the result of a pending health check to the controller.
 func (c *Core) healthCheckEnded(result HealthCheckResult) {
 	sentAt, ok := c.healthChecks[result.Endpoint]
 	if !ok {
--- a/core/results_test.go
+++ b/core/results_test.go
@@ -7,7 +7,7 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// The size of a body tells how long a client receives it, if the rate is known.
+// The transfer time is the size of the body divided by Options.Flow, if that is set.
 func TestTransferTime(t *testing.T) {
 	for _, x := range []struct {
 		flow float64
@@ -23,8 +23,8 @@
 	}
 }
 
-// An attempt that failed on this host proves that nothing ran: a non-idempotent request too is retried, within its client's
-// time, and if the shortage lasts it is rejected, as a retry is harmless.
+// After an attempt that failed on this host it is certain that nothing ran: even a non-idempotent request is retried until its
+// deadline. If the failures persist it is rejected, because a retry by the client is harmless.
 func TestLocalFailureIsRetried(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -32,12 +32,12 @@
 		failures int // attempts that fail
 		verdict  Verdict
 	}{
-		{"a read, for a moment", "tile", 3, Served},
-		{"non-idempotent, for a moment", "ride-end", 3, Served},
-		{"keyed, for a moment", "mark", 3, Served},
-		{"a read, for long", "tile", 1000, Rejected},
-		{"non-idempotent, for long", "ride-end", 1000, Rejected},
-		{"keyed, for long", "mark", 1000, Rejected},
+		{"read, transient", "tile", 3, Served},
+		{"non-idempotent, transient", "ride-end", 3, Served},
+		{"keyed, transient", "mark", 3, Served},
+		{"read, persistent", "tile", 1000, Rejected},
+		{"non-idempotent, persistent", "ride-end", 1000, Rejected},
+		{"keyed, persistent", "mark", 1000, Rejected},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			core, h, clk := newCore(t)
@@ -65,7 +65,7 @@
 				t.Fatalf("%d attempts, answers %+v", ended, got)
 			}
 			if c.verdict == Rejected && got[0].RetryAfter <= 0 {
-				t.Errorf("rejected without advice: %+v", got[0])
+				t.Errorf("rejected without RetryAfter: %+v", got[0])
 			}
 		})
 	}
--- a/core/rig_test.go
+++ b/core/rig_test.go
@@ -21,7 +21,7 @@
 	idempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 )
 
-// rig is a core with a RESP upstream and endpoints that notice late, over sockets.
+// rig is a core with a RESP upstream, connected over sockets to fake endpoints that can be made to process cancellations late.
 type rig struct {
 	*testing.T
 	core  *core.Core
@@ -29,12 +29,12 @@
 	list  core.EndpointList // of the endpoints
 
 	endpoints       *fakestore.SlowStore
-	allowConcurrent bool // two attempts of a request at once are an error only at the same endpoint
+	allowConcurrent bool // concurrent attempts of a request are an error only at the same endpoint
 
 	mu      sync.Mutex
 	answers map[uint64][]core.Answer
 
-	maxCopyAge atomic.Int64 // what Options.MaxCopyAge returns
+	maxCopyAge atomic.Int64 // returned by Options.MaxCopyAge, in ns
 }
 
 // Answer implements core.Frontend.
@@ -44,7 +44,7 @@
 	r.answers[tag] = append(r.answers[tag], a)
 }
 
-// newRig returns a rig. The first GET of each ID ends as the ID's first letter says.
+// newRig returns a rig. The first letter of a request's ID selects the behavior of its first GET.
 func newRig(t *testing.T) *rig {
 	r := &rig{T: t, clock: clock.Manual(1e12), answers: map[uint64][]core.Answer{}, list: core.EndpointList{Snapshot: true}}
 	var err error
@@ -90,7 +90,7 @@
 	return r
 }
 
-// post posts a request for a part of object 7 whose first attempt ends as behavior says, and returns its ID.
+// post posts a request for a part of object 7 whose first attempt has the given behavior, and returns its ID.
 func (r *rig) post(tag uint64, behavior fakestore.Behavior, part uint32) string {
 	txn := string(rune('a'+behavior)) + strings.Repeat("0", 15)
 	r.core.Post(core.Request{
@@ -100,48 +100,48 @@
 	return txn
 }
 
-// stats returns the core's counts once it has handled all earlier events; it also fires the timers that are due.
+// stats returns the core's counters once it has handled all earlier events. It also has the core fire the timers that are due.
 func (r *rig) stats() core.Stats {
 	reply := make(chan core.Stats, 1)
 	r.core.Post(core.GetStats{Reply: reply})
 	return <-reply
 }
 
-// waitFor polls until a condition holds; only a hung program meets its limit.
+// waitFor polls until a condition holds, and fails the test after 20 s.
 func (r *rig) waitFor(what string, ok func() bool) {
 	r.Helper()
 	for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if r.endpoints.Twice() > 0 && !r.allowConcurrent || r.endpoints.TwiceAtOne() > 0 {
-			r.Fatalf("a request was at the endpoints twice while waiting for: %s", what)
+			r.Fatalf("a request had two concurrent attempts while waiting for: %s", what)
 		}
 		if time.Now().After(limit) {
-			r.Fatalf("never: %s; %+v", what, r.stats())
+			r.Fatalf("timed out waiting for: %s; %+v", what, r.stats())
 		}
 	}
 }
 
-// answerTo returns the answer to a request that has one.
+// answerTo returns the answer to a request, which must have one.
 func (r *rig) answerTo(tag uint64) core.Answer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.answers[tag][0]
 }
 
-// answered returns how many answers a request has.
+// answered returns the number of answers to a request.
 func (r *rig) answered(tag uint64) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.answers[tag])
 }
 
-// advanceUntilCanceled moves the clock on until the core cancels an attempt, and no further.
+// advanceUntilCanceled advances the clock in steps of 20 ms until the core cancels an attempt.
 func (r *rig) advanceUntilCanceled() {
 	for before := r.stats().Canceled; r.stats().Canceled == before; {
 		r.clock.Advance(20)
 	}
 }
 
-// changeEndpoints posts some entries of the endpoint list as change alters them.
+// changeEndpoints applies change to some entries of the endpoint list and posts them.
 func (r *rig) changeEndpoints(change func(*control.Endpoint), which ...int) {
 	list := core.EndpointList{}
 	for _, i := range which {
@@ -152,7 +152,7 @@
 	r.core.Post(list)
 }
 
-// postKeyed posts a keyed write whose first attempt ends as behavior says, of a client that waits for a number of ms.
+// postKeyed posts a keyed write whose first attempt has the given behavior, with the remaining time in ms.
 func (r *rig) postKeyed(behavior fakestore.Behavior, key string, remaining float64, retry bool) (txn string) {
 	txn = string(rune('a'+behavior)) + "mark"
 	r.core.Post(core.Request{
@@ -164,6 +164,6 @@
 
 // answer waits for the answer to request 1 and returns it.
 func (r *rig) answer() core.Answer {
-	r.waitFor("answer", func() bool { r.stats(); return r.answered(1) > 0 })
+	r.waitFor("the answer", func() bool { r.stats(); return r.answered(1) > 0 })
 	return r.answers[1][0]
 }
--- a/core/sampler_test.go
+++ b/core/sampler_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Of a share of the requests, maxSampledPerSecond a second are traced; without a share, none.
+// At most maxSampledPerSecond requests are traced per second; with a share of 0, none.
 func TestSamplerIsBounded(t *testing.T) {
 	s := newSampler(1)
 	for second := range 3 {
@@ -16,11 +16,11 @@
 			}
 		}
 		if n != maxSampledPerSecond {
-			t.Errorf("%d are traced in a second", n)
+			t.Errorf("%d requests are traced in a second", n)
 		}
 	}
 	none := newSampler(0)
 	if none.sample("x", func() float64 { return 0 }) {
-		t.Error("a request is traced without a share")
+		t.Error("a request is traced with a share of 0")
 	}
 }
--- a/core/slow_start_test.go
+++ b/core/slow_start_test.go
@@ -9,8 +9,8 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Many attempts are deferred, and their endpoint turns out to have restarted: they are not sent to it all at once, but what is
-// sent stays within the slow-start budget.
+// If the endpoint of many deferred attempts has restarted, they are not sent to it all at once: the attempts sent stay within the
+// slow-start budget.
 func TestDeferredAttemptsRespectSlowStart(t *testing.T) {
 	const asked, weight, kb = 100, 100.0, 40.0
 	old, h, clk := newCore(t)
--- a/core/timers.go
+++ b/core/timers.go
@@ -8,16 +8,16 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Timers: a heap ordered by due time, which the loop in core.go runs through Tick. A timer is never removed early; when it
-// fires, its handler checks whether it still applies.
+// Timers: a heap ordered by due time; the loop in core.go calls Tick to fire those that are due. Timers are not removed
+// before they are due; when one fires, its handler checks whether it still applies.
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
-	controllerTimer   timerKind = iota // the controller asked for it, with a token
+	controllerTimer   timerKind = iota // requested by the controller, with a token
 	attemptTimer                       // an attempt's time-out
-	sendDeadlineTimer                  // a deferred attempt's idempotency key may be forgotten from now on
+	sendDeadlineTimer                  // from now on, endpoints may have discarded the idempotency key of a deferred attempt
 	cancelGraceTimer                   // the grace period of an unconfirmed cancellation ends
 )
 
@@ -32,7 +32,7 @@
 // schedule adds a timer.
 func (c *Core) schedule(t timer) { heap.Push(&c.timers, t) }
 
-// untilNextTimer returns how long the loop may sleep.
+// untilNextTimer returns the time until the next timer is due, or maxTimerWait if there is none.
 func (c *Core) untilNextTimer() time.Duration {
 	if len(c.timers) == 0 {
 		return maxTimerWait
--- a/core/trace.go
+++ b/core/trace.go
@@ -6,10 +6,10 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// The trace: every stage writes a log line for each step of a request, all with the client's X-Txn as request_id, so that
-// one request can be followed through all gateways that handled it. The lines are written at level debug, and for the
-// sampled share of requests (Options.TraceShare) at level info; for other requests they cost a comparison. docs/fleet.md
-// ("Following a request") lists them.
+// Tracing: every stage writes a log line for each step of a request, all with the client's X-Txn as request_id, so that
+// one request can be traced through all gateways that handled it. The lines are written at level debug, and for the
+// sampled share of requests (Options.TraceShare) at level info; for other requests only the log level and the sampled flag
+// are checked. docs/fleet.md ("Following a request") lists the lines.
 
 // tracing reports whether all requests are traced.
 func (c *Core) tracing() bool { return c.opt.Log.GetLevel() <= zerolog.DebugLevel }
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// traceEndpoints logs when endpoints started, as far as a list tells: during slow start, what all gateways together send
-// to an endpoint is limited.
+// traceEndpoints logs the start times that a list contains. They tell when an endpoint is in slow start, during which the
+// total load that all gateways send to it is limited.
 func (c *Core) traceEndpoints(list EndpointList) {
 	if !c.tracing() {
 		return
@@ -75,7 +75,8 @@
 		Msg("request received")
 }
 
-// traceAttemptStarted logs an attempt; with deferred, it waits for the previous one's cancellation.
+// traceAttemptStarted logs the start of an attempt, and whether it is deferred until the previous one's cancellation is
+// confirmed.
 func (c *Core) traceAttemptStarted(r *request, a *attempt, action control.Attempt) {
 	e := c.trace(r)
 	if e == nil {
@@ -107,8 +108,8 @@
 		Msg("attempt ended")
 }
 
-// traceCancelConfirmed logs how long an attempt's end was unconfirmed, and whether the end of the grace period, not the
-// endpoint's acknowledgement, ended that.
+// traceCancelConfirmed logs how long an attempt's end was unconfirmed, and whether the grace period had expired instead of
+// the endpoint acknowledging it.
 func (c *Core) traceCancelConfirmed(r *request, key AttemptKey) {
 	e := c.trace(r)
 	if e == nil {
@@ -131,8 +132,8 @@
 		Msg("barrier ended")
 }
 
-// traceResponse logs the final answer, and for a request that was shed before any attempt the state of the controller
-// that explains it.
+// traceResponse logs the final answer, and for a request that was shed before any attempt the controller state that led to
+// the decision.
 func (c *Core) traceResponse(r *request, answer Answer) {
 	if answer.Verdict == Rejected && answer.Reason == Shed && len(r.attempts) == 0 {
 		if e := c.trace(r); e != nil {
@@ -152,8 +153,8 @@
 		Msg("response sent")
 }
 
-// traceClientGone logs how long a request waited whose client has gone, and whether an attempt of it may have reached an
-// endpoint by then. A later "attempt started" of the same request ID would be a request forwarded for nobody.
+// traceClientGone logs that a request's client has disconnected, how long the request had been open by then, and whether an
+// attempt may have reached an endpoint. No "attempt started" of the same request may follow.
 func (c *Core) traceClientGone(r *request) {
 	e := c.trace(r)
 	if e == nil {
--- a/core/trace_test.go
+++ b/core/trace_test.go
@@ -11,8 +11,8 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// At level debug each request is logged as received, with every attempt's start and end, and with its response, under its
-// request ID and in that order; at info none of it.
+// At level debug the log has a line for the receipt of each request, the start and end of every attempt, and the response, with
+// the request ID and in that order; at level info it has none of them.
 func TestTraceOfRequest(t *testing.T) {
 	for _, level := range []zerolog.Level{zerolog.DebugLevel, zerolog.InfoLevel} {
 		c, h, clk := newCore(t)
@@ -52,8 +52,8 @@
 	}
 }
 
-// The log says how long an attempt's end was unconfirmed, and whether the endpoint's acknowledgement or the grace period
-// ended that.
+// The log has the time for which an attempt's end was unconfirmed, and whether that ended with the endpoint's acknowledgement or
+// with the grace period.
 func TestTraceOfCancellation(t *testing.T) {
 	for _, graceExpires := range []bool{false, true} {
 		c, h, clk := newCore(t)
@@ -92,14 +92,14 @@
 	}
 }
 
-// The log says when an endpoint started, from which what all gateways may send it during slow start follows.
+// The log has the start time of an endpoint, from which its slow-start limit can be computed.
 func TestTraceOfEndpointStarts(t *testing.T) {
 	c, _, clk := newCore(t)
 	var out bytes.Buffer
 	c.opt.Log = zerolog.New(&out)
 	c.Handle(EndpointList{Endpoints: []Endpoint{
 		{Addr: "a", Info: control.Endpoint{ID: 7, Weight: 12, State: control.Ready, StartedAt: clock.Duration(clk.Now() - 1500)}},
-		{Addr: "b", Info: control.Endpoint{ID: 8, Weight: 12, State: control.Ready}}, // started long ago
+		{Addr: "b", Info: control.Endpoint{ID: 8, Weight: 12, State: control.Ready}}, // no start time
 	}})
 	var line struct {
 		Endpoint     uint32  `json:"endpoint"`
@@ -107,7 +107,7 @@
 		StartedAgoMs float64 `json:"started_ago_ms"`
 		Message      string  `json:"message"`
 	}
-	if err := json.Unmarshal(out.Bytes(), &line); err != nil { // also where there is more than one line
+	if err := json.Unmarshal(out.Bytes(), &line); err != nil { // fails also if there is more than one line
 		t.Fatalf("%v: %s", err, out.Bytes())
 	}
 	if line.Endpoint != 7 || line.Weight != 12 || line.StartedAgoMs < 1499 || line.StartedAgoMs > 1501 || line.Message != "endpoint started" {
@@ -115,8 +115,8 @@
 	}
 }
 
-// At level info a request of the sampled share is traced completely, and any other not at all; two gateways with the same
-// share trace the same requests.
+// At level info, requests of the sampled share are traced completely and others not at all; two gateways with the same share
+// trace the same requests.
 func TestTraceOfSampledShare(t *testing.T) {
 	const requests, share = 400, 0.25
 	followed := func() map[string]int {
@@ -129,7 +129,7 @@
 			if sent := h.sent[len(h.sent)-1]; sent.AttemptKey.Number == 0 {
 				c.Handle(AttemptResult{AttemptKey: sent.AttemptKey, Outcome: control.OK, Note: control.Hit, Body: []byte("x")})
 			}
-			clk.Advance(100) // 10 requests a second, of which the share is below the limit
+			clk.Advance(100) // 10 requests/s, of which the sampled share is below maxSampledPerSecond
 			c.Tick()
 		}
 		lines := map[string]int{}
--- a/core/upstream.go
+++ b/core/upstream.go
@@ -10,26 +10,27 @@
 // for each. Implementations: upstream/resp, upstream/httpstore, upstream/mux.
 
 // Upstream carries out attempts and health checks. Its methods are called by the goroutine that owns the core; they must not
-// block, nor post events from that goroutine before they return.
+// block, and must not post events from that goroutine before they return.
 type Upstream interface {
-	// Send makes an attempt. Exactly one AttemptResult follows.
+	// Send starts an attempt. Exactly one AttemptResult follows.
 	Send(a AttemptRequest)
-	// Cancel cancels an attempt. Its AttemptResult follows only after the endpoint was told: the DROP command is written, or
-	// the connection closed. Such a result is Unconfirmed, as the endpoint may read that later than what is written to it on
-	// another connection.
+	// Cancel cancels an attempt. Its AttemptResult follows only after the DROP command has been written to the endpoint or
+	// the connection has been closed. Such a result is Unconfirmed, because the endpoint may read this later than data
+	// written to another connection. The parameter as is the outcome to report.
 	Cancel(k AttemptKey, as control.Outcome)
-	// LimitCopyAge has an attempt that has not been sent ask for no copy older than maxAge ms, as its object was purged since.
+	// LimitCopyAge has an unsent attempt accept no copy older than maxAge ms, because its object was purged or the age of
+	// copies was limited since the attempt was started.
 	LimitCopyAge(k AttemptKey, maxAge float64)
-	// ConfirmCancel has an endpoint, at which an attempt ended Unconfirmed, show that it reads what is written to it now. A
-	// CancelConfirmed or a BarrierAnswered follows. It returns false if endpoints of this kind cannot be asked.
+	// ConfirmCancel has an endpoint, at which an attempt ended Unconfirmed, confirm that it has read everything written to
+	// it before. A CancelConfirmed or a BarrierAnswered follows. It returns false if the upstream cannot ask the endpoint.
 	ConfirmCancel(k AttemptKey, endpoint uint32) bool
-	// CheckHealth asks an endpoint for its load report. Exactly one HealthCheckResult follows.
+	// CheckHealth requests an endpoint's load report. Exactly one HealthCheckResult follows.
 	CheckHealth(endpoint uint32)
-	// UpdateEndpoints applies an update of the endpoint list. What has not been sent yet to an endpoint that takes no new
-	// work any more is not sent.
+	// UpdateEndpoints applies an update of the endpoint list. Unsent attempts to an endpoint that no longer accepts new
+	// requests are not sent.
 	UpdateEndpoints(s EndpointList)
-	// Exclude has nothing new sent to an endpoint, nor the endpoint named as a source of fills, until it is called with on
-	// false.
+	// Exclude with on true stops new attempts to an endpoint and its use as a source of fills; with on false it allows both
+	// again.
 	Exclude(endpoint uint32, on bool)
 }
 
@@ -45,20 +46,20 @@
 	To, Source     uint32  // the endpoint, and the endpoint from which it fills a miss
 	Fill           bool    // a miss is filled from Source
 	Txn, Class     string  // the request's ID and class
-	Name           string  // of the object, as the client wrote it
+	Name           string  // of the object, as sent by the client
 	Part           uint32  // of the object
 	CacheRank      uint8   // the endpoint's rank among the caches of the object
-	JoinFill       bool    // wait for a fill of the object that is under way
+	JoinFill       bool    // wait for a fill of the object that is already in progress
 	CachedOnly     bool    // Source serves only what it has cached
-	Deadline       float64 // when the client's time ends: the endpoint is told what is left of it at the write; 0: none
-	MaxAge         float64 // ms, of the oldest copy that may be served; 0: the FreshFor of the class
+	Deadline       float64 // deadline of the attempt; the endpoint is sent the time left when it is written; 0: none
+	MaxAge         float64 // maximum age in ms of a copy that may be served; 0: the FreshFor of the class
 	ClientETag     string  // of the client's copy
 	Body           []byte
 	Write          bool         // it runs at the origin and is not cached
-	NonIdempotent  bool         // it must not run twice, so that a broken connection ends it
-	IdempotencyKey string       // the client's key, if the class has one
-	SendDeadline   float64      // it must not be sent later, as endpoints may forget its key; 0: none
-	Canceled       *atomic.Bool // true once nobody waits for the request: it must not be sent any more
+	NonIdempotent  bool         // it must not run twice, so a broken connection ends the attempt
+	IdempotencyKey string       // the client's key, if the class is idempotent by key
+	SendDeadline   float64      // it must not be sent later, because endpoints may have discarded its key; 0: none
+	Canceled       *atomic.Bool // true once the request is answered or its client has disconnected: it must not be sent
 }
 
 // Endpoint is an entry of the endpoint list.
--- a/discovery/connect.go
+++ b/discovery/connect.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	attemptDelay   = 1 * time.Second // a dial that takes longer has another attempt started beside it
-	maxConnections = 4               // attempts at a time; a further one cancels the oldest
+	attemptDelay   = 1 * time.Second // if a dial takes longer, a further attempt is started in parallel
+	maxConnections = 4               // maximum number of parallel attempts; a further one cancels the oldest
 )
 
-// watchConn is a connection on which the server has begun to send. A frame may come in pieces of any size: silence ends the
-// watch, a slow frame does not.
+// watchConn is a connection on which the server has begun to send. The idle time-out applies between reads, not to a whole
+// frame: a frame may arrive slowly and in pieces of any size.
 type watchConn struct {
 	net.Conn
-	maxSilence time.Duration // a read that waits longer fails
+	maxSilence time.Duration // time-out of each read
 	unread     []byte        // the first byte, until it is read
 }
 
-// Read reads what has come, and fails with a time-out after maxSilence without a byte.
+// Read reads the available bytes. It fails with a time-out if none arrives within maxSilence.
 func (c *watchConn) Read(b []byte) (int, error) {
 	if len(c.unread) > 0 {
 		n := copy(b, c.unread)
@@ -47,20 +47,21 @@
 	err    error
 }
 
-// connector runs staggered connection attempts (the idea of RFC 8305, at one address) until the server sends a first byte on one
-// of them. An overloaded server takes long to accept a connection or to send its first byte, and a connection stays silent for
-// good when the server behind it has gone away: a late attempt is therefore not given up, and another is started beside it.
+// connector runs staggered connection attempts (as in RFC 8305, but to one address) until the server sends a first byte on one
+// of them. A late attempt may still succeed, because an overloaded server takes long to accept a connection or to send its
+// first byte; or it may never succeed, because the server has gone away. So it is not canceled, and a further attempt is started
+// in parallel.
 type connector struct {
 	watcher  *Watcher
 	addr     string
-	attempts []connectAttempt // in progress, the oldest first
+	attempts []connectAttempt // in progress, oldest first
 	started  int              // the number of the newest attempt
-	late     chan int         // the number of an attempt whose dial or first byte is late
+	late     chan int         // receives the number of an attempt whose dial or first byte is late
 	results  chan connectResult
 	group    sync.WaitGroup
 }
 
-// connect returns the first connection on which the server sends a byte. It fails when the last attempt in progress has failed.
+// connect returns the first connection on which the server sends a byte. It fails once no attempt is in progress any more.
 func (w *Watcher) connect(ctx context.Context, addr string) (*watchConn, error) {
 	c := &connector{watcher: w, addr: addr, late: make(chan int), results: make(chan connectResult)}
 	defer c.group.Wait()
@@ -106,7 +107,7 @@
 	c.attempts = slices.DeleteFunc(c.attempts, func(a connectAttempt) bool { return a.number == number })
 }
 
-// startAttempt starts an attempt, and cancels the oldest one when there are maxConnections.
+// startAttempt starts an attempt, and cancels the oldest one if maxConnections are in progress.
 func (c *connector) startAttempt(ctx context.Context) {
 	if len(c.attempts) >= maxConnections {
 		c.attempts[0].cancel()
@@ -129,7 +130,7 @@
 	})
 }
 
-// connectOnce dials, asks for the events after seq, and waits for the first byte. It reports each step that is late.
+// connectOnce dials, requests the events after seq, and waits for the first byte. It reports each step that is late.
 func (c *connector) connectOnce(ctx context.Context, number int, seq uint64) (*watchConn, error) {
 	reportLate := func() {
 		select {
@@ -156,7 +157,7 @@
 	return &watchConn{Conn: conn, maxSilence: silence, unread: firstByte}, nil
 }
 
-// dial opens a connection, and calls reportLate when that takes longer than attemptDelay.
+// dial opens a connection, and calls reportLate if that takes longer than attemptDelay.
 func (c *connector) dial(ctx context.Context, reportLate func()) (net.Conn, error) {
 	dial := c.watcher.Dial
 	if dial == nil {
@@ -167,7 +168,7 @@
 	return dial(ctx, "tcp", c.addr)
 }
 
-// subscribe asks for the events after seq, and returns the first byte that the server sends.
+// subscribe requests the events after seq, and returns the first byte that the server sends.
 func subscribe(conn net.Conn, seq uint64) ([]byte, error) {
 	if _, err := conn.Write(binary.BigEndian.AppendUint64(nil, seq)); err != nil {
 		return nil, err
--- a/discovery/connect_test.go
+++ b/discovery/connect_test.go
@@ -13,9 +13,8 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// An overloaded server sends the first byte on each new connection only after more than MaxSilence, because it serves many
-// others first, and is received all the same. A gateway that gave up each connection at MaxSilence would redial for ever, and add
-// to the overload.
+// The first byte is received even if an overloaded server, which serves many other clients first, sends it later than MaxSilence
+// after the connect. Closing each connection after MaxSilence would make the gateway redial forever and add to the overload.
 func TestSlowFirstByteIsReceived(t *testing.T) {
 	const silent = 100 * time.Millisecond
 	for name, first := range map[string]time.Duration{
@@ -56,15 +55,15 @@
 				if p, ok := ev.(core.Purge); !ok || p.Group != 6 {
 					t.Errorf("%+v", ev)
 				}
-			case <-time.After(20 * silent): // time for ten attempts of a gateway that gives up too soon
-				t.Errorf("nothing was received on %d watches", watches.Load())
+			case <-time.After(20 * silent): // time for ten attempts, if each were closed too early
+				t.Errorf("no event was received on %d connections", watches.Load())
 			}
 		})
 	}
 }
 
-// A server whose connections take longer than attemptDelay to open is received on the first one that opens, and no other stays
-// open. A change of the address ends the wait for a connection that does not open.
+// If connections to a server take longer than attemptDelay to open, events are received on the first one that opens, and no other
+// stays open. A change of the address cancels a pending dial.
 func TestSlowDialIsReceived(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -101,10 +100,10 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		var up chan struct{} // nil: it never opens
+		var up chan struct{} // nil: the connection never opens
 		switch dials.Add(1) {
 		case 1:
-			up = beside // once another attempt is started
+			up = beside // opens once another attempt is started
 		case 2:
 			close(beside)
 		}
@@ -131,9 +130,9 @@
 	}
 }
 
-// Connections that stay silent, as to a server that has gone away meanwhile, do not delay the one on which the server sends again,
-// and few are open at a time.
-func TestSilentConnectionsDelayNothing(t *testing.T) {
+// Connections on which the server never sends do not delay the one on which it sends again, and at most maxConnections are open at
+// a time.
+func TestSilentConnectionsDoNotDelayReconnect(t *testing.T) {
 	const (
 		silent            = 100 * time.Millisecond
 		silentConnections = 10
@@ -173,10 +172,10 @@
 		if p, ok := ev.(core.Purge); !ok || p.Group != 6 {
 			t.Errorf("%+v", ev)
 		}
-	case <-time.After(2 * silentConnections * silent): // each of the silent ones has one interval
-		t.Error("the server sends again and nothing is received")
+	case <-time.After(2 * silentConnections * silent): // twice the idle time-out for each silent connection
+		t.Error("no event was received though the server sends again")
 	}
-	if n := maxOpen.Load(); n > maxConnections+1 { // one that was cancelled may not be seen as closed yet
+	if n := maxOpen.Load(); n > maxConnections+1 { // a canceled one may not be counted as closed yet
 		t.Errorf("%d connections were open at a time", n)
 	}
 }
--- a/discovery/frames.go
+++ b/discovery/frames.go
@@ -16,14 +16,14 @@
 // Kinds of frames, as the discovery server numbers them.
 const (
 	kindHeartbeat   = 0 // no event
-	kindSnapshot    = 1 // the whole endpoint list
+	kindSnapshot    = 1 // the complete endpoint list
 	kindDelta       = 2 // the endpoints that changed
 	kindPurgeObject = 3
 	kindPurgeGroup  = 4
 )
 
-// Lengths in bytes. A frame is its length (4 bytes), a header (sequence number and kind) and a payload; the length counts the
-// header and the payload.
+// Lengths in bytes. A frame consists of its length (4 bytes), a header (sequence number and kind) and a payload; the length
+// covers the header and the payload.
 const (
 	sequenceLen    = 8
 	frameHeaderLen = sequenceLen + 1
@@ -34,13 +34,13 @@
 )
 
 const (
-	weightUnit    = 1000      // a weight is sent in thousandths
-	startedAtMask = 1<<62 - 1 // the bits of a start time that are used
+	weightUnit    = 1000      // weights are sent in thousandths
+	startedAtMask = 1<<62 - 1 // the bits of a start time that hold the time
 )
 
 var errMalformedFrame = errors.New("malformed frame")
 
-// endpointStates are the states of an endpoint by their number in a frame.
+// endpointStates maps the state number in a frame to the state of the endpoint.
 var endpointStates = [...]control.State{control.Ready, control.Draining, control.Gone}
 
 // Frame is one event of a watch with its sequence number; Event is nil in a heartbeat.
@@ -60,7 +60,7 @@
 	return frame, err
 }
 
-// readFrameBody reads the length of a frame, and the header and payload that it counts.
+// readFrameBody reads one frame and returns its header and payload.
 func readFrameBody(r io.Reader) ([]byte, error) {
 	var length [4]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -77,7 +77,7 @@
 	return body, nil
 }
 
-// parseEvent parses a payload by the kind of its frame; a heartbeat has no event.
+// parseEvent parses a payload according to the kind of its frame. It returns nil for a heartbeat, which has no event.
 func parseEvent(kind byte, payload []byte) (core.Event, error) {
 	switch kind {
 	case kindHeartbeat:
@@ -95,7 +95,7 @@
 
 func parseEndpointList(payload []byte, snapshot bool) (core.Event, error) {
 	if len(payload)%endpointLen != 0 {
-		return nil, fmt.Errorf("%w: %d bytes of endpoints", errMalformedFrame, len(payload))
+		return nil, fmt.Errorf("%w: endpoint list of %d bytes", errMalformedFrame, len(payload))
 	}
 	list := core.EndpointList{Snapshot: snapshot}
 	for ; len(payload) > 0; payload = payload[endpointLen:] {
@@ -135,7 +135,7 @@
 // parseObjectPurge parses the purge of one object: its hash (8 bytes) and the time in milliseconds (8).
 func parseObjectPurge(payload []byte) (core.Event, error) {
 	if len(payload) != purgeObjectLen {
-		return nil, fmt.Errorf("%w: a purge of %d bytes", errMalformedFrame, len(payload))
+		return nil, fmt.Errorf("%w: purge of %d bytes", errMalformedFrame, len(payload))
 	}
 	return core.Purge{
 		Object: binary.BigEndian.Uint64(payload),
@@ -146,7 +146,7 @@
 // parseGroupPurge parses the purge of a group of objects: its number (2 bytes) and the time in milliseconds (8).
 func parseGroupPurge(payload []byte) (core.Event, error) {
 	if len(payload) != purgeGroupLen {
-		return nil, fmt.Errorf("%w: a purge of %d bytes", errMalformedFrame, len(payload))
+		return nil, fmt.Errorf("%w: purge of %d bytes", errMalformedFrame, len(payload))
 	}
 	return core.Purge{
 		Group: binary.BigEndian.Uint16(payload),
--- a/discovery/frames_test.go
+++ b/discovery/frames_test.go
@@ -56,7 +56,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if fr, err := ReadFrame(bytes.NewReader(b)); err == nil {
 			if s, ok := fr.Event.(core.EndpointList); ok && len(s.Endpoints)*endpointLen > len(b) {
-				t.Errorf("%d records in %d bytes", len(s.Endpoints), len(b))
+				t.Errorf("%d endpoints in %d bytes", len(s.Endpoints), len(b))
 			}
 		}
 	})
--- a/discovery/known.go
+++ b/discovery/known.go
@@ -12,11 +12,12 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// Names are the settings' lists of zones and kinds, whose positions are the numbers that the gateway uses.
+// Names are the settings' lists of zones and kinds; the gateway numbers zones and kinds by their index in these lists.
 type Names struct{ Zones, Kinds []string }
 
-// The JSON of the events in the configuration keeps its field names; this is the place where they are translated: "known" holds
-// the events up to a sequence number, "fleet" is an endpoint list, "full" a snapshot, "invalidate" a purge, "bucket" a group.
+// The JSON form of the events in the configuration, whose field names differ from the terms used in the code: "known" holds the
+// events up to a sequence number, "fleet" is an endpoint list, "full" marks a snapshot, "invalidate" is a purge, and "bucket"
+// the group of objects purged.
 type (
 	knownEvents struct {
 		Seq     uint64
@@ -44,14 +45,14 @@
 	}
 )
 
-// endpointStatesByName are the states of an endpoint as the configuration spells them.
+// endpointStatesByName maps the state names of the configuration to endpoint states.
 var endpointStatesByName = map[string]control.State{
 	"Ready":       control.Ready,
 	"Terminating": control.Draining,
 	"Gone":        control.Gone,
 }
 
-// ParseKnown parses the events that the configuration carries. The watch resumes after the sequence number that it returns.
+// ParseKnown parses the events in the configuration. The watch is to resume after the sequence number that it returns.
 func ParseKnown(text json.RawMessage, names Names) (seq uint64, events []core.Event, err error) {
 	if len(text) == 0 {
 		return 0, nil, nil
@@ -72,7 +73,7 @@
 	return known.Seq, events, nil
 }
 
-// event returns the event of an entry; nil: it has none that a gateway uses.
+// event returns the event of an entry, or nil if it has none that the gateway uses.
 func (e knownEvent) event(names Names) (core.Event, error) {
 	switch {
 	case e.Invalidate != nil:
@@ -90,7 +91,7 @@
 	}
 	object, err := strconv.ParseUint(p.Object, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("invalidate.object: %q is no object", p.Object)
+		return nil, fmt.Errorf("invalidate.object: %q is not a hexadecimal object hash", p.Object)
 	}
 	return core.Purge{Object: object, At: p.Time}, nil
 }
@@ -107,7 +108,7 @@
 	return list, nil
 }
 
-// endpoint checks and translates one entry of a list. Its errors begin with the rest of the path to the field.
+// endpoint validates and converts one entry of a list. Its errors start with the remainder of the path to the field.
 func (e knownEndpoint) endpoint(names Names) (core.Endpoint, error) {
 	id, err := strconv.ParseUint(strings.TrimPrefix(e.ID, "s-"), 16, 32)
 	if err != nil {
@@ -115,7 +116,7 @@
 	}
 	state, ok := endpointStatesByName[e.State]
 	if !ok {
-		return core.Endpoint{}, fmt.Errorf(".state: %q is no state", e.State)
+		return core.Endpoint{}, fmt.Errorf(".state: %q is not a valid state", e.State)
 	}
 	zone := slices.Index(names.Zones, e.Zone)
 	kind := slices.Index(names.Kinds, e.Kind)
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -1,12 +1,12 @@
 // Package discovery watches the discovery server for the endpoint list and for purges.
 //
-// A watch is one TCP connection: the client sends the sequence number of the last event that it holds, the server sends the
-// events that follow it, each with its number, and heartbeats between them. The package owns the connection, its time-outs, the
-// redial with backoff and the number to resume from: each event is posted once and in order, whatever the server or the network
-// does. It also parses the events that the configuration carries (ParseKnown). It keeps no endpoint list, decides nothing
-// about endpoints and does not know how old what it has told is.
+// A watch is one TCP connection: the client sends the sequence number of the last event that it has received; the server sends
+// the events after it, each with its sequence number, and heartbeats between them. The package manages the connection, its
+// time-outs, reconnection with backoff, and the sequence number to resume from. No event is posted twice or out of order,
+// and one is skipped only if the server no longer has it. The package also parses the events in the configuration (ParseKnown). It does not store the
+// endpoint list, makes no decisions about endpoints, and does not track the age of the events it has posted.
 //
-// The server's address is the setting "changelog", which keeps its name.
+// The address of the discovery server is the setting "changelog".
 package discovery
 
 import (
@@ -26,28 +26,30 @@
 	maxBackoff = 400 * time.Millisecond
 )
 
-// AddressChange tells a watcher that the discovery server is at another address from now on.
+// AddressChange reports a new address of the discovery server to a watcher.
 type AddressChange struct{ Addr string }
 
-// Watcher watches the discovery server at Addr from the event after Seq. Its fields are set before Run and belong to Run from then on.
+// Watcher watches the discovery server at Addr from the event after Seq. Its fields are set before Run is called, and must not be
+// accessed afterwards.
 type Watcher struct {
 	Addr           string
 	Seq            uint64               // of the last event posted
 	AddressChanges <-chan AddressChange // nil: the address never changes
 	Post           func(core.Event)
 	Log            zerolog.Logger
-	// OnSynced is called at each heartbeat whose number is not beyond Seq: all events have been posted. Nil: not called.
+	// OnSynced is called at each heartbeat whose sequence number is at most Seq, that is when all events of the server have been
+	// posted. Nil: not called.
 	OnSynced func()
 	// Dial opens a connection; nil: net.Dialer.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// MaxSilence is the time without a byte after which a watch has failed; 0: maxSilence.
+	// MaxSilence is the time without a received byte after which a watch fails; 0: maxSilence.
 	MaxSilence time.Duration
 
-	missingFrom uint64 // the first event that was missing when the server was last asked for it again
+	missingFrom uint64 // sequence number of the missing event that was last requested again
 }
 
-// Run watches until ctx ends, and dials again when a watch ends, falls silent or the address changes. A watch resumes by
-// sequence number, so a change of address neither loses an event nor posts one twice.
+// Run watches until ctx ends. It reconnects when a watch fails or times out, or the address changes. A watch resumes by
+// sequence number, so a change of address neither loses nor repeats an event.
 func (w *Watcher) Run(ctx context.Context) error {
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -62,7 +64,7 @@
 		if !moved {
 			w.Log.Warn().Err(err).Uint64("seq", w.Seq).Msg("watch ended")
 			if received && time.Since(startedAt) >= minBackoff {
-				continue // the server was there a moment ago: resume at once
+				continue // the server was reachable until now: reconnect without backoff
 			}
 			moved = w.waitForAddressChange(ctx, nil, time.After(jittered(backoff)))
 		}
@@ -74,17 +76,17 @@
 	return nil
 }
 
-// jittered returns a random time between half and one and a half of a backoff.
+// jittered returns a random duration between 0.5 and 1.5 times backoff.
 func jittered(backoff time.Duration) time.Duration {
 	return backoff/2 + rand.N(backoff)
 }
 
-// watchUntilAddressChange runs one watch to its end, which comes at the latest with a change of the address. It reports whether
-// a frame was received, whether the address changed, and why the watch ended.
+// watchUntilAddressChange runs one watch until it fails or the address changes. It reports whether a frame was received,
+// whether the address changed, and why the watch ended.
 func (w *Watcher) watchUntilAddressChange(ctx context.Context) (received, moved bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	addr := w.Addr // waitForAddressChange may set the field meanwhile
+	addr := w.Addr // waitForAddressChange may change the field during the watch
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -96,8 +98,8 @@
 	return received, moved, err
 }
 
-// waitForAddressChange waits for the end of a watch or of a backoff, and reports whether the address changed meanwhile. A
-// configuration that is read again with the same address changes nothing: the open watch goes on.
+// waitForAddressChange waits until the address changes, the watch or the backoff ends, or ctx ends, and reports whether the
+// address changed. A reload of the configuration with the same address does not interrupt the watch.
 func (w *Watcher) waitForAddressChange(ctx context.Context, watchDone <-chan struct{}, backoffOver <-chan time.Time) bool {
 	for {
 		select {
@@ -142,9 +144,9 @@
 	}
 }
 
-// receive posts the event of a frame unless it was posted before. An event that does not follow the last one fails the watch
-// once, so that the server is asked again for those in between; a server that leaves them out again no longer has them, and the
-// watch goes on without them.
+// receive posts the event of a frame unless it was posted before. If events are missing before it, the watch fails once, so that
+// the next watch requests them again. If they are missing again, the server no longer has them, and the watch continues without
+// them.
 func (w *Watcher) receive(frame Frame) error {
 	if frame.Event == nil && frame.Seq <= w.Seq && w.OnSynced != nil {
 		w.OnSynced()
@@ -155,7 +157,7 @@
 	next := w.Seq + 1
 	if frame.Seq != next && w.missingFrom != next {
 		w.missingFrom = next
-		return fmt.Errorf("%w: event %d follows %d", errMalformedFrame, frame.Seq, w.Seq)
+		return fmt.Errorf("%w: event %d was received after event %d", errMalformedFrame, frame.Seq, w.Seq)
 	}
 	w.Seq = frame.Seq
 	w.Post(frame.Event)
--- a/discovery/watcher_test.go
+++ b/discovery/watcher_test.go
@@ -14,13 +14,13 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// purgeFrame is a frame with the purge of a group, both numbered n.
+// purgeFrame returns a frame with sequence number n that purges group n.
 func purgeFrame(n byte) []byte {
 	return frame(uint64(n), kindPurgeGroup, []byte{0, n, 0, 0, 0, 0, 0, 0, 0, 8})
 }
 
-// A watch that ends is opened again and resumes from the last sequence number; an event that comes again is skipped.
-func TestResume(t *testing.T) {
+// After a watch has failed, the next one resumes from the last sequence number; an event that is received again is skipped.
+func TestResumeAfterFailure(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,8 +58,8 @@
 	}
 }
 
-// A watch resumes at a new address from the last event posted, and what the old address sends from then on is ignored; missing
-// events are requested once more.
+// After a change of the address, the watch resumes at the new address from the last event posted, and events from the old address
+// are ignored. Missing events are requested once more.
 func TestAddressChange(t *testing.T) {
 	requested := make(chan uint64, 8)
 	serve := func(respond func(attempt int, c net.Conn)) string {
@@ -97,7 +97,7 @@
 	go w.Run(ctx)
 	for i, want := range []uint16{6, 7, 8} {
 		if i == 1 {
-			changes <- AddressChange{old} // the same address: nothing is closed
+			changes <- AddressChange{old} // the same address: the connection stays open
 			changes <- AddressChange{next}
 		}
 		if ev := <-got; ev.(core.Purge).Group != want {
@@ -111,9 +111,9 @@
 	}
 }
 
-// Whatever the server does between two events, each one is posted once and in order, and the watch resumes after the last one. A
-// connection that a case leaves open is silent at its end.
-func TestEachEventOnce(t *testing.T) {
+// Whatever the server does between two events, each event is posted once and in order, and the watch resumes after the last one.
+// On a connection that is not closed, the server sends nothing after the given bytes.
+func TestEachEventIsPostedOnce(t *testing.T) {
 	list := func(n byte, kind byte) []byte { return frame(uint64(n), kind, endpointEntry) }
 	type connection struct {
 		sends []byte
@@ -122,9 +122,9 @@
 	for _, c := range []struct {
 		name           string
 		connections    []connection
-		addressChanges bool     // after the first connection, on which the rest of a frame is sent then
+		addressChanges bool     // after the first connection, on which the rest of the frame is sent afterwards
 		requested      []uint64 // the sequence numbers that watches resume from
-		want           int      // events from 6 on
+		want           int      // number of events posted, numbered from 6
 	}{
 		{"silent from the start", []connection{{}, {sends: purgeFrame(6)}}, false, []uint64{5, 5}, 1},
 		{"silent just before a drain", []connection{{sends: purgeFrame(6)}, {sends: list(7, kindDelta)}}, false, []uint64{5, 6}, 2},
@@ -159,7 +159,7 @@
 						io.ReadFull(conn, b[:])
 						requested <- binary.BigEndian.Uint64(b[:])
 						if i >= len(connections) {
-							continue // silent from now on
+							continue // nothing is sent on further connections
 						}
 						if conn.Write(connections[i].sends); connections[i].close {
 							conn.Close()
@@ -197,24 +197,24 @@
 				}
 			}
 			for i, want := range c.requested {
-				// What the old address sent at the moment of the change may have been received or not.
+				// Data that the old address sent during the change may or may not have been received.
 				if n := <-requested; n != want && !(c.addressChanges && i == 1 && n == want+1) {
-					t.Errorf("time %d resumed from %d, not %d", i, n, want)
+					t.Errorf("watch %d resumed from %d, not %d", i, n, want)
 				}
 			}
 			if !c.addressChanges {
-				if n := <-requested; n != uint64(5+c.want) { // once the server is silent again
-					t.Errorf("resumed from %d at last", n)
+				if n := <-requested; n != uint64(5+c.want) { // after the last connection has timed out
+					t.Errorf("the last watch resumed from %d", n)
 				}
 			}
 			if len(got) > 0 {
-				t.Errorf("more events came: %+v", <-got)
+				t.Errorf("unexpected event: %+v", <-got)
 			}
 		})
 	}
 }
 
-// logLines is a log whose lines a test receives.
+// logLines is a log writer that passes each line to a test.
 type logLines chan string
 
 func (l logLines) Write(line []byte) (int, error) {
@@ -222,7 +222,7 @@
 	return len(line), nil
 }
 
-// The log lines that docs/operations.md explains have these names and fields.
+// The log lines described in docs/operations.md have these messages and fields.
 func TestLogLines(t *testing.T) {
 	lines, changes := make(logLines, 64), make(chan AddressChange)
 	w := &Watcher{Addr: "first", Seq: 5, AddressChanges: changes, Post: func(core.Event) {}, Log: zerolog.New(lines)}
