--- a/core/attempts.go
+++ b/core/attempts.go
@@ -85,7 +85,7 @@
 	return deadline
 }
 
-// executeCancel cancels an attempt as the controller asked.
+// executeCancel cancels the attempt that the controller has chosen.
 func (c *Core) executeCancel(action control.Cancel) {
 	r := c.requests[action.ID]
 	if r != nil && action.Attempt >= 0 && action.Attempt < len(r.attempts) {
--- a/core/core.go
+++ b/core/core.go
@@ -11,7 +11,7 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// The core itself: its options, its state, and the loop of the one goroutine that owns that state. Run takes events from
+// The core itself: its options, its state, and the event loop of the goroutine that owns that state. Run reads events from
 // the two queues and timers from the heap; Handle dispatches each event to its stage.
 
 // maxQueuedEvents is the capacity of the event queue. Post blocks while the queue is full.
--- a/core/doc.go
+++ b/core/doc.go
@@ -16,7 +16,7 @@
 //	ingress.go       a Request is validated, added to the table and passed to the controller
 //	actions.go       the controller's actions are carried out
 //	attempts.go      an attempt is started, timed out or canceled
-//	cancellation.go  a further attempt waits until the previous one's cancellation is confirmed
+//	cancellation.go  a further attempt is deferred until the previous one's cancellation is confirmed
 //	results.go       the result of an attempt or health check is recorded and reported to the controller
 //	respond.go       the final answer is passed to the frontend
 //
--- a/core/trace.go
+++ b/core/trace.go
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// traceEndpoints logs the start times that a list contains. They tell when an endpoint is in slow start, during which the
+// traceEndpoints logs the start times that a list contains. They show when an endpoint is in slow start, during which the
 // total load that all gateways send to it is limited.
 func (c *Core) traceEndpoints(list EndpointList) {
 	if !c.tracing() {
--- a/discovery/connect.go
+++ b/discovery/connect.go
@@ -15,7 +15,7 @@
 	maxConnections = 4               // maximum number of parallel attempts; a further one cancels the oldest
 )
 
-// watchConn is a connection on which the server has begun to send. The idle time-out applies between reads, not to a whole
+// watchConn is a connection on which the server has begun to send. The idle time-out applies between reads, not to a complete
 // frame: a frame may arrive slowly and in pieces of any size.
 type watchConn struct {
 	net.Conn
--- a/discovery/connect_test.go
+++ b/discovery/connect_test.go
@@ -132,7 +132,7 @@
 
 // Connections on which the server never sends do not delay the one on which it sends again, and at most maxConnections are open at
 // a time.
-func TestSilentConnectionsDoNotDelayReconnect(t *testing.T) {
+func TestIdleConnectionsDoNotDelayReconnect(t *testing.T) {
 	const (
 		silent            = 100 * time.Millisecond
 		silentConnections = 10
@@ -172,7 +172,7 @@
 		if p, ok := ev.(core.Purge); !ok || p.Group != 6 {
 			t.Errorf("%+v", ev)
 		}
-	case <-time.After(2 * silentConnections * silent): // twice the idle time-out for each silent connection
+	case <-time.After(2 * silentConnections * silent): // twice the idle time-out for each idle connection
 		t.Error("no event was received though the server sends again")
 	}
 	if n := maxOpen.Load(); n > maxConnections+1 { // a canceled one may not be counted as closed yet
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -2,9 +2,9 @@
 //
 // A watch is one TCP connection: the client sends the sequence number of the last event that it has received; the server sends
 // the events after it, each with its sequence number, and heartbeats between them. The package manages the connection, its
-// time-outs, reconnection with backoff, and the sequence number to resume from. No event is posted twice or out of order,
-// and one is skipped only if the server no longer has it. The package also parses the events in the configuration (ParseKnown). It does not store the
-// endpoint list, makes no decisions about endpoints, and does not track the age of the events it has posted.
+// time-outs, reconnection with backoff, and the sequence number to resume from. No event is posted twice or out of order, and
+// one is skipped only if the server no longer has it. The package also parses the events in the configuration (ParseKnown). It
+// does not store the endpoint list, makes no decisions about endpoints, and does not track the age of the events it has posted.
 //
 // The address of the discovery server is the setting "changelog".
 package discovery
--- a/discovery/watcher_test.go
+++ b/discovery/watcher_test.go
@@ -126,10 +126,10 @@
 		requested      []uint64 // the sequence numbers that watches resume from
 		want           int      // number of events posted, numbered from 6
 	}{
-		{"silent from the start", []connection{{}, {sends: purgeFrame(6)}}, false, []uint64{5, 5}, 1},
-		{"silent just before a drain", []connection{{sends: purgeFrame(6)}, {sends: list(7, kindDelta)}}, false, []uint64{5, 6}, 2},
-		{"silent in the middle of a frame", []connection{{sends: purgeFrame(6)[:11]}, {sends: purgeFrame(6)}}, false, []uint64{5, 5}, 1},
-		{"silent, then connections that close at once", []connection{{}, {close: true}, {close: true}, {close: true}, {sends: purgeFrame(6)}}, false,
+		{"idle from the start", []connection{{}, {sends: purgeFrame(6)}}, false, []uint64{5, 5}, 1},
+		{"idle just before a drain", []connection{{sends: purgeFrame(6)}, {sends: list(7, kindDelta)}}, false, []uint64{5, 6}, 2},
+		{"idle in the middle of a frame", []connection{{sends: purgeFrame(6)[:11]}, {sends: purgeFrame(6)}}, false, []uint64{5, 5}, 1},
+		{"idle, then connections that are closed at once", []connection{{}, {close: true}, {close: true}, {close: true}, {sends: purgeFrame(6)}}, false,
 			[]uint64{5, 5, 5, 5, 5}, 1},
 		{"closed in the middle of a frame, then a drain first", []connection{{sends: purgeFrame(6)[:11], close: true}, {sends: append(list(6, kindDelta), purgeFrame(7)...)}},
 			false, []uint64{5, 5}, 2},
