--- a/core/attempts.go
+++ b/core/attempts.go
@@ -67,7 +67,7 @@
 		MaxAge:         c.maxCopyAge(r, clock.Ms(action.MaxAge)),
 		ClientETag:     r.ClientETag,
 		Body:           r.Body,
-		Write:          r.write,
+		Write:          r.isWrite,
 		NonIdempotent:  r.nonIdempotent,
 		IdempotencyKey: r.IdempotencyKey,
 		SendDeadline:   clock.Ms(action.SendDeadline),
@@ -93,14 +93,14 @@
 	}
 }
 
-// attemptTimedOut cancels an attempt whose deadline has passed.
-func (c *Core) attemptTimedOut(a *attempt) { c.cancelAttempt(a, control.TimedOut) }
+// timeOutAttempt cancels an attempt whose deadline has passed.
+func (c *Core) timeOutAttempt(a *attempt) { c.cancelAttempt(a, control.TimedOut) }
 
 // cancelAttempt has the upstream cancel an attempt; the attempt's result follows. A deferred attempt, which was not passed
 // to the upstream yet, ends at once.
 func (c *Core) cancelAttempt(a *attempt, outcome control.Outcome) {
 	if a.deferred != nil {
-		c.withdrawDeferred(a)
+		c.cancelDeferred(a)
 		return
 	}
 	if a.ended || a.canceling {
--- a/core/cancellation.go
+++ b/core/cancellation.go
@@ -20,11 +20,11 @@
 //     (BarrierAnswered) or has acknowledged the cancellation. No grace period is sufficient, because an endpoint that was
 //     suspended finds everything that was written to it when it resumes, and reads its connections in any order.
 //
-// attempts.go starts attempts through startOrDefer; results.go calls recordUnconfirmedCancel; Handle calls cancelConfirmed
-// and barrierAnswered; the timer calls cancelGraceExpired.
+// attempts.go starts attempts through startOrDefer; results.go calls recordUnconfirmedCancel; Handle calls handleCancelConfirmed
+// and handleBarrierResult; the timer calls handleGraceExpired.
 
-// defaultCancelGrace is the default of Options.CancelGrace, in ms.
-const defaultCancelGrace = 40.0
+// defaultCancelGraceMs is the default of Options.CancelGrace, in ms.
+const defaultCancelGraceMs = 40.0
 
 // unconfirmedCancel describes the end of an attempt that its endpoint may not have processed yet.
 type unconfirmedCancel struct {
@@ -85,9 +85,9 @@
 	})
 }
 
-// barrierAnswered handles the result of a barrier ping. If the endpoint did not respond, an attempt deferred for it ends
+// handleBarrierResult handles the result of a barrier ping. If the endpoint did not respond, an attempt deferred for it ends
 // unsent, and the controller decides again.
-func (c *Core) barrierAnswered(ev BarrierAnswered) {
+func (c *Core) handleBarrierResult(ev BarrierAnswered) {
 	for _, key := range ev.Keys {
 		r := c.requests[key.ID]
 		if r == nil || key.Number >= len(r.attempts) || !r.attempts[key.Number].needsBarrier {
@@ -100,13 +100,13 @@
 			canceled.needsBarrier = false
 			c.startDeferred(last)
 		} else if last.deferred != nil && last.endpoint == canceled.endpoint {
-			c.withdrawDeferred(last)
+			c.cancelDeferred(last)
 		}
 	}
 }
 
-// cancelConfirmed handles an endpoint's acknowledgement that it has processed the end of an attempt.
-func (c *Core) cancelConfirmed(ev CancelConfirmed) {
+// handleCancelConfirmed handles an endpoint's acknowledgement that it has processed the end of an attempt.
+func (c *Core) handleCancelConfirmed(ev CancelConfirmed) {
 	r := c.requests[ev.ID]
 	if r == nil {
 		return
@@ -120,8 +120,8 @@
 	c.confirmCancel(r, ev.AttemptKey)
 }
 
-// cancelGraceExpired handles the end of an attempt's grace period.
-func (c *Core) cancelGraceExpired(r *request, key AttemptKey) {
+// handleGraceExpired handles the end of an attempt's grace period.
+func (c *Core) handleGraceExpired(r *request, key AttemptKey) {
 	if r.unconfirmedCancel.key == key && r.unconfirmedCancel.needsAck {
 		c.removeIfDone(r)
 		return
@@ -146,7 +146,7 @@
 		c.removeIfDone(a.request)
 	case a.request.Canceled.Load() || a.request.authorizationExpired(c.now()):
 		c.stopForwarding(a.request)
-		c.withdrawDeferred(a)
+		c.cancelDeferred(a)
 	case c.mayStartNext(a.request, a.endpoint):
 		req := *a.deferred
 		a.deferred = nil
@@ -154,8 +154,8 @@
 	}
 }
 
-// withdrawDeferred ends a deferred attempt with the outcome NotSent.
-func (c *Core) withdrawDeferred(a *attempt) {
+// cancelDeferred ends a deferred attempt with the outcome NotSent.
+func (c *Core) cancelDeferred(a *attempt) {
 	a.deferred = nil
-	c.attemptEnded(AttemptResult{AttemptKey: a.key, Outcome: control.NotSent})
+	c.handleAttemptResult(AttemptResult{AttemptKey: a.key, Outcome: control.NotSent})
 }
--- a/core/clock_step_test.go
+++ b/core/clock_step_test.go
@@ -11,9 +11,9 @@
 // The remaining time of an authorization is measured by the monotonic clock: a step of the wall clock neither ends nor extends it.
 func TestClockStepKeepsAuthorization(t *testing.T) {
 	for _, x := range []struct {
-		name         string
-		step, passes float64
-		goesOn       bool
+		name          string
+		step, elapsed float64
+		continues     bool
 	}{
 		{"step forward, not expired", hour, 10, true}, {"step back, expired", -hour, 101, false},
 		{"step forward, expired", hour, 101, false}, {"step back, not expired", -hour, 10, true},
@@ -23,7 +23,7 @@
 		a.AuthorizedUntil = clk.Now() + 100
 		c.Handle(a)
 		clk.Step(x.step)
-		clk.Advance(x.passes)
+		clk.Advance(x.elapsed)
 		delete(h.open[h.sent[0].ID], 0)
 		c.Handle(AttemptResult{AttemptKey: h.sent[0].AttemptKey, Outcome: control.Overloaded})
 		for range 6 {
@@ -31,7 +31,7 @@
 			clk.Advance(10)
 		}
 		got := h.answers[1]
-		if goesOn := len(h.sent) > 1 && len(got) == 0; goesOn != x.goesOn {
+		if continues := len(h.sent) > 1 && len(got) == 0; continues != x.continues {
 			t.Errorf("%s: %d attempts, %+v", x.name, len(h.sent), got)
 		}
 	}
@@ -47,11 +47,11 @@
 		{"dated by a clock ahead, then step forward", 300 - hour, hour, 0},
 	} {
 		c, h, clk := newCore(t)
-		made := clk.Now() - x.before
+		purgedAt := clk.Now() - x.before
 		clk.Step(x.step)
-		c.Handle(Purge{Object: 1, At: made})
+		c.Handle(Purge{Object: 1, At: purgedAt})
 		c.Handle(newRequest(h, 1, "tile", clk.Now()))
-		if got := c.purgeAge(made); got != x.want {
+		if got := c.purgeAge(purgedAt); got != x.want {
 			t.Errorf("%s: %v ms ago, want %v", x.name, got, x.want)
 		}
 		if got := h.sent[0].MaxAge; got <= 0 || got > max(1, x.want) {
@@ -68,13 +68,13 @@
 		clk.Step([]float64{hour, -hour}[i%2])
 		c.Handle(newRequest(h, i+1, "tile", clk.Now()))
 	}
-	followed := 0
+	traced := 0
 	for _, r := range c.requests {
 		if r.sampled {
-			followed++
+			traced++
 		}
 	}
-	if followed != maxSampledPerSecond {
-		t.Errorf("%d requests are traced in a second, want %d", followed, maxSampledPerSecond)
+	if traced != maxSampledPerSecond {
+		t.Errorf("%d requests are traced in a second, want %d", traced, maxSampledPerSecond)
 	}
 }
--- a/core/concurrent_attempts_test.go
+++ b/core/concurrent_attempts_test.go
@@ -13,10 +13,10 @@
 // both at the same time.
 func TestNoConcurrentAttemptsAtSlowEndpoint(t *testing.T) {
 	const (
-		answered = iota // the endpoint answers
-		closed          // the connection is closed
-		canceled        // the gateway cancels, and the endpoint acknowledges that
-		unasked         // the gateway cancels at a draining endpoint, which gets no barrier ping
+		answered            = iota // the endpoint answers
+		closed                     // the connection is closed
+		canceled                   // the gateway cancels, and the endpoint acknowledges that
+		canceledWithoutPing        // the gateway cancels at a draining endpoint, which gets no barrier ping
 	)
 	ways := []struct {
 		name     string
@@ -34,7 +34,7 @@
 		{"reset while writing", fakestore.ResetWriting, closed, nil},
 		{"stalled", fakestore.Stall, closed, nil},
 		{"no response, canceled by time-out", fakestore.Hang, canceled, (*rig).advanceUntilCanceled},
-		{"canceled at a draining endpoint", fakestore.Hang, unasked, func(r *rig) {
+		{"canceled at a draining endpoint", fakestore.Hang, canceledWithoutPing, func(r *rig) {
 			list := core.EndpointList{}
 			for _, s := range r.list.Endpoints[:4] {
 				s.Info.State = control.Draining
@@ -61,9 +61,13 @@
 			}
 			switch w.kind {
 			case answered:
-				r.waitFor("an answer", func() bool { r.clock.Advance(1); r.stats(); return r.answered(2) == 1 || w.behavior != fakestore.Good })
+				r.waitFor("an answer", func() bool {
+					r.clock.Advance(1)
+					r.stats()
+					return r.answerCount(2) == 1 || w.behavior != fakestore.Good
+				})
 				r.endpoints.Notice()
-			case closed, unasked:
+			case closed, canceledWithoutPing:
 				r.waitFor("a deferred attempt", func() bool { return r.stats().Deferred > 0 })
 				r.endpoints.Notice()
 				r.waitFor("the end of all attempts at the endpoints", func() bool { return r.endpoints.Out(txn) == 0 })
@@ -76,7 +80,7 @@
 			r.waitFor("all answers", func() bool {
 				r.clock.Advance(1)
 				r.stats()
-				return r.answered(1) == 1 && (w.behavior == fakestore.Hang || r.answered(2) == 1)
+				return r.answerCount(1) == 1 && (w.behavior == fakestore.Hang || r.answerCount(2) == 1)
 			})
 			if n := r.endpoints.Twice(); n > 0 {
 				t.Errorf("%d times a request had two concurrent attempts at the endpoints", n)
@@ -96,17 +100,17 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			r.allowConcurrent = true
-			good := func(tag uint64) {
+			serveOther := func(tag uint64) {
 				r.clock.Advance(1)
 				r.post(tag, fakestore.Good, 1)
-				r.waitFor("the other request's answer", func() bool { r.stats(); return r.answered(tag) == 1 })
+				r.waitFor("the other request's answer", func() bool { r.stats(); return r.answerCount(tag) == 1 })
 			}
-			good(2) // has the endpoint cache the part
+			serveOther(2) // has the endpoint cache the part
 			r.endpoints.Stop()
 			txn := r.post(1, behavior, 1)
 			r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) == 1 })
 			if behavior == fakestore.Hang {
-				good(3) // the endpoint still answers other requests
+				serveOther(3) // the endpoint still answers other requests
 				r.advanceUntilCanceled()
 			}
 			r.waitFor("its end to reach the endpoint", func() bool { return r.endpoints.Unnoticed() > 0 })
@@ -114,13 +118,13 @@
 			r.clock.Advance(41)
 			r.stats()
 			for tag := range uint64(5) { // a retry sent by now would reach the endpoint before these requests
-				good(10 + tag)
+				serveOther(10 + tag)
 			}
 			if n := r.endpoints.Gets(txn); n != 1 {
 				t.Fatalf("%d attempts reached the endpoint", n)
 			}
 			r.endpoints.Notice()
-			r.waitFor("the answer", func() bool { r.clock.Advance(1); r.stats(); return r.answered(1) == 1 })
+			r.waitFor("the answer", func() bool { r.clock.Advance(1); r.stats(); return r.answerCount(1) == 1 })
 			if a := r.answerTo(1); a.Verdict != core.Served || r.endpoints.Gets(txn) != 2 {
 				t.Errorf("%+v after %d attempts", a, r.endpoints.Gets(txn))
 			}
@@ -130,32 +134,32 @@
 
 // The remaining time sent to an endpoint is computed when the attempt is sent, also if it was deferred before.
 func TestDeferredAttemptSendsRemainingTime(t *testing.T) {
-	const has, waits = 2500, 900 // ms
+	const remaining, delay = 2500, 900 // ms
 	r := newRig(t)
 	r.allowConcurrent = true
 	r.post(2, fakestore.Good, 1)
-	r.waitFor("the other request's answer", func() bool { r.stats(); return r.answered(2) == 1 }) // the endpoint caches the part
+	r.waitFor("the other request's answer", func() bool { r.stats(); return r.answerCount(2) == 1 }) // the endpoint caches the part
 	r.endpoints.Stop()
-	came := r.clock.Now()
+	receivedAt := r.clock.Now()
 	txn := r.post(1, fakestore.Cut, 1)
 	r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) == 1 })
 	r.waitFor("a deferred attempt", func() bool { return r.stats().Deferred > 0 })
-	r.clock.Advance(waits)
+	r.clock.Advance(delay)
 	r.stats()
 	r.endpoints.Notice()
 	r.waitFor("the next attempt", func() bool { r.clock.Advance(1); r.stats(); return r.endpoints.Gets(txn) == 2 })
-	most, least := has-waits, has-(r.clock.Now()-came)-10 // the controller reserves some time for delayed events
+	maxTTL, minTTL := remaining-delay, remaining-(r.clock.Now()-receivedAt)-10 // the controller reserves some time for delayed events
 	for _, c := range r.endpoints.Calls() {
 		ttl, err := strconv.ParseFloat(c.Fields["ttl"], 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c.ID == txn && (ttl > has || ttl < least) {
-			t.Errorf("sent with %v ms, want %v to %v", ttl, least, has)
+		if c.ID == txn && (ttl > remaining || ttl < minTTL) {
+			t.Errorf("sent with %v ms, want %v to %v", ttl, minTTL, remaining)
 		}
-		if c.ID == txn && ttl <= float64(most) {
+		if c.ID == txn && ttl <= float64(maxTTL) {
 			return
 		}
 	}
-	t.Errorf("no attempt was sent with %d ms or less: %+v", most, r.endpoints.Calls())
+	t.Errorf("no attempt was sent with %d ms or less: %+v", maxTTL, r.endpoints.Calls())
 }
--- a/core/core.go
+++ b/core/core.go
@@ -102,7 +102,7 @@
 		opt.MaxOpen = maxOpenRequests
 	}
 	if opt.CancelGrace <= 0 {
-		opt.CancelGrace = defaultCancelGrace
+		opt.CancelGrace = defaultCancelGraceMs
 	}
 	c := &Core{
 		opt:          opt,
@@ -183,21 +183,21 @@
 	case CancelRequest:
 		c.cancelRequest(ev)
 	case AttemptResult:
-		c.attemptEnded(ev)
+		c.handleAttemptResult(ev)
 	case CancelConfirmed:
-		c.cancelConfirmed(ev)
+		c.handleCancelConfirmed(ev)
 	case BarrierAnswered:
-		c.barrierAnswered(ev)
+		c.handleBarrierResult(ev)
 	case HealthCheckResult:
-		c.healthCheckEnded(ev)
+		c.handleHealthCheckResult(ev)
 	case EndpointList:
 		c.updateEndpoints(ev)
 	case Purge:
-		c.purge(ev)
+		c.applyPurge(ev)
 	case CopyAgeBounded:
 		c.applyCopyAgeBound()
 	case Exclude:
-		c.exclude(ev)
+		c.setExcluded(ev)
 	case ProcessCount:
 		c.notifyController(control.ProcessCount{Processes: ev.Processes})
 	case Abort:
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -11,7 +11,7 @@
 	for i := range uint64(15) {
 		c.Post(newRequest(h, i+1, "tile", clk.Now()))
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	for _, b := range []struct {
 		id   uint32
 		want error
@@ -31,7 +31,7 @@
 	reply := make(chan Stats, 1)
 	c.Post(GetStats{Reply: reply}) // handled after the requests
 	<-reply
-	end()
+	cancel()
 	<-done
 	if len(h.excludedAt) != 1 || h.excludedAt[0] != 0 || len(h.sent) == 0 {
 		t.Errorf("excluded after %v of %d attempts", h.excludedAt, len(h.sent))
--- a/core/deferred_test.go
+++ b/core/deferred_test.go
@@ -14,18 +14,18 @@
 // Events that are handled while an attempt is deferred apply to it. The endpoint does not process cancellations meanwhile and the
 // clock does not advance, so that the attempt stays deferred until all events are handled.
 func TestDeferredAttemptIsReconsidered(t *testing.T) {
-	drains := func(m *control.Endpoint) { m.State = control.Draining }
+	drain := func(m *control.Endpoint) { m.State = control.Draining }
 	for _, c := range []struct {
 		name  string
 		event func(r *rig, canceled *atomic.Bool)
-		holds func(r *rig, second []fakestore.Call) bool // checks the GETs received after the first
+		check func(r *rig, second []fakestore.Call) bool // checks the GETs received after the first
 	}{
 		{"nothing", func(*rig, *atomic.Bool) {}, func(_ *rig, second []fakestore.Call) bool { return len(second) > 0 }},
-		{"all endpoints drain", func(r *rig, _ *atomic.Bool) { r.changeEndpoints(drains, 0, 1, 2, 3, 4) },
+		{"all endpoints drain", func(r *rig, _ *atomic.Bool) { r.changeEndpoints(drain, 0, 1, 2, 3, 4) },
 			func(_ *rig, second []fakestore.Call) bool { return len(second) == 0 }},
 		{"all endpoints are gone", func(r *rig, _ *atomic.Bool) { r.core.Post(core.EndpointList{Snapshot: true}) },
 			func(_ *rig, second []fakestore.Call) bool { return len(second) == 0 }},
-		{"the sources drain", func(r *rig, _ *atomic.Bool) { r.changeEndpoints(drains, 3, 4) },
+		{"the sources drain", func(r *rig, _ *atomic.Bool) { r.changeEndpoints(drain, 3, 4) },
 			func(_ *rig, second []fakestore.Call) bool {
 				for _, c := range second {
 					if c.Fields["via"] != "" {
@@ -84,7 +84,7 @@
 					return false
 				}
 			})
-			if second := r.endpoints.Calls()[1:]; !c.holds(r, second) {
+			if second := r.endpoints.Calls()[1:]; !c.check(r, second) {
 				t.Errorf("unexpected GETs after the first: %+v; %+v", second, r.stats())
 			}
 		})
--- a/core/duplicate_id_test.go
+++ b/core/duplicate_id_test.go
@@ -16,11 +16,11 @@
 	txn := r.post(1, fakestore.Hang, 1)
 	r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) == 1 })
 	r.post(2, fakestore.Hang, 2) // another object with the same ID
-	r.waitFor("the rejection", func() bool { return r.answered(2) == 1 })
+	r.waitFor("the rejection", func() bool { return r.answerCount(2) == 1 })
 	r.core.Post(core.CancelRequest{Frontend: r, RequestTag: 1})
 	r.waitFor("its cancellation", func() bool { return r.stats().Canceled == 1 })
 	r.post(3, fakestore.Hang, 1)
-	r.waitFor("the rejection", func() bool { return r.answered(3) == 1 })
+	r.waitFor("the rejection", func() bool { return r.answerCount(3) == 1 })
 	r.endpoints.Notice()
 	tag := uint64(4)
 	r.waitFor("a request with the ID to be accepted", func() bool {
@@ -31,7 +31,7 @@
 	})
 	served := 0
 	for i := uint64(2); i < tag; i++ {
-		r.waitFor("the answer", func() bool { return r.answered(i) == 1 })
+		r.waitFor("the answer", func() bool { return r.answerCount(i) == 1 })
 		switch a := r.answerTo(i); {
 		case a.Verdict == core.Served:
 			served++
@@ -42,7 +42,7 @@
 	if served == 0 {
 		t.Error("no request was served")
 	}
-	if n := r.endpoints.Twice(); n > 0 || r.answered(1) > 0 {
-		t.Error(fmt.Sprint(n, " times two concurrent attempts; answers to the disconnected client: ", r.answered(1)))
+	if n := r.endpoints.Twice(); n > 0 || r.answerCount(1) > 0 {
+		t.Error(fmt.Sprint(n, " times two concurrent attempts; answers to the disconnected client: ", r.answerCount(1)))
 	}
 }
--- a/core/endpoints.go
+++ b/core/endpoints.go
@@ -5,7 +5,7 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Endpoints: Handle calls updateEndpoints for each update of the endpoint list and exclude for an operator's command. The
+// Endpoints: Handle calls updateEndpoints for each update of the endpoint list and setExcluded for an operator's command. The
 // controller and the upstream are notified, and the controller decides again on deferred attempts whose endpoint or
 // source is no longer usable.
 
@@ -45,14 +45,14 @@
 			continue
 		}
 		if unusable(last.deferred.To, last.startedAt) || unusable(last.deferred.Source, last.startedAt) {
-			c.withdrawDeferred(last)
+			c.cancelDeferred(last)
 		}
 	}
 }
 
-// exclude takes an endpoint out of service or returns it to service. The controller decides on the affected requests;
+// setExcluded takes an endpoint out of service or returns it to service. The controller decides on the affected requests;
 // the upstream cancels the attempts that have not been sent yet.
-func (c *Core) exclude(ev Exclude) {
+func (c *Core) setExcluded(ev Exclude) {
 	var err error
 	if ev.AssumeListed || c.controller.WasListed(control.EndpointID(ev.Endpoint)) {
 		c.upstream.Exclude(ev.Endpoint, ev.On)
--- a/core/freshness.go
+++ b/core/freshness.go
@@ -5,12 +5,12 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Freshness: Handle calls purge and applyCopyAgeBound; attempts.go calls maxCopyAge for every attempt. An attempt that the
+// Freshness: Handle calls applyPurge and applyCopyAgeBound; attempts.go calls maxCopyAge for every attempt. An attempt that the
 // controller requested before a purge but that has not been sent yet (it is deferred, or queued for a connection) must not
 // accept a copy older than the purge.
 
-// purge reports a purge to the controller and applies it to the attempts that have not been sent.
-func (c *Core) purge(ev Purge) {
+// applyPurge reports a purge to the controller and applies it to the attempts that have not been sent.
+func (c *Core) applyPurge(ev Purge) {
 	c.notifyController(control.Purged{
 		Object: control.ObjectID(ev.Object),
 		Group:  ev.Group,
@@ -41,7 +41,7 @@
 // applyCopyAgeBound applies Options.MaxCopyAge to the attempts that have not been sent.
 func (c *Core) applyCopyAgeBound() {
 	for _, r := range c.requests {
-		if !r.answered && r.openAttempts > 0 && !r.write {
+		if !r.answered && r.openAttempts > 0 && !r.isWrite {
 			c.limitCopyAge(r, c.maxCopyAge(r, clock.Ms(c.controller.OldestCopy(r.id))))
 		}
 	}
@@ -50,7 +50,7 @@
 // maxCopyAge returns the maximum age in ms of a copy served to a request: the age that the controller allows (0: the
 // FreshFor of its class), or Options.MaxCopyAge if that is lower.
 func (c *Core) maxCopyAge(r *request, age float64) float64 {
-	if c.opt.MaxCopyAge == nil || r.write {
+	if c.opt.MaxCopyAge == nil || r.isWrite {
 		return age
 	}
 	bound := clock.Ms(c.opt.MaxCopyAge())
--- a/core/fuzz_test.go
+++ b/core/fuzz_test.go
@@ -18,7 +18,7 @@
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		run := newFuzzRun(t)
 		for _, step := range steps {
-			run.take(step)
+			run.runStep(step)
 			run.endCanceled(control.Canceled)
 			if step >= 128 {
 				run.answerBarriers(int(step/8)%2 == 0)
@@ -31,7 +31,7 @@
 			run.endCanceled(control.TimedOut)
 			run.checkAnswers()
 		}
-		run.checkNothingIsLeft()
+		run.checkTablesEmpty()
 	})
 }
 
@@ -42,41 +42,41 @@
 	harness *harness
 	clock   *clock.Clock
 
-	lastTag    uint64
-	class      map[uint64]string  // by request tag
-	deadline   map[uint64]float64 // by request tag
-	gone       map[uint64]bool    // requests whose client disconnected before the answer
-	mayHaveRun map[control.RequestID]bool
+	lastTag      uint64
+	class        map[uint64]string  // by request tag
+	deadline     map[uint64]float64 // by request tag
+	disconnected map[uint64]bool    // requests whose client disconnected before the answer
+	mayHaveRun   map[control.RequestID]bool
 }
 
 func newFuzzRun(t *testing.T) *fuzzRun {
 	c, h, clk := newCore(t)
 	return &fuzzRun{
 		T: t, core: c, harness: h, clock: clk,
-		class: map[uint64]string{}, deadline: map[uint64]float64{}, gone: map[uint64]bool{}, mayHaveRun: map[control.RequestID]bool{},
+		class: map[uint64]string{}, deadline: map[uint64]float64{}, disconnected: map[uint64]bool{}, mayHaveRun: map[control.RequestID]bool{},
 	}
 }
 
-// take runs the step that a byte encodes.
-func (r *fuzzRun) take(step byte) {
+// runStep runs the step that a byte encodes.
+func (r *fuzzRun) runStep(step byte) {
 	pick := int(step / 8)
 	switch step % 8 {
 	case 0, 1:
-		r.request(pick)
+		r.postRequest(pick)
 	case 2, 3, 4:
-		r.endSome(pick)
+		r.endOpenAttempt(pick)
 	case 5:
 		r.clock.Advance(float64(1 + pick*13))
 		r.core.Tick()
 	case 6:
-		r.clientGoes(pick)
+		r.disconnectClient(pick)
 	case 7:
 		r.core.Handle(Purge{Group: uint16(pick), At: r.clock.Unix()})
 	}
 }
 
-// request posts a request; one in four is non-idempotent.
-func (r *fuzzRun) request(pick int) {
+// postRequest posts a request; one in four is non-idempotent.
+func (r *fuzzRun) postRequest(pick int) {
 	r.lastTag++
 	class := "tile"
 	if pick%4 == 3 {
@@ -87,8 +87,8 @@
 	r.core.Handle(newRequest(r.harness, r.lastTag, class, r.clock.Now()))
 }
 
-// endSome ends one of the open attempts.
-func (r *fuzzRun) endSome(pick int) {
+// endOpenAttempt ends one of the open attempts.
+func (r *fuzzRun) endOpenAttempt(pick int) {
 	outcomes := []control.Outcome{
 		control.OK, control.Miss, control.ServerError, control.Overloaded, control.ConnectFailed, control.ConnectionLost,
 	}
@@ -99,19 +99,19 @@
 		}
 	}
 	if len(open) > 0 {
-		r.end(open[pick%len(open)], outcomes[pick%len(outcomes)])
+		r.endAttempt(open[pick%len(open)], outcomes[pick%len(outcomes)])
 	}
 }
 
-// end ends an attempt. For one request in three the endpoint acknowledges that at once.
-func (r *fuzzRun) end(k AttemptKey, outcome control.Outcome) {
+// endAttempt ends an attempt. For one request in three the endpoint acknowledges that at once.
+func (r *fuzzRun) endAttempt(k AttemptKey, outcome control.Outcome) {
 	unconfirmed := outcome == control.ConnectionLost || outcome == control.Canceled || outcome == control.TimedOut
 	if unconfirmed || outcome == control.ServerError {
 		r.mayHaveRun[k.ID] = true
 	}
 	before := len(r.harness.sent)
 	if unconfirmed {
-		r.harness.graceEnds[k.ID] = r.clock.Now() + defaultCancelGrace
+		r.harness.graceEnds[k.ID] = r.clock.Now() + defaultCancelGraceMs
 	}
 	r.harness.endAttempt(r.core, AttemptResult{AttemptKey: k, Outcome: outcome, Body: []byte("x"), Unconfirmed: unconfirmed})
 	if k.ID%3 == 0 {
@@ -125,14 +125,14 @@
 	}
 }
 
-// clientGoes disconnects the client of a request.
-func (r *fuzzRun) clientGoes(pick int) {
+// disconnectClient disconnects the client of a request.
+func (r *fuzzRun) disconnectClient(pick int) {
 	if r.lastTag == 0 {
 		return
 	}
 	tag := uint64(pick)%r.lastTag + 1
 	if len(r.harness.answers[tag]) == 0 {
-		r.gone[tag] = true
+		r.disconnected[tag] = true
 	}
 	r.core.Handle(CancelRequest{Frontend: r.harness, RequestTag: tag})
 }
@@ -143,7 +143,7 @@
 		k := r.harness.canceled[0]
 		r.harness.canceled = r.harness.canceled[1:]
 		if _, ok := r.harness.open[k.ID][k.Number]; ok {
-			r.end(k, outcome)
+			r.endAttempt(k, outcome)
 		}
 	}
 }
@@ -159,14 +159,14 @@
 func (r *fuzzRun) checkAnswers() {
 	for tag, deadline := range r.deadline {
 		n := len(r.harness.answers[tag])
-		if n > 1 || n == 0 && !r.gone[tag] && r.clock.Now() > deadline {
+		if n > 1 || n == 0 && !r.disconnected[tag] && r.clock.Now() > deadline {
 			r.Fatalf("request %d (%s) has %d answers, due %v ago", tag, r.class[tag], n, r.clock.Now()-deadline)
 		}
 	}
 }
 
-// checkNothingIsLeft checks that the core's tables of requests are empty.
-func (r *fuzzRun) checkNothingIsLeft() {
+// checkTablesEmpty checks that the core's tables of requests are empty.
+func (r *fuzzRun) checkTablesEmpty() {
 	c := r.core
 	if len(c.byTag) != 0 || len(c.requests) != 0 || len(c.byTxn) != 0 {
 		r.Fatalf("%d unanswered requests, %d entries and %d IDs are left", len(c.byTag), len(c.requests), len(c.byTxn))
--- a/core/idempotency_test.go
+++ b/core/idempotency_test.go
@@ -28,7 +28,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			r := newRig(t)
 			r.endpoints.Hold()
-			began := r.clock.Now()
+			start := r.clock.Now()
 			txn := r.postKeyed(x.behavior, idempotencyKey, 3000, false)
 			r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) >= 1 })
 			if x.cancel {
@@ -40,17 +40,17 @@
 				r.waitFor("the end of the attempt at the endpoint", func() bool { return r.endpoints.Out(txn) == 0 })
 				r.waitFor("the retry", func() bool { r.clock.Advance(1); r.stats(); return r.endpoints.Gets(txn) == 2 })
 			} else {
-				r.clock.Advance(began + dedupWindowMs - 10 - r.clock.Now())
-				if r.stats(); r.answered(1) != 0 {
+				r.clock.Advance(start + dedupWindowMs - 10 - r.clock.Now())
+				if r.stats(); r.answerCount(1) != 0 {
 					t.Error("answered within the window")
 				}
 				r.clock.Advance(10)
 			}
-			if a := r.answer(); (a.Verdict == core.Served) != (x.gets == 2) || a.Verdict == core.Rejected {
+			if a := r.waitForAnswer(); (a.Verdict == core.Served) != (x.gets == 2) || a.Verdict == core.Rejected {
 				t.Errorf("%+v", a)
 			}
-			if r.clock.Now() > began+dedupWindowMs+5 {
-				t.Errorf("answered %v ms after the request was received", r.clock.Now()-began)
+			if r.clock.Now() > start+dedupWindowMs+5 {
+				t.Errorf("answered %v ms after the request was received", r.clock.Now()-start)
 			}
 			r.endpoints.Notice()
 			calls := r.endpoints.Calls()
@@ -86,7 +86,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			r := newRig(t)
 			r.postKeyed(fakestore.Good, x.key, x.remaining, x.retry)
-			a := r.answer()
+			a := r.waitForAnswer()
 			if a.Reason != x.reason || (a.Verdict == core.Served) != (x.gets > 0) || len(r.endpoints.Calls()) != x.gets {
 				t.Errorf("%+v after %d attempts", a, len(r.endpoints.Calls()))
 			}
@@ -98,10 +98,10 @@
 func TestKeyOnlyInKeyedClasses(t *testing.T) {
 	r := newRig(t)
 	r.core.Post(core.Request{Frontend: r, RequestTag: 1, Txn: "a", Class: "tile", Object: 7, Name: "7", SizeKB: 1, ReceivedAt: r.clock.Now(), Remaining: 2000, IdempotencyKey: idempotencyKey})
-	if a := r.answer(); a.Verdict != core.Served {
+	if a := r.waitForAnswer(); a.Verdict != core.Served {
 		t.Fatalf("%+v", a)
 	}
-	if key, there := r.endpoints.Calls()[0].Fields["dedupe"]; there {
+	if key, ok := r.endpoints.Calls()[0].Fields["dedupe"]; ok {
 		t.Errorf("sent with the key %q", key)
 	}
 }
--- a/core/ingress.go
+++ b/core/ingress.go
@@ -13,9 +13,9 @@
 
 // The RetryAfter, in ms, of requests that are rejected here.
 const (
-	overloadedRetryAfter = 50.0
-	duplicateRetryAfter  = 100.0 // the open request of the same ID should have ended by then
-	shutdownRetryAfter   = 100.0
+	overloadedRetryAfterMs = 50.0
+	duplicateRetryAfterMs  = 100.0 // the open request of the same ID should have ended by then
+	shutdownRetryAfterMs   = 100.0
 )
 
 // receive adds a new request to the table, or answers it at once.
@@ -25,7 +25,7 @@
 		req.Canceled = new(atomic.Bool)
 	}
 	if req.Canceled.Load() {
-		c.receivedCanceled(req)
+		c.endCanceledRequest(req)
 		return
 	}
 	tag := frontendTag{req.Frontend, req.RequestTag}
@@ -50,8 +50,8 @@
 	c.admit(r)
 }
 
-// receivedCanceled ends a request whose client disconnected while the request was in the event queue.
-func (c *Core) receivedCanceled(req Request) {
+// endCanceledRequest ends a request whose client disconnected while the request was in the event queue.
+func (c *Core) endCanceledRequest(req Request) {
 	c.stats.ClientGone++
 	if req.ReportAfterCancel {
 		req.Frontend.Answer(req.RequestTag, Answer{Verdict: Failed, Reason: ClientGone})
@@ -61,14 +61,14 @@
 // validate reports whether a request can be accepted; if not, it returns the answer to it.
 func (c *Core) validate(req Request) (Answer, bool) {
 	if c.shuttingDown {
-		return Answer{Verdict: Rejected, Reason: ShuttingDown, RetryAfter: shutdownRetryAfter}, false
+		return Answer{Verdict: Rejected, Reason: ShuttingDown, RetryAfter: shutdownRetryAfterMs}, false
 	}
 	class, ok := c.classes[req.Class]
 	if !ok {
 		return Answer{Verdict: Failed, Reason: UnknownClass}, false
 	}
 	if len(c.requests) >= c.opt.MaxOpen {
-		return Answer{Verdict: Rejected, Reason: Overloaded, RetryAfter: overloadedRetryAfter}, false
+		return Answer{Verdict: Rejected, Reason: Overloaded, RetryAfter: overloadedRetryAfterMs}, false
 	}
 	// Without a key, endpoints could not distinguish a retry of the request from a new request.
 	if c.opt.Settings.Classes[class].Idempotency == control.IdempotentByKey && req.IdempotencyKey == "" {
@@ -84,7 +84,7 @@
 	r := &request{
 		Request:         req,
 		id:              c.lastID,
-		write:           class.Write,
+		isWrite:         class.Write,
 		nonIdempotent:   class.Idempotency != control.Idempotent,
 		idempotentByKey: class.Idempotency == control.IdempotentByKey,
 	}
@@ -117,7 +117,7 @@
 // respondDuplicate answers a request that has the same ID as an open one. A rejection guarantees that a retry is harmless,
 // which is not the case if the open request may have run and must not run twice: then the answer is a failure.
 func (c *Core) respondDuplicate(req Request, open *request) {
-	answer := Answer{Verdict: Rejected, Reason: DuplicateID, RetryAfter: duplicateRetryAfter}
+	answer := Answer{Verdict: Rejected, Reason: DuplicateID, RetryAfter: duplicateRetryAfterMs}
 	if open.nonIdempotent && !open.idempotentByKey && open.mayHaveRun() {
 		answer = Answer{Verdict: Failed, Reason: DuplicateID, MayHaveRun: true}
 	}
@@ -137,11 +137,11 @@
 		c.traceClientGone(r)
 		return
 	}
-	c.clientGone(r)
+	c.handleClientGone(r)
 }
 
-// clientGone ends a request whose client has disconnected.
-func (c *Core) clientGone(r *request) {
+// handleClientGone ends a request whose client has disconnected.
+func (c *Core) handleClientGone(r *request) {
 	c.stats.ClientGone++
 	c.traceClientGone(r)
 	if r.ReportAfterCancel {
--- a/core/requests.go
+++ b/core/requests.go
@@ -20,7 +20,7 @@
 type request struct {
 	Request
 	id              control.RequestID
-	write           bool // it runs at the origin and is not cached
+	isWrite         bool // it runs at the origin and is not cached
 	nonIdempotent   bool // it must not run twice; also set for keyed requests
 	idempotentByKey bool // within the deduplication window, endpoints ignore a retry with the same idempotency key
 	answered        bool // the final answer was given, or the client has disconnected and gets none
@@ -84,7 +84,7 @@
 		return
 	}
 	if r.unconfirmedCancel.graceUntil > c.now() {
-		return // cancelGraceExpired calls removeIfDone again
+		return // handleGraceExpired calls removeIfDone again
 	}
 	delete(c.requests, r.id)
 	delete(c.byTxn, r.Txn)
--- a/core/respond.go
+++ b/core/respond.go
@@ -2,13 +2,13 @@
 
 import "turnfork.dev/turnfork/control"
 
-// Responses, the last stage: attemptEnded calls respond for a served request, execute calls respondUnserved for the
+// Responses, the last stage: handleAttemptResult calls respond for a served request, execute calls respondUnserved for the
 // controller's decision to reject or fail one, and stopForwarding is called where an attempt must not start any more. Only
 // requests that were never added to the table are answered elsewhere, in ingress.go.
 
-// deadlineMargin is the time before the client's deadline, in ms, within which a shed request is reported as
+// deadlineMarginMs is the time before the client's deadline, in ms, within which a shed request is reported as
 // DeadlineExceeded.
-const deadlineMargin = 20.0
+const deadlineMarginMs = 20.0
 
 // respondUnserved answers a request that the controller has rejected or failed, with a more specific reason where the core
 // has one.
@@ -26,7 +26,7 @@
 // unservedReason returns why a request that the controller rejected or failed was not served.
 func (c *Core) unservedReason(r *request) Reason {
 	switch {
-	case c.now() >= r.ReceivedAt+r.Remaining-deadlineMargin:
+	case c.now() >= r.ReceivedAt+r.Remaining-deadlineMarginMs:
 		return DeadlineExceeded
 	case len(r.attempts) > 0 && r.openAttempts == 0:
 		return UpstreamFailed
@@ -40,7 +40,7 @@
 	switch {
 	case r.answered:
 	case r.Canceled.Load():
-		c.clientGone(r)
+		c.handleClientGone(r)
 	default:
 		c.respond(r, Answer{Verdict: Failed, Reason: AuthorizationExpired})
 	}
--- a/core/results.go
+++ b/core/results.go
@@ -7,12 +7,12 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Results: Handle calls attemptEnded and healthCheckEnded when the upstream reports the result of an attempt or a health
-// check. The result is recorded and reported to the controller, which decides on a retry; the first successful attempt
+// Results: Handle calls handleAttemptResult and handleHealthCheckResult when the upstream reports the result of an attempt
+// or a health check. The result is recorded and reported to the controller, which decides on a retry; the first successful attempt
 // provides the response to its request.
 
-// attemptEnded records the result of an attempt. A second result of the same attempt is ignored.
-func (c *Core) attemptEnded(result AttemptResult) {
+// handleAttemptResult records the result of an attempt. A second result of the same attempt is ignored.
+func (c *Core) handleAttemptResult(result AttemptResult) {
 	r := c.requests[result.ID]
 	if r == nil || result.Number < 0 || result.Number >= len(r.attempts) || r.attempts[result.Number].ended {
 		return
@@ -66,8 +66,8 @@
 	return time.Duration(float64(len(result.Body)) / c.opt.Flow * float64(time.Second))
 }
 
-// healthCheckEnded reports the result of a pending health check to the controller.
-func (c *Core) healthCheckEnded(result HealthCheckResult) {
+// handleHealthCheckResult reports the result of a pending health check to the controller.
+func (c *Core) handleHealthCheckResult(result HealthCheckResult) {
 	sentAt, ok := c.healthChecks[result.Endpoint]
 	if !ok {
 		return
--- a/core/rig_test.go
+++ b/core/rig_test.go
@@ -82,10 +82,10 @@
 			ID: control.EndpointID(i + 1), Kind: kind, Zone: min(1, max(0, 1-kind)), Weight: 10, State: control.Ready,
 		}})
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { r.core.Run(ctx) })
-	t.Cleanup(func() { end(); pool.Close(); wg.Wait() })
+	t.Cleanup(func() { cancel(); pool.Close(); wg.Wait() })
 	r.core.Post(r.list)
 	return r
 }
@@ -127,8 +127,8 @@
 	return r.answers[tag][0]
 }
 
-// answered returns the number of answers to a request.
-func (r *rig) answered(tag uint64) int {
+// answerCount returns the number of answers to a request.
+func (r *rig) answerCount(tag uint64) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.answers[tag])
@@ -162,8 +162,8 @@
 	return txn
 }
 
-// answer waits for the answer to request 1 and returns it.
-func (r *rig) answer() core.Answer {
-	r.waitFor("the answer", func() bool { r.stats(); return r.answered(1) > 0 })
+// waitForAnswer waits for the answer to request 1 and returns it.
+func (r *rig) waitForAnswer() core.Answer {
+	r.waitFor("the answer", func() bool { r.stats(); return r.answerCount(1) > 0 })
 	return r.answers[1][0]
 }
--- a/core/slow_start_test.go
+++ b/core/slow_start_test.go
@@ -12,10 +12,10 @@
 // If the endpoint of many deferred attempts has restarted, they are not sent to it all at once: the attempts sent stay within the
 // slow-start budget.
 func TestDeferredAttemptsRespectSlowStart(t *testing.T) {
-	const asked, weight, kb = 100, 100.0, 40.0
+	const requests, weight, kb = 100, 100.0, 40.0
 	old, h, clk := newCore(t)
 	opt := old.opt
-	opt.MaxOpen = 2 * asked
+	opt.MaxOpen = 2 * requests
 	set := &opt.Settings
 	set.SlowStartShare, set.SlowStartDuration, set.CollapseMultiple, set.CollapseWindow = 0.001, 20*time.Second, 2, time.Second
 	c, err := New(opt, h)
@@ -34,14 +34,14 @@
 		c.Handle(ev)
 	}
 	list(0)
-	for tag := range uint64(asked) {
+	for tag := range uint64(requests) {
 		c.Handle(newRequest(h, tag+1, "tile", clk.Now()))
 	}
 	first := len(h.sent)
 	for _, s := range h.sent[:first] {
 		h.endAttempt(c, AttemptResult{AttemptKey: s.AttemptKey, Outcome: control.ConnectionLost, Unconfirmed: true})
 	}
-	if c.stats.Deferred < asked/2 {
+	if c.stats.Deferred < requests/2 {
 		t.Fatalf("%d attempts are deferred of %d", c.stats.Deferred, first)
 	}
 	clk.Advance(1)
@@ -62,7 +62,7 @@
 			sent++
 		}
 	}
-	if most := n + 3*math.Sqrt(n) + 3; float64(sent) > most {
-		t.Errorf("%d attempts were sent to an endpoint whose budget is %.1f", sent, most)
+	if limit := n + 3*math.Sqrt(n) + 3; float64(sent) > limit {
+		t.Errorf("%d attempts were sent to an endpoint whose budget is %.1f", sent, limit)
 	}
 }
--- a/core/timers.go
+++ b/core/timers.go
@@ -53,14 +53,14 @@
 	case controllerTimer:
 		c.notifyController(control.TimerFired{Token: t.token})
 	case cancelGraceTimer:
-		c.cancelGraceExpired(t.attempt.request, t.attempt.key)
+		c.handleGraceExpired(t.attempt.request, t.attempt.key)
 	case attemptTimer:
 		if !t.attempt.ended {
-			c.attemptTimedOut(t.attempt)
+			c.timeOutAttempt(t.attempt)
 		}
 	case sendDeadlineTimer:
 		if !t.attempt.ended && t.attempt.deferred != nil {
-			c.attemptTimedOut(t.attempt)
+			c.timeOutAttempt(t.attempt)
 		}
 	}
 }
--- a/core/trace.go
+++ b/core/trace.go
@@ -11,13 +11,13 @@
 // sampled share of requests (Options.TraceShare) at level info; for other requests only the log level and the sampled flag
 // are checked. docs/fleet.md ("Following a request") lists the lines.
 
-// tracing reports whether all requests are traced.
-func (c *Core) tracing() bool { return c.opt.Log.GetLevel() <= zerolog.DebugLevel }
+// tracesAll reports whether all requests are traced.
+func (c *Core) tracesAll() bool { return c.opt.Log.GetLevel() <= zerolog.DebugLevel }
 
-// trace returns the log event for a request, or nil if the request is not traced.
-func (c *Core) trace(r *request) *zerolog.Event {
+// traceEvent returns the log event for a request, or nil if the request is not traced.
+func (c *Core) traceEvent(r *request) *zerolog.Event {
 	switch {
-	case c.tracing():
+	case c.tracesAll():
 		return c.opt.Log.Debug().Str("request_id", r.Txn)
 	case r.sampled:
 		return c.opt.Log.Info().Str("request_id", r.Txn)
@@ -28,7 +28,7 @@
 // traceEndpoints logs the start times that a list contains. They show when an endpoint is in slow start, during which the
 // total load that all gateways send to it is limited.
 func (c *Core) traceEndpoints(list EndpointList) {
-	if !c.tracing() {
+	if !c.tracesAll() {
 		return
 	}
 	for _, endpoint := range list.Endpoints {
@@ -49,7 +49,7 @@
 
 // traceHealthCheck logs the result of a health check and how long it took, in ms.
 func (c *Core) traceHealthCheck(result HealthCheckResult, duration float64) {
-	if !c.tracing() {
+	if !c.tracesAll() {
 		return
 	}
 	c.opt.Log.Debug().
@@ -61,7 +61,7 @@
 
 // traceReceived logs that a request was accepted.
 func (c *Core) traceReceived(r *request) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -78,7 +78,7 @@
 // traceAttemptStarted logs the start of an attempt, and whether it is deferred until the previous one's cancellation is
 // confirmed.
 func (c *Core) traceAttemptStarted(r *request, a *attempt, action control.Attempt) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -95,7 +95,7 @@
 
 // traceAttemptEnded logs the result of an attempt.
 func (c *Core) traceAttemptEnded(r *request, a *attempt, result AttemptResult) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -111,7 +111,7 @@
 // traceCancelConfirmed logs how long an attempt's end was unconfirmed, and whether the grace period had expired instead of
 // the endpoint acknowledging it.
 func (c *Core) traceCancelConfirmed(r *request, key AttemptKey) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -123,7 +123,7 @@
 
 // traceBarrier logs whether the endpoint of a canceled attempt answered the barrier ping.
 func (c *Core) traceBarrier(r *request, key AttemptKey, silent bool) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -136,12 +136,12 @@
 // the decision.
 func (c *Core) traceResponse(r *request, answer Answer) {
 	if answer.Verdict == Rejected && answer.Reason == Shed && len(r.attempts) == 0 {
-		if e := c.trace(r); e != nil {
+		if e := c.traceEvent(r); e != nil {
 			e.Str("controller", c.controller.Explain(control.ObjectID(r.Object), r.Part)).
 				Msg("request shed")
 		}
 	}
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -156,7 +156,7 @@
 // traceClientGone logs that a request's client has disconnected, how long the request had been open by then, and whether an
 // attempt may have reached an endpoint. No "attempt started" of the same request may follow.
 func (c *Core) traceClientGone(r *request) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
--- a/core/trace_test.go
+++ b/core/trace_test.go
@@ -119,7 +119,7 @@
 // trace the same requests.
 func TestTraceOfSampledShare(t *testing.T) {
 	const requests, share = 400, 0.25
-	followed := func() map[string]int {
+	traced := func() map[string]int {
 		c, h, clk := newCore(t)
 		var out bytes.Buffer
 		c.opt.Log = zerolog.New(&out).Level(zerolog.InfoLevel)
@@ -144,7 +144,7 @@
 		}
 		return lines
 	}
-	one, other := followed(), followed()
+	one, other := traced(), traced()
 	if !maps.Equal(one, other) {
 		t.Error("two gateways trace different requests")
 	}
--- a/discovery/connect.go
+++ b/discovery/connect.go
@@ -19,18 +19,18 @@
 // frame: a frame may arrive slowly and in pieces of any size.
 type watchConn struct {
 	net.Conn
-	maxSilence time.Duration // time-out of each read
-	unread     []byte        // the first byte, until it is read
+	idleTimeout time.Duration // time-out of each read
+	unread      []byte        // the first byte, until it is read
 }
 
-// Read reads the available bytes. It fails with a time-out if none arrives within maxSilence.
+// Read reads the available bytes. It fails with a time-out if none arrives within idleTimeout.
 func (c *watchConn) Read(b []byte) (int, error) {
 	if len(c.unread) > 0 {
 		n := copy(b, c.unread)
 		c.unread = c.unread[n:]
 		return n, nil
 	}
-	c.SetReadDeadline(time.Now().Add(c.maxSilence))
+	c.SetReadDeadline(time.Now().Add(c.idleTimeout))
 	return c.Conn.Read(b)
 }
 
@@ -55,16 +55,16 @@
 	watcher  *Watcher
 	addr     string
 	attempts []connectAttempt // in progress, oldest first
-	started  int              // the number of the newest attempt
+	newest   int              // the number of the newest attempt
 	late     chan int         // receives the number of an attempt whose dial or first byte is late
 	results  chan connectResult
-	group    sync.WaitGroup
+	wg       sync.WaitGroup
 }
 
 // connect returns the first connection on which the server sends a byte. It fails once no attempt is in progress any more.
 func (w *Watcher) connect(ctx context.Context, addr string) (*watchConn, error) {
 	c := &connector{watcher: w, addr: addr, late: make(chan int), results: make(chan connectResult)}
-	defer c.group.Wait()
+	defer c.wg.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c.startAttempt(ctx)
@@ -99,7 +99,7 @@
 // isNewest reports whether an attempt is in progress and none was started after it.
 func (c *connector) isNewest(number int) bool {
 	inProgress := slices.ContainsFunc(c.attempts, func(a connectAttempt) bool { return a.number == number })
-	return inProgress && number == c.started
+	return inProgress && number == c.newest
 }
 
 // removeAttempt removes an attempt that has ended.
@@ -114,10 +114,10 @@
 		c.attempts = slices.Delete(c.attempts, 0, 1)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	c.started++
-	number, seq := c.started, c.watcher.Seq
+	c.newest++
+	number, seq := c.newest, c.watcher.Seq
 	c.attempts = append(c.attempts, connectAttempt{number, cancel})
-	c.group.Go(func() {
+	c.wg.Go(func() {
 		defer cancel()
 		conn, err := c.connectOnce(ctx, number, seq)
 		select {
@@ -143,9 +143,9 @@
 		return nil, err
 	}
 	stopClosing := context.AfterFunc(ctx, func() { conn.Close() })
-	silence := cmp.Or(c.watcher.MaxSilence, maxSilence)
-	lateFirstByte := time.AfterFunc(silence, reportLate)
-	defer lateFirstByte.Stop()
+	idleTimeout := cmp.Or(c.watcher.MaxSilence, defaultIdleTimeout)
+	firstByteTimer := time.AfterFunc(idleTimeout, reportLate)
+	defer firstByteTimer.Stop()
 	firstByte, err := subscribe(conn, seq)
 	if !stopClosing() {
 		return nil, ctx.Err() // the connection is closed, or about to be
@@ -154,7 +154,7 @@
 		conn.Close()
 		return nil, err
 	}
-	return &watchConn{Conn: conn, maxSilence: silence, unread: firstByte}, nil
+	return &watchConn{Conn: conn, idleTimeout: idleTimeout, unread: firstByte}, nil
 }
 
 // dial opens a connection, and calls reportLate if that takes longer than attemptDelay.
@@ -163,8 +163,8 @@
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
-	lateDial := time.AfterFunc(attemptDelay, reportLate)
-	defer lateDial.Stop()
+	dialTimer := time.AfterFunc(attemptDelay, reportLate)
+	defer dialTimer.Stop()
 	return dial(ctx, "tcp", c.addr)
 }
 
--- a/discovery/connect_test.go
+++ b/discovery/connect_test.go
@@ -16,9 +16,9 @@
 // The first byte is received even if an overloaded server, which serves many other clients first, sends it later than MaxSilence
 // after the connect. Closing each connection after MaxSilence would make the gateway redial forever and add to the overload.
 func TestSlowFirstByteIsReceived(t *testing.T) {
-	const silent = 100 * time.Millisecond
-	for name, first := range map[string]time.Duration{
-		"in time": silent / 2, "somewhat late": silent * 3 / 2, "late": silent * 3,
+	const idleTimeout = 100 * time.Millisecond
+	for name, firstByteDelay := range map[string]time.Duration{
+		"in time": idleTimeout / 2, "somewhat late": idleTimeout * 3 / 2, "late": idleTimeout * 3,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -27,25 +27,25 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			var watches atomic.Int64
+			var connections atomic.Int64
 			go func() {
 				for {
 					c, err := l.Accept()
 					if err != nil {
 						return
 					}
-					watches.Add(1)
+					connections.Add(1)
 					go func() {
 						defer c.Close()
 						io.ReadFull(c, make([]byte, 8))
-						time.Sleep(first)
+						time.Sleep(firstByteDelay)
 						c.Write(frame(6, kindPurgeGroup, []byte{0, 6, 0, 0, 0, 0, 0, 0, 0, 8}))
 						io.Copy(io.Discard, c)
 					}()
 				}
 			}()
 			got := make(chan core.Event, 8)
-			w := &Watcher{Addr: l.Addr().String(), Seq: 5, MaxSilence: silent, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
+			w := &Watcher{Addr: l.Addr().String(), Seq: 5, MaxSilence: idleTimeout, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			defer func() { cancel(); <-done }()
@@ -55,8 +55,8 @@
 				if p, ok := ev.(core.Purge); !ok || p.Group != 6 {
 					t.Errorf("%+v", ev)
 				}
-			case <-time.After(20 * silent): // time for ten attempts, if each were closed too early
-				t.Errorf("no event was received on %d connections", watches.Load())
+			case <-time.After(20 * idleTimeout): // time for ten attempts, if each were closed too early
+				t.Errorf("no event was received on %d connections", connections.Load())
 			}
 		})
 	}
@@ -91,24 +91,24 @@
 	}()
 	var dials atomic.Int64
 	var once sync.Once
-	dialled, beside := make(chan struct{}), make(chan struct{})
+	dialed, secondDial := make(chan struct{}), make(chan struct{})
 	got, changes := make(chan core.Event, 8), make(chan AddressChange)
 	w := &Watcher{Addr: "192.0.2.1:1", Seq: 5, AddressChanges: changes, MaxSilence: time.Minute, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
 	w.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr != l.Addr().String() {
-			once.Do(func() { close(dialled) })
+			once.Do(func() { close(dialed) })
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		var up chan struct{} // nil: the connection never opens
+		var ready chan struct{} // nil: the connection never opens
 		switch dials.Add(1) {
 		case 1:
-			up = beside // opens once another attempt is started
+			ready = secondDial // opens once another attempt is started
 		case 2:
-			close(beside)
+			close(secondDial)
 		}
 		select {
-		case <-up:
+		case <-ready:
 			return (&net.Dialer{}).DialContext(ctx, network, addr)
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -118,13 +118,13 @@
 	done := make(chan struct{})
 	defer func() { cancel(); <-done }()
 	go func() { defer close(done); w.Run(ctx) }()
-	<-dialled
+	<-dialed
 	changes <- AddressChange{l.Addr().String()}
 	if ev := <-got; ev.(core.Purge).Group != 6 {
 		t.Errorf("%+v", ev)
 	}
-	for limit := time.Now().Add(20 * time.Second); open.Load() != 1; time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) {
+	for deadline := time.Now().Add(20 * time.Second); open.Load() != 1; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%d connections are open", open.Load())
 		}
 	}
@@ -134,8 +134,8 @@
 // a time.
 func TestIdleConnectionsDoNotDelayReconnect(t *testing.T) {
 	const (
-		silent            = 100 * time.Millisecond
-		silentConnections = 10
+		idleTimeout     = 100 * time.Millisecond
+		idleConnections = 10
 	)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -154,7 +154,7 @@
 				defer open.Add(-1)
 				defer c.Close()
 				io.ReadFull(c, make([]byte, 8))
-				if n > silentConnections {
+				if n > idleConnections {
 					c.Write(frame(6, kindPurgeGroup, []byte{0, 6, 0, 0, 0, 0, 0, 0, 0, 8}))
 				}
 				io.Copy(io.Discard, c)
@@ -162,7 +162,7 @@
 		}
 	}()
 	got := make(chan core.Event, 8)
-	w := &Watcher{Addr: l.Addr().String(), Seq: 5, MaxSilence: silent, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
+	w := &Watcher{Addr: l.Addr().String(), Seq: 5, MaxSilence: idleTimeout, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	defer func() { cancel(); <-done }()
@@ -172,7 +172,7 @@
 		if p, ok := ev.(core.Purge); !ok || p.Group != 6 {
 			t.Errorf("%+v", ev)
 		}
-	case <-time.After(2 * silentConnections * silent): // twice the idle time-out for each idle connection
+	case <-time.After(2 * idleConnections * idleTimeout): // twice the idle time-out for each idle connection
 		t.Error("no event was received though the server sends again")
 	}
 	if n := maxOpen.Load(); n > maxConnections+1 { // a canceled one may not be counted as closed yet
--- a/discovery/known.go
+++ b/discovery/known.go
@@ -25,10 +25,10 @@
 	}
 	knownEvent struct {
 		Seq        uint64
-		Fleet      *knownList
+		Fleet      *knownEndpointList
 		Invalidate *knownPurge
 	}
-	knownList struct {
+	knownEndpointList struct {
 		Full    bool
 		Servers []knownEndpoint
 	}
@@ -62,7 +62,7 @@
 		return 0, nil, fmt.Errorf("known: %w", err)
 	}
 	for i, entry := range known.Results {
-		event, err := entry.event(names)
+		event, err := entry.toEvent(names)
 		if err != nil {
 			return 0, nil, fmt.Errorf("known.results[%d].%w", i, err)
 		}
@@ -73,19 +73,19 @@
 	return known.Seq, events, nil
 }
 
-// event returns the event of an entry, or nil if it has none that the gateway uses.
-func (e knownEvent) event(names Names) (core.Event, error) {
+// toEvent returns the event of an entry, or nil if it has none that the gateway uses.
+func (e knownEvent) toEvent(names Names) (core.Event, error) {
 	switch {
 	case e.Invalidate != nil:
-		return e.Invalidate.event()
+		return e.Invalidate.toEvent()
 	case e.Fleet != nil:
-		return e.Fleet.event(names)
+		return e.Fleet.toEvent(names)
 	default:
 		return nil, nil
 	}
 }
 
-func (p knownPurge) event() (core.Event, error) {
+func (p knownPurge) toEvent() (core.Event, error) {
 	if p.Bucket != nil {
 		return core.Purge{Group: *p.Bucket, At: p.Time}, nil
 	}
@@ -96,10 +96,10 @@
 	return core.Purge{Object: object, At: p.Time}, nil
 }
 
-func (l knownList) event(names Names) (core.Event, error) {
+func (l knownEndpointList) toEvent(names Names) (core.Event, error) {
 	list := core.EndpointList{Snapshot: l.Full}
 	for i, entry := range l.Servers {
-		endpoint, err := entry.endpoint(names)
+		endpoint, err := entry.toEndpoint(names)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.servers[%d]%w", i, err)
 		}
@@ -108,8 +108,8 @@
 	return list, nil
 }
 
-// endpoint validates and converts one entry of a list. Its errors start with the remainder of the path to the field.
-func (e knownEndpoint) endpoint(names Names) (core.Endpoint, error) {
+// toEndpoint validates and converts one entry of a list. Its errors start with the remainder of the path to the field.
+func (e knownEndpoint) toEndpoint(names Names) (core.Endpoint, error) {
 	id, err := strconv.ParseUint(strings.TrimPrefix(e.ID, "s-"), 16, 32)
 	if err != nil {
 		return core.Endpoint{}, fmt.Errorf(".id: %q is no id", e.ID)
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	maxSilence = 1800 * time.Millisecond // the server sends a heartbeat each second
-	minBackoff = 50 * time.Millisecond
-	maxBackoff = 400 * time.Millisecond
+	defaultIdleTimeout = 1800 * time.Millisecond // the server sends a heartbeat each second
+	minBackoff         = 50 * time.Millisecond
+	maxBackoff         = 400 * time.Millisecond
 )
 
 // AddressChange reports a new address of the discovery server to a watcher.
@@ -42,10 +42,10 @@
 	OnSynced func()
 	// Dial opens a connection; nil: net.Dialer.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// MaxSilence is the time without a received byte after which a watch fails; 0: maxSilence.
+	// MaxSilence is the time without a received byte after which a watch fails; 0: defaultIdleTimeout.
 	MaxSilence time.Duration
 
-	missingFrom uint64 // sequence number of the missing event that was last requested again
+	missingSeq uint64 // sequence number of the missing event that was last requested again
 }
 
 // Run watches until ctx ends. It reconnects when a watch fails or times out, or the address changes. A watch resumes by
@@ -54,22 +54,22 @@
 	backoff := minBackoff
 	for ctx.Err() == nil {
 		startedAt := time.Now()
-		received, moved, err := w.watchUntilAddressChange(ctx)
+		received, addressChanged, err := w.watchUntilAddressChange(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if received || moved {
+		if received || addressChanged {
 			backoff = minBackoff
 		}
-		if !moved {
+		if !addressChanged {
 			w.Log.Warn().Err(err).Uint64("seq", w.Seq).Msg("watch ended")
 			if received && time.Since(startedAt) >= minBackoff {
 				continue // the server was reachable until now: reconnect without backoff
 			}
-			moved = w.waitForAddressChange(ctx, nil, time.After(jittered(backoff)))
+			addressChanged = w.waitForAddressChange(ctx, nil, time.After(jittered(backoff)))
 		}
 		backoff = min(2*backoff, maxBackoff)
-		if moved {
+		if addressChanged {
 			backoff = minBackoff
 		}
 	}
@@ -83,7 +83,7 @@
 
 // watchUntilAddressChange runs one watch until it fails or the address changes. It reports whether a frame was received,
 // whether the address changed, and why the watch ended.
-func (w *Watcher) watchUntilAddressChange(ctx context.Context) (received, moved bool, err error) {
+func (w *Watcher) watchUntilAddressChange(ctx context.Context) (received, addressChanged bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	addr := w.Addr // waitForAddressChange may change the field during the watch
@@ -92,10 +92,10 @@
 		defer close(done)
 		received, err = w.watchOnce(ctx, addr)
 	}()
-	moved = w.waitForAddressChange(ctx, done, nil)
+	addressChanged = w.waitForAddressChange(ctx, done, nil)
 	cancel()
 	<-done
-	return received, moved, err
+	return received, addressChanged, err
 }
 
 // waitForAddressChange waits until the address changes, the watch or the backoff ends, or ctx ends, and reports whether the
@@ -155,8 +155,8 @@
 		return nil
 	}
 	next := w.Seq + 1
-	if frame.Seq != next && w.missingFrom != next {
-		w.missingFrom = next
+	if frame.Seq != next && w.missingSeq != next {
+		w.missingSeq = next
 		return fmt.Errorf("%w: event %d was received after event %d", errMalformedFrame, frame.Seq, w.Seq)
 	}
 	w.Seq = frame.Seq
--- a/discovery/watcher_test.go
+++ b/discovery/watcher_test.go
@@ -141,7 +141,7 @@
 		{"address change in the middle of a frame", []connection{{sends: purgeFrame(6)[:11]}, {sends: slices.Concat(purgeFrame(6), purgeFrame(7))}}, true, []uint64{5, 5}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			requested, first := make(chan uint64, 64), make(chan net.Conn, 1)
+			requested, firstConn := make(chan uint64, 64), make(chan net.Conn, 1)
 			serve := func(connections []connection) string {
 				l, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
@@ -165,7 +165,7 @@
 							conn.Close()
 						}
 						select {
-						case first <- conn:
+						case firstConn <- conn:
 						default:
 						}
 					}
@@ -186,7 +186,7 @@
 			t.Cleanup(func() { cancel(); <-done })
 			go func() { defer close(done); w.Run(ctx) }()
 			if c.addressChanges {
-				old := <-first
+				old := <-firstConn
 				changes <- AddressChange{next}
 				old.Write(purgeFrame(6)[11:])
 			}
