--- a/core/concurrent_attempts_test.go
+++ b/core/concurrent_attempts_test.go
@@ -105,7 +105,7 @@
 				r.post(tag, fakestore.Good, 1)
 				r.waitFor("the other request's answer", func() bool { r.stats(); return r.answerCount(tag) == 1 })
 			}
-			serveOther(2) // has the endpoint cache the part
+			serveOther(2) // makes the endpoint cache the part
 			r.endpoints.Stop()
 			txn := r.post(1, behavior, 1)
 			r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) == 1 })
--- a/core/deferred_test.go
+++ b/core/deferred_test.go
@@ -23,7 +23,7 @@
 		{"nothing", func(*rig, *atomic.Bool) {}, func(_ *rig, second []fakestore.Call) bool { return len(second) > 0 }},
 		{"all endpoints drain", func(r *rig, _ *atomic.Bool) { r.changeEndpoints(drain, 0, 1, 2, 3, 4) },
 			func(_ *rig, second []fakestore.Call) bool { return len(second) == 0 }},
-		{"all endpoints are gone", func(r *rig, _ *atomic.Bool) { r.core.Post(core.EndpointList{Snapshot: true}) },
+		{"all endpoints are removed", func(r *rig, _ *atomic.Bool) { r.core.Post(core.EndpointList{Snapshot: true}) },
 			func(_ *rig, second []fakestore.Call) bool { return len(second) == 0 }},
 		{"the sources drain", func(r *rig, _ *atomic.Bool) { r.changeEndpoints(drain, 3, 4) },
 			func(_ *rig, second []fakestore.Call) bool {
--- a/core/ingress_test.go
+++ b/core/ingress_test.go
@@ -18,14 +18,14 @@
 		sends  int
 		want   []Answer
 	}{
-		{"gone before it was received", false, true, nil, 0, nil},
-		{"gone before it was received, reported", true, true, nil, 0, []Answer{{Verdict: Failed, Reason: ClientGone}}},
-		{"gone, then served", false, false, new(control.OK), 1, nil},
-		{"gone, then served, reported", true, false, new(control.OK), 1, []Answer{{Verdict: Served, MayHaveRun: true}}},
-		{"gone, then overloaded", false, false, new(control.Overloaded), 1, nil},
-		{"gone, then overloaded, reported", true, false, new(control.Overloaded), 1, []Answer{{Verdict: Failed, Reason: ClientGone, MayHaveRun: true}}},
-		{"gone, then a local failure, reported", true, false, new(control.LocalFailure), 1, []Answer{{Verdict: Failed, Reason: ClientGone}}},
-		{"gone, then never sent, reported", true, false, new(control.NotSent), 1, []Answer{{Verdict: Failed, Reason: ClientGone}}},
+		{"disconnected before receipt", false, true, nil, 0, nil},
+		{"disconnected before receipt, reported", true, true, nil, 0, []Answer{{Verdict: Failed, Reason: ClientGone}}},
+		{"disconnected, then served", false, false, new(control.OK), 1, nil},
+		{"disconnected, then served, reported", true, false, new(control.OK), 1, []Answer{{Verdict: Served, MayHaveRun: true}}},
+		{"disconnected, then overloaded", false, false, new(control.Overloaded), 1, nil},
+		{"disconnected, then overloaded, reported", true, false, new(control.Overloaded), 1, []Answer{{Verdict: Failed, Reason: ClientGone, MayHaveRun: true}}},
+		{"disconnected, then a local failure, reported", true, false, new(control.LocalFailure), 1, []Answer{{Verdict: Failed, Reason: ClientGone}}},
+		{"disconnected, then never sent, reported", true, false, new(control.NotSent), 1, []Answer{{Verdict: Failed, Reason: ClientGone}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			core, h, clk := newCore(t)
