--- a/core/events.go
+++ b/core/events.go
@@ -11,7 +11,7 @@
 // unless a comment says otherwise.
 
 // ErrUnknown is the reply to an Exclude of an endpoint that has never been in an endpoint list.
-var ErrUnknown = errors.New("core: no list has named this store")
+var ErrUnknown = errors.New("core: endpoint was never in an endpoint list")
 
 // Event is an input of the core. The types in this file implement it.
 type Event interface{ event() }
