--- a/core/cancellation.go
+++ b/core/cancellation.go
@@ -9,37 +9,37 @@
 // Cancellation: two attempts of one request must never be at the endpoints at the same time.
 //
 // A DROP command, or the close of a connection, is ordered only within its own connection. An endpoint that reads several
-// connections may read a further attempt on one before the cancellation of the previous attempt on another, and then has
-// the request twice. So the end of an attempt that was canceled, or whose connection broke, is unconfirmed at first. The
-// controller hears of the end and decides at once; a rejection or failure is not delayed; only the start of a further
-// attempt waits:
+// connections may read a further attempt on one before the cancellation of the previous attempt on another, and then
+// processes the request twice at the same time. So the end of an attempt that was canceled, or whose connection broke, is
+// unconfirmed at first. The controller is notified of the end and decides at once, and a rejection or failure is not
+// delayed; only the start of a further attempt is deferred:
 //
 //   - to any endpoint: until the endpoint of the ended attempt acknowledges the cancellation (CancelConfirmed), or the grace
-//     period has passed. For a request that is idempotent by its key the grace period is not enough, see needsAck;
+//     period has passed. For a request that is idempotent by its key the grace period is not sufficient, see needsAck;
 //   - to the same endpoint: until that endpoint has answered a barrier ping written after the cancellation
-//     (BarrierAnswered) or has acknowledged the cancellation. No grace period is enough, because an endpoint that was
-//     stopped finds all that was written to it when it goes on, and reads its connections in any order.
+//     (BarrierAnswered) or has acknowledged the cancellation. No grace period is sufficient, because an endpoint that was
+//     suspended finds everything that was written to it when it resumes, and reads its connections in any order.
 //
-// attempts.go starts attempts through startOrDefer; results.go calls recordUnconfirmedCancel; Handle calls cancelConfirmed
-// and barrierAnswered; the timer calls cancelGraceExpired.
+// attempts.go starts attempts through startOrDefer; results.go calls recordUnconfirmedCancel; Handle calls handleCancelConfirmed
+// and handleBarrierResult; the timer calls handleGraceExpired.
 
-// defaultCancelGrace is how long, in ms, an endpoint may take to notice a cancellation, unless Options.CancelGrace is set.
-const defaultCancelGrace = 40.0
+// defaultCancelGraceMs is the default of Options.CancelGrace, in ms.
+const defaultCancelGraceMs = 40.0
 
-// unconfirmedCancel describes the end of an attempt that its endpoint may not have noticed yet.
+// unconfirmedCancel describes the end of an attempt that its endpoint may not have processed yet.
 type unconfirmedCancel struct {
 	key        AttemptKey
 	endedAt    float64 // ms
 	graceUntil float64 // ms; 0: there is none
-	needsAck   bool    // the end of the grace period is not enough, only CancelConfirmed is
+	needsAck   bool    // the end of the grace period is not sufficient, only CancelConfirmed is
 }
 
-// recordUnconfirmedCancel notes that the endpoint of an attempt that ended may not have noticed that, and starts the grace
-// period.
+// recordUnconfirmedCancel records that the endpoint of an ended attempt may not have processed the end yet, and starts the
+// grace period.
 //
-// An attempt of a keyed request that was canceled needs the acknowledgement: an endpoint that was stopped may run it
-// whenever it goes on, also after it has forgotten the key. A connection that the endpoint closed ended all the attempts on
-// it at the endpoint, and the grace period covers what was still on its way.
+// A canceled attempt of a keyed request requires the acknowledgement: an endpoint that was suspended may run it after it
+// resumes, even if the key has expired there by then. A connection that the endpoint closed ended all the attempts on
+// it at the endpoint, and the grace period covers data that was still in transit.
 func (c *Core) recordUnconfirmedCancel(r *request, a *attempt, outcome control.Outcome) {
 	a.needsBarrier = true
 	r.unconfirmedCancel = unconfirmedCancel{
@@ -65,8 +65,8 @@
 	}
 }
 
-// requestBarriers has the upstream ask an endpoint for an answer behind each unconfirmed cancellation there. If the kind
-// of endpoint cannot be asked, the grace period has to be enough.
+// requestBarriers has the upstream send an endpoint a barrier ping for each unconfirmed cancellation there. If the
+// upstream cannot do this, the grace period alone has to suffice.
 func (c *Core) requestBarriers(r *request, endpoint uint32) {
 	for _, previous := range r.attempts {
 		if previous.needsBarrier && previous.endpoint == endpoint && !c.upstream.ConfirmCancel(previous.key, endpoint) {
@@ -85,9 +85,9 @@
 	})
 }
 
-// barrierAnswered handles the result of a barrier ping. If the endpoint stays silent, an attempt deferred for it is never
-// sent, and the controller decides again.
-func (c *Core) barrierAnswered(ev BarrierAnswered) {
+// handleBarrierResult handles the result of a barrier ping. If the endpoint did not respond, an attempt deferred for it ends
+// unsent, and the controller decides again.
+func (c *Core) handleBarrierResult(ev BarrierAnswered) {
 	for _, key := range ev.Keys {
 		r := c.requests[key.ID]
 		if r == nil || key.Number >= len(r.attempts) || !r.attempts[key.Number].needsBarrier {
@@ -100,13 +100,13 @@
 			canceled.needsBarrier = false
 			c.startDeferred(last)
 		} else if last.deferred != nil && last.endpoint == canceled.endpoint {
-			c.withdrawDeferred(last)
+			c.cancelDeferred(last)
 		}
 	}
 }
 
-// cancelConfirmed handles an endpoint's acknowledgement that it has noticed the end of an attempt.
-func (c *Core) cancelConfirmed(ev CancelConfirmed) {
+// handleCancelConfirmed handles an endpoint's acknowledgement that it has processed the end of an attempt.
+func (c *Core) handleCancelConfirmed(ev CancelConfirmed) {
 	r := c.requests[ev.ID]
 	if r == nil {
 		return
@@ -120,8 +120,8 @@
 	c.confirmCancel(r, ev.AttemptKey)
 }
 
-// cancelGraceExpired handles the end of an attempt's grace period.
-func (c *Core) cancelGraceExpired(r *request, key AttemptKey) {
+// handleGraceExpired handles the end of an attempt's grace period.
+func (c *Core) handleGraceExpired(r *request, key AttemptKey) {
 	if r.unconfirmedCancel.key == key && r.unconfirmedCancel.needsAck {
 		c.removeIfDone(r)
 		return
@@ -129,7 +129,7 @@
 	c.confirmCancel(r, key)
 }
 
-// confirmCancel takes an attempt's end as noticed by its endpoint, whether by acknowledgement or by the end of the grace
+// confirmCancel marks an attempt's end as processed by its endpoint, after an acknowledgement or at the end of the grace
 // period.
 func (c *Core) confirmCancel(r *request, key AttemptKey) {
 	if r.unconfirmedCancel.graceUntil != 0 && r.unconfirmedCancel.key == key {
@@ -139,15 +139,14 @@
 	c.startDeferred(r.lastAttempt())
 }
 
-// startDeferred sends a deferred attempt if it may start by now, or withdraws it if the request must not be forwarded any
-// more.
+// startDeferred sends a deferred attempt if it may start now, or cancels it if the request must not be forwarded any more.
 func (c *Core) startDeferred(a *attempt) {
 	switch {
 	case a.deferred == nil:
 		c.removeIfDone(a.request)
 	case a.request.Canceled.Load() || a.request.authorizationExpired(c.now()):
 		c.stopForwarding(a.request)
-		c.withdrawDeferred(a)
+		c.cancelDeferred(a)
 	case c.mayStartNext(a.request, a.endpoint):
 		req := *a.deferred
 		a.deferred = nil
@@ -155,8 +154,8 @@
 	}
 }
 
-// withdrawDeferred ends a deferred attempt as never sent.
-func (c *Core) withdrawDeferred(a *attempt) {
+// cancelDeferred ends a deferred attempt with the outcome NotSent.
+func (c *Core) cancelDeferred(a *attempt) {
 	a.deferred = nil
-	c.attemptEnded(AttemptResult{AttemptKey: a.key, Outcome: control.NotSent})
+	c.handleAttemptResult(AttemptResult{AttemptKey: a.key, Outcome: control.NotSent})
 }
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// An operator's order overtakes all the traffic in the queue, and one about an endpoint that was never listed is an error.
+// An operator's command is handled before all queued events, and one about an endpoint that was never listed is an error.
 func TestAdminEventsOvertakeTraffic(t *testing.T) {
 	c, h, clk := newCore(t)
 	for i := range uint64(15) {
 		c.Post(newRequest(h, i+1, "tile", clk.Now()))
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	for _, b := range []struct {
 		id   uint32
 		want error
@@ -29,9 +29,9 @@
 	done := make(chan error)
 	go func() { done <- c.Run(ctx) }()
 	reply := make(chan Stats, 1)
-	c.Post(GetStats{Reply: reply}) // behind the traffic
+	c.Post(GetStats{Reply: reply}) // handled after the requests
 	<-reply
-	end()
+	cancel()
 	<-done
 	if len(h.excludedAt) != 1 || h.excludedAt[0] != 0 || len(h.sent) == 0 {
 		t.Errorf("excluded after %v of %d attempts", h.excludedAt, len(h.sent))
--- a/core/ingress.go
+++ b/core/ingress.go
@@ -8,33 +8,33 @@
 )
 
 // Ingress, the first stage: Handle calls receive for each Request that a frontend posts, and cancelRequest when its client
-// has gone. A request that passes the checks is entered in the table and handed to the controller, which holds it,
+// has disconnected. A request that passes the checks is added to the table and passed to the controller, which queues it,
 // forwards it or sheds it; any other is answered here.
 
-// What a client is told to wait, in ms, before it retries a request that was rejected here.
+// The RetryAfter, in ms, of requests that are rejected here.
 const (
-	overloadedRetryAfter = 50.0
-	duplicateRetryAfter  = 100.0 // the first request of that ID should have ended by then
-	shutdownRetryAfter   = 100.0
+	overloadedRetryAfterMs = 50.0
+	duplicateRetryAfterMs  = 100.0 // the open request of the same ID should have ended by then
+	shutdownRetryAfterMs   = 100.0
 )
 
-// receive enters a new request in the table, or answers it at once.
+// receive adds a new request to the table, or answers it at once.
 func (c *Core) receive(req Request) {
 	c.stats.Received++
 	if req.Canceled == nil {
 		req.Canceled = new(atomic.Bool)
 	}
 	if req.Canceled.Load() {
-		c.receivedCanceled(req)
+		c.endCanceledRequest(req)
 		return
 	}
 	tag := frontendTag{req.Frontend, req.RequestTag}
 	if c.byTag[tag] != nil {
-		// A bug of the frontend; the first request goes on undisturbed.
+		// A bug of the frontend; the first request is not affected.
 		c.opt.Log.Error().Uint64("request_tag", req.RequestTag).Msg("duplicate request tag")
 		return
 	}
-	// Endpoints know requests by ID: a second one under the same ID would be a concurrent attempt of the first, and
+	// Endpoints identify requests by ID: a second one with the same ID would be a concurrent attempt of the first, and
 	// canceling either may cancel both.
 	if other := c.byTxn[req.Txn]; other != nil {
 		c.respondDuplicate(req, other)
@@ -50,8 +50,8 @@
 	c.admit(r)
 }
 
-// receivedCanceled ends a request whose client has gone while it waited in the core's queue.
-func (c *Core) receivedCanceled(req Request) {
+// endCanceledRequest ends a request whose client disconnected while the request was in the event queue.
+func (c *Core) endCanceledRequest(req Request) {
 	c.stats.ClientGone++
 	if req.ReportAfterCancel {
 		req.Frontend.Answer(req.RequestTag, Answer{Verdict: Failed, Reason: ClientGone})
@@ -61,30 +61,30 @@
 // validate reports whether a request can be accepted; if not, it returns the answer to it.
 func (c *Core) validate(req Request) (Answer, bool) {
 	if c.shuttingDown {
-		return Answer{Verdict: Rejected, Reason: ShuttingDown, RetryAfter: shutdownRetryAfter}, false
+		return Answer{Verdict: Rejected, Reason: ShuttingDown, RetryAfter: shutdownRetryAfterMs}, false
 	}
 	class, ok := c.classes[req.Class]
 	if !ok {
 		return Answer{Verdict: Failed, Reason: UnknownClass}, false
 	}
 	if len(c.requests) >= c.opt.MaxOpen {
-		return Answer{Verdict: Rejected, Reason: Overloaded, RetryAfter: overloadedRetryAfter}, false
+		return Answer{Verdict: Rejected, Reason: Overloaded, RetryAfter: overloadedRetryAfterMs}, false
 	}
-	// Without a key, endpoints could not tell a repeat of the request from another one.
+	// Without a key, endpoints could not distinguish a retry of the request from a new request.
 	if c.opt.Settings.Classes[class].Idempotency == control.IdempotentByKey && req.IdempotencyKey == "" {
 		return Answer{Verdict: Failed, Reason: MissingIdempotencyKey}, false
 	}
 	return Answer{}, true
 }
 
-// register enters a valid request in the table.
+// register adds a valid request to the table.
 func (c *Core) register(req Request, tag frontendTag) *request {
 	class := &c.opt.Settings.Classes[c.classes[req.Class]]
 	c.lastID++
 	r := &request{
 		Request:         req,
 		id:              c.lastID,
-		write:           class.Write,
+		isWrite:         class.Write,
 		nonIdempotent:   class.Idempotency != control.Idempotent,
 		idempotentByKey: class.Idempotency == control.IdempotentByKey,
 	}
@@ -98,7 +98,7 @@
 	return r
 }
 
-// admit hands the request to the controller. The time it has waited for the core counts as the client's.
+// admit passes the request to the controller. The time it has spent in the event queue is deducted from its remaining time.
 func (c *Core) admit(r *request) {
 	waited := c.now() - r.ReceivedAt
 	c.notifyController(control.Request{
@@ -114,10 +114,10 @@
 	})
 }
 
-// respondDuplicate answers a request whose ID another open request has. A rejection promises that a retry is harmless,
-// which is untrue if the open one may have run and must not run twice: then the answer is a failure.
+// respondDuplicate answers a request that has the same ID as an open one. A rejection guarantees that a retry is harmless,
+// which is not the case if the open request may have run and must not run twice: then the answer is a failure.
 func (c *Core) respondDuplicate(req Request, open *request) {
-	answer := Answer{Verdict: Rejected, Reason: DuplicateID, RetryAfter: duplicateRetryAfter}
+	answer := Answer{Verdict: Rejected, Reason: DuplicateID, RetryAfter: duplicateRetryAfterMs}
 	if open.nonIdempotent && !open.idempotentByKey && open.mayHaveRun() {
 		answer = Answer{Verdict: Failed, Reason: DuplicateID, MayHaveRun: true}
 	}
@@ -125,23 +125,23 @@
 	req.Frontend.Answer(req.RequestTag, answer)
 }
 
-// cancelRequest handles a client that has gone: no answer is owed to it, and nothing more is forwarded. If the frontend
-// accounts for what ran, an attempt under way goes on to its end and is reported.
+// cancelRequest handles a client that has disconnected: it gets no answer, and its request is not forwarded any more. If
+// the frontend set ReportAfterCancel, an attempt in flight continues and its outcome is reported.
 func (c *Core) cancelRequest(ev CancelRequest) {
 	r := c.byTag[frontendTag{ev.Frontend, ev.RequestTag}]
 	if r == nil {
-		return // its answer was already under way
+		return // already answered
 	}
 	r.Canceled.Store(true)
 	if r.ReportAfterCancel && r.mayHaveRun() {
 		c.traceClientGone(r)
 		return
 	}
-	c.clientGone(r)
+	c.handleClientGone(r)
 }
 
-// clientGone ends a request whose client has gone.
-func (c *Core) clientGone(r *request) {
+// handleClientGone ends a request whose client has disconnected.
+func (c *Core) handleClientGone(r *request) {
 	c.stats.ClientGone++
 	c.traceClientGone(r)
 	if r.ReportAfterCancel {
--- a/core/trace.go
+++ b/core/trace.go
@@ -6,18 +6,18 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// The trace: every stage writes a log line for each step of a request, all with the client's X-Txn as request_id, so that
-// one request can be followed through all gateways that handled it. The lines are written at level debug, and for the
-// sampled share of requests (Options.TraceShare) at level info; for other requests they cost a comparison. docs/fleet.md
-// ("Following a request") lists them.
+// Tracing: every stage writes a log line for each step of a request, all with the client's X-Txn as request_id, so that
+// one request can be traced through all gateways that handled it. The lines are written at level debug, and for the
+// sampled share of requests (Options.TraceShare) at level info; for other requests only the log level and the sampled flag
+// are checked. docs/fleet.md ("Following a request") lists the lines.
 
-// tracing reports whether all requests are traced.
-func (c *Core) tracing() bool { return c.opt.Log.GetLevel() <= zerolog.DebugLevel }
+// tracesAll reports whether all requests are traced.
+func (c *Core) tracesAll() bool { return c.opt.Log.GetLevel() <= zerolog.DebugLevel }
 
-// trace returns the log event for a request, or nil if the request is not traced.
-func (c *Core) trace(r *request) *zerolog.Event {
+// traceEvent returns the log event for a request, or nil if the request is not traced.
+func (c *Core) traceEvent(r *request) *zerolog.Event {
 	switch {
-	case c.tracing():
+	case c.tracesAll():
 		return c.opt.Log.Debug().Str("request_id", r.Txn)
 	case r.sampled:
 		return c.opt.Log.Info().Str("request_id", r.Txn)
@@ -25,10 +25,10 @@
 	return nil
 }
 
-// traceEndpoints logs when endpoints started, as far as a list tells: during slow start, what all gateways together send
-// to an endpoint is limited.
+// traceEndpoints logs the start times that a list contains. They show when an endpoint is in slow start, during which the
+// total load that all gateways send to it is limited.
 func (c *Core) traceEndpoints(list EndpointList) {
-	if !c.tracing() {
+	if !c.tracesAll() {
 		return
 	}
 	for _, endpoint := range list.Endpoints {
@@ -49,7 +49,7 @@
 
 // traceHealthCheck logs the result of a health check and how long it took, in ms.
 func (c *Core) traceHealthCheck(result HealthCheckResult, duration float64) {
-	if !c.tracing() {
+	if !c.tracesAll() {
 		return
 	}
 	c.opt.Log.Debug().
@@ -61,7 +61,7 @@
 
 // traceReceived logs that a request was accepted.
 func (c *Core) traceReceived(r *request) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -75,9 +75,10 @@
 		Msg("request received")
 }
 
-// traceAttemptStarted logs an attempt; with deferred, it waits for the previous one's cancellation.
+// traceAttemptStarted logs the start of an attempt, and whether it is deferred until the previous one's cancellation is
+// confirmed.
 func (c *Core) traceAttemptStarted(r *request, a *attempt, action control.Attempt) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -94,7 +95,7 @@
 
 // traceAttemptEnded logs the result of an attempt.
 func (c *Core) traceAttemptEnded(r *request, a *attempt, result AttemptResult) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -107,10 +108,10 @@
 		Msg("attempt ended")
 }
 
-// traceCancelConfirmed logs how long an attempt's end was unconfirmed, and whether the end of the grace period, not the
-// endpoint's acknowledgement, ended that.
+// traceCancelConfirmed logs how long an attempt's end was unconfirmed, and whether the grace period had expired instead of
+// the endpoint acknowledging it.
 func (c *Core) traceCancelConfirmed(r *request, key AttemptKey) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -122,7 +123,7 @@
 
 // traceBarrier logs whether the endpoint of a canceled attempt answered the barrier ping.
 func (c *Core) traceBarrier(r *request, key AttemptKey, silent bool) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -131,16 +132,16 @@
 		Msg("barrier ended")
 }
 
-// traceResponse logs the final answer, and for a request that was shed before any attempt the state of the controller
-// that explains it.
+// traceResponse logs the final answer, and for a request that was shed before any attempt the controller state that led to
+// the decision.
 func (c *Core) traceResponse(r *request, answer Answer) {
 	if answer.Verdict == Rejected && answer.Reason == Shed && len(r.attempts) == 0 {
-		if e := c.trace(r); e != nil {
+		if e := c.traceEvent(r); e != nil {
 			e.Str("controller", c.controller.Explain(control.ObjectID(r.Object), r.Part)).
 				Msg("request shed")
 		}
 	}
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
@@ -152,10 +153,10 @@
 		Msg("response sent")
 }
 
-// traceClientGone logs how long a request waited whose client has gone, and whether an attempt of it may have reached an
-// endpoint by then. A later "attempt started" of the same request ID would be a request forwarded for nobody.
+// traceClientGone logs that a request's client has disconnected, how long the request had been open by then, and whether an
+// attempt may have reached an endpoint. No "attempt started" of the same request may follow.
 func (c *Core) traceClientGone(r *request) {
-	e := c.trace(r)
+	e := c.traceEvent(r)
 	if e == nil {
 		return
 	}
