--- a/upstream/httpstore/httpstore.go
+++ b/upstream/httpstore/httpstore.go
@@ -1,5 +1,5 @@
-// Package httpstore is the upstream for stores that speak HTTP, such as object stores; where a store wants
-// it, requests are signed with AWS Signature Version 4.
+// Package httpstore is the upstream for endpoints that speak HTTP, such as object stores. Requests to an endpoint with a Signer
+// are signed with AWS Signature Version 4.
 package httpstore
 
 import (
@@ -25,60 +25,60 @@
 	"turnfork.dev/turnfork/internal/neterr"
 )
 
-// Store is how one store is reached.
+// Store is the address of an endpoint, and the signer of its requests.
 type Store struct {
-	Base   string // such as http://127.0.0.1:9000/bucket
-	Signer *Signer
+	Base   string  // such as http://127.0.0.1:9000/bucket
+	Signer *Signer // nil: requests are not signed
 }
 
-// Options are what an upstream is made of.
+// Options configure an upstream.
 type Options struct {
 	Stores      map[uint32]Store
 	DialTimeout float64 // ms
 	IdleClose   float64 // ms
-	Probe       string  // path asked by a probe; "": the base itself
-	MaxConns    int     // to one store
+	Probe       string  // path of health checks, below Base; "": Base itself
+	MaxConns    int     // to one endpoint
 	Clock       *clock.Clock
 	Log         zerolog.Logger
 	Dial        func(ctx context.Context, network, addr string) (net.Conn, error) // nil: net.Dialer
 }
 
 const (
-	maxBody      = 256 << 10
-	bodyPiece    = 4 << 10 // bytes of a request's body between two looks at whether anybody waits for it
-	probeTimeout = 240     // ms
-	maxProbes    = 32
+	maxBodyBytes       = 256 << 10
+	bodyChunkSize      = 4 << 10 // bytes of a request's body between two checks for its cancellation
+	healthCheckTimeout = 240     // ms
+	maxHealthChecks    = 32      // health checks in flight
 )
 
-// Upstream carries attempts out as HTTP requests: GET for a part, POST for a write. The object is
-// asked for as BASE/CLASS/OBJECT/PART, with the attempt's terms in headers. None of them is a deadline: the core gives an
-// attempt up at its client's, which closes the connection.
+// Upstream sends attempts as HTTP requests: GET for a part, POST for a write. The URL is BASE/CLASS/OBJECT/PART; the request
+// ID, the maximum age and the client's ETag are headers. The deadline is not sent: the core cancels an attempt at its
+// client's deadline, which closes the connection.
 type Upstream struct {
-	opt    Options
-	post   func(core.Event)
-	client *http.Client
-	alone  *http.Client // a new connection for each request
-	ctx    context.Context
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
-	probes atomic.Int64
+	opt          Options
+	post         func(core.Event)
+	client       *http.Client
+	singleUse    *http.Client // for requests that must not run twice: a new connection for each
+	ctx          context.Context
+	stop         context.CancelFunc
+	wg           sync.WaitGroup
+	healthChecks atomic.Int64 // health checks in flight
 
-	mu   sync.Mutex
-	open map[core.AttemptKey]*attempt
-	bars map[uint32]struct{}
+	mu       sync.Mutex
+	open     map[core.AttemptKey]*attempt
+	excluded map[uint32]struct{} // endpoints that operators have excluded
 }
 
 type attempt struct {
-	to      uint32
-	left    bool // it has a connection, so bytes of it may have left
-	cancel  context.CancelFunc
-	dropped bool
-	as      control.Outcome
+	to              uint32
+	mayBeSent       bool // it has a connection, so bytes of it may have been sent
+	cancel          context.CancelFunc
+	cancelRequested bool
+	cancelOutcome   control.Outcome // the result of a canceled attempt
 }
 
-// New returns an upstream that lives until Close.
+// New returns an upstream that runs until Close.
 func New(opt Options, post func(core.Event)) *Upstream {
-	u := &Upstream{opt: opt, post: post, open: map[core.AttemptKey]*attempt{}, bars: map[uint32]struct{}{}}
+	u := &Upstream{opt: opt, post: post, open: map[core.AttemptKey]*attempt{}, excluded: map[uint32]struct{}{}}
 	u.ctx, u.stop = context.WithCancel(context.Background())
 	if opt.Dial == nil {
 		opt.Dial = (&net.Dialer{}).DialContext
@@ -88,31 +88,31 @@
 		defer cancel()
 		return opt.Dial(ctx, network, addr)
 	}
-	client := func(alone bool) *http.Client {
+	client := func(singleUse bool) *http.Client {
 		return &http.Client{
 			Transport: &http.Transport{
 				DialContext: dial, MaxConnsPerHost: opt.MaxConns, MaxIdleConnsPerHost: max(1, opt.MaxConns/2),
 				IdleConnTimeout: clock.Duration(0.8 * opt.IdleClose), DisableCompression: true,
-				MaxResponseHeaderBytes: 16 << 10, DisableKeepAlives: alone,
+				MaxResponseHeaderBytes: 16 << 10, DisableKeepAlives: singleUse,
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}
 	}
-	u.client, u.alone = client(false), client(true)
+	u.client, u.singleUse = client(false), client(true)
 	return u
 }
 
-// Close gives up what is open and waits for it.
+// Close cancels all attempts and health checks, and waits until they have ended.
 func (u *Upstream) Close() {
 	u.stop()
 	u.wg.Wait()
 	u.client.CloseIdleConnections()
 }
 
-// UpdateEndpoints does nothing: the stores of this upstream are the operator's.
+// UpdateEndpoints does nothing: the endpoints of this upstream are set in the configuration.
 func (u *Upstream) UpdateEndpoints(core.EndpointList) {}
 
-// Has tells whether a store is reached by this upstream.
+// Has reports whether this upstream reaches the endpoint.
 func (u *Upstream) Has(id uint32) bool { _, ok := u.opt.Stores[id]; return ok }
 
 // Send makes an attempt.
@@ -121,7 +121,7 @@
 	a := &attempt{cancel: cancel, to: s.To}
 	u.mu.Lock()
 	u.open[s.AttemptKey] = a
-	if _, barred := u.bars[s.To]; barred {
+	if _, excluded := u.excluded[s.To]; excluded {
 		cancel()
 	}
 	u.mu.Unlock()
@@ -129,91 +129,93 @@
 	go func() {
 		defer u.wg.Done()
 		defer cancel()
-		ev := u.run(ctx, s, a)
+		ev := u.roundTrip(ctx, s, a)
 		u.mu.Lock()
 		delete(u.open, s.AttemptKey)
-		// A drop's end is told here, once the request's connection is closed or has given its answer.
-		if a.dropped && ev.Outcome != control.OK && ev.Outcome != control.ConnectFailed && ev.Outcome != control.NotSent {
-			ev = core.AttemptResult{AttemptKey: s.AttemptKey, Outcome: a.as, Unconfirmed: ev.Unconfirmed}
+		// A canceled attempt ends here, once its connection is closed or its response has arrived.
+		if a.cancelRequested && ev.Outcome != control.OK && ev.Outcome != control.ConnectFailed && ev.Outcome != control.NotSent {
+			ev = core.AttemptResult{AttemptKey: s.AttemptKey, Outcome: a.cancelOutcome, Unconfirmed: ev.Unconfirmed}
 		}
 		u.mu.Unlock()
 		u.post(ev)
 	}()
 }
 
-// Cancel gives an attempt up: its connection is closed, which abandons it.
+// Cancel cancels an attempt by closing its connection.
 func (u *Upstream) Cancel(k core.AttemptKey, as control.Outcome) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if a := u.open[k]; a != nil && !a.dropped {
-		a.dropped, a.as = true, as
+	if a := u.open[k]; a != nil && !a.cancelRequested {
+		a.cancelRequested, a.cancelOutcome = true, as
 		a.cancel()
 	}
 }
 
-// LimitCopyAge takes back what has no connection yet, as its terms are worded already: it is decided on again.
+// LimitCopyAge cancels an attempt that has no connection yet, as its headers are already set: the core routes the request
+// again.
 func (u *Upstream) LimitCopyAge(k core.AttemptKey, _ float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if a := u.open[k]; a != nil && !a.left {
+	if a := u.open[k]; a != nil && !a.mayBeSent {
 		a.cancel()
 	}
 }
 
-// ConfirmCancel has no way: HTTP stores are asked nothing but for what they hold.
+// ConfirmCancel returns false: HTTP has no way to confirm that an endpoint has read a cancellation.
 func (u *Upstream) ConfirmCancel(core.AttemptKey, uint32) bool { return false }
 
-// Exclude keeps what has no connection yet from leaving for a store, and all that comes later.
-func (u *Upstream) Exclude(member uint32, on bool) {
+// Exclude cancels the attempts to an endpoint that have no connection yet, and all later ones until it is called with excluded
+// false.
+func (u *Upstream) Exclude(endpoint uint32, excluded bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if delete(u.bars, member); !on {
+	if delete(u.excluded, endpoint); !excluded {
 		return
 	}
-	u.bars[member] = struct{}{}
+	u.excluded[endpoint] = struct{}{}
 	for _, a := range u.open {
-		if a.to == member && !a.left {
+		if a.to == endpoint && !a.mayBeSent {
 			a.cancel()
 		}
 	}
 }
 
-// late tells whether an attempt has no time left: its client's deadline has come, or the end of the time of its key.
-func (u *Upstream) late(s core.AttemptRequest) bool {
+// deadlinePassed reports whether the client's deadline or the send deadline of the attempt's idempotency key has passed.
+func (u *Upstream) deadlinePassed(s core.AttemptRequest) bool {
 	now := u.opt.Clock.Now()
 	return s.Deadline > 0 && now >= s.Deadline || s.SendDeadline > 0 && now >= s.SendDeadline
 }
 
-func (u *Upstream) run(ctx context.Context, s core.AttemptRequest, a *attempt) core.AttemptResult {
-	end := core.AttemptResult{AttemptKey: s.AttemptKey, Outcome: control.NotSent}
-	store, ok := u.opt.Stores[s.To]
+func (u *Upstream) roundTrip(ctx context.Context, s core.AttemptRequest, a *attempt) core.AttemptResult {
+	result := core.AttemptResult{AttemptKey: s.AttemptKey, Outcome: control.NotSent}
+	endpoint, ok := u.opt.Stores[s.To]
 	if !ok {
-		return end
+		return result
 	}
-	var wrote atomic.Bool // some byte may have left
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
+	var mayBeSent atomic.Bool // bytes of the request may have been sent
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(conn httptrace.GotConnInfo) {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		// The last moment before bytes leave: a client that has left or has no time left, a key whose time is over, and a
-		// store taken out, get none.
-		if ctx.Err() != nil || s.Canceled != nil && s.Canceled.Load() || u.late(s) {
+		// The last check before bytes are sent. Nothing is sent if the attempt or the request was canceled, a deadline has
+		// passed, or the endpoint was excluded.
+		if ctx.Err() != nil || s.Canceled != nil && s.Canceled.Load() || u.deadlinePassed(s) {
 			a.cancel()
-			got.Conn.Close() // the transport writes to a connection it has, whatever the context says
+			conn.Conn.Close() // the transport writes to a connection that it has obtained even if the context is canceled
 			return
 		}
-		a.left = true
-		wrote.Store(true)
+		a.mayBeSent = true
+		mayBeSent.Store(true)
 	}})
 	method := http.MethodGet
 	if len(s.Body) > 0 || s.Write {
 		method = http.MethodPost
 	}
-	target := strings.TrimSuffix(store.Base, "/") + "/" + s.Class + "/" + url.PathEscape(s.Name) + "/" +
+	target := strings.TrimSuffix(endpoint.Base, "/") + "/" + s.Class + "/" + url.PathEscape(s.Name) + "/" +
 		strconv.FormatUint(uint64(s.Part), 10)
-	// The body has no GetBody, so the transport can't send a write a second time by itself.
-	req, err := http.NewRequestWithContext(ctx, method, target, awaited{bytes.NewReader(s.Body), s.Canceled})
+	// Without GetBody the transport cannot resend a write by itself.
+	req, err := http.NewRequestWithContext(ctx, method, target, cancelableBody{bytes.NewReader(s.Body), s.Canceled})
 	if err != nil {
-		return end
+		return result
 	}
 	req.ContentLength = int64(len(s.Body))
 	if len(s.Body) == 0 {
@@ -226,60 +228,60 @@
 	if s.ClientETag != "" {
 		req.Header.Set("If-None-Match", `"`+s.ClientETag+`"`)
 	}
-	if store.Signer != nil {
-		store.Signer.Sign(req, s.Body, time.UnixMilli(int64(u.opt.Clock.Unix())))
+	if endpoint.Signer != nil {
+		endpoint.Signer.Sign(req, s.Body, time.UnixMilli(int64(u.opt.Clock.Unix())))
 	}
 	client := u.client
-	if s.NonIdempotent { // a connection that the store has left meanwhile would cost it
-		client = u.alone
+	if s.NonIdempotent { // it would be lost on a kept-alive connection that the endpoint has closed meanwhile
+		client = u.singleUse
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		end.Unconfirmed = wrote.Load()
-		end.Outcome = failure(err, wrote.Load(), ctx.Err() != nil)
-		return end
+		result.Unconfirmed = mayBeSent.Load()
+		result.Outcome = failureOutcome(err, mayBeSent.Load(), ctx.Err() != nil)
+		return result
 	}
 	defer resp.Body.Close()
 	body, err := readAll(resp.Body)
 	if err != nil {
-		end.Outcome, end.Unconfirmed = control.ServerError, true
+		result.Outcome, result.Unconfirmed = control.ServerError, true
 		if ctx.Err() != nil || neterr.Local(err) {
-			end.Outcome = control.Canceled
+			result.Outcome = control.Canceled
 		}
-		return end
+		return result
 	}
-	end.ETag = strings.Trim(resp.Header.Get("ETag"), `"`)
+	result.ETag = strings.Trim(resp.Header.Get("ETag"), `"`)
 	switch {
 	case resp.StatusCode == http.StatusOK || resp.StatusCode == http.StatusCreated || resp.StatusCode == http.StatusNoContent:
-		end.Outcome, end.Note, end.Body = control.OK, control.Hit, body
+		result.Outcome, result.Note, result.Body = control.OK, control.Hit, body
 	case resp.StatusCode == http.StatusNotModified:
-		end.Outcome, end.Note, end.NotModified = control.OK, control.Hit, true
+		result.Outcome, result.Note, result.NotModified = control.OK, control.Hit, true
 	case resp.StatusCode == http.StatusNotFound:
-		end.Outcome = control.Miss
+		result.Outcome = control.Miss
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		end.Outcome = control.Overloaded
+		result.Outcome = control.Overloaded
 	default:
-		end.Outcome = control.ServerError
-		u.opt.Log.Debug().Int("status", resp.StatusCode).Str("store", store.Base).Msg("store failed")
+		result.Outcome = control.ServerError
+		u.opt.Log.Debug().Int("status", resp.StatusCode).Str("store", endpoint.Base).Msg("endpoint responded with an error status")
 	}
-	// A status proves nothing of a write but its refusal: what the store may have done stays in doubt.
-	if s.Write && end.Outcome == control.Miss {
-		end.Outcome = control.ServerError
+	// Only a rejection (429 or 503) proves that a write has not run. A 404 does not, so it counts as a server error.
+	if s.Write && result.Outcome == control.Miss {
+		result.Outcome = control.ServerError
 	}
-	return end
+	return result
 }
 
-// failure tells what a request without an answer ended as, given whether bytes of it may have left and whether it was given
-// up. What failed on this host, and what ended as its client had left, says nothing of the store.
-func failure(err error, wrote, givenUp bool) control.Outcome {
+// failureOutcome returns the outcome of a request without a response, given whether bytes of it may have been sent and whether it
+// was canceled. A failure local to this host or a client's cancellation is not counted against the endpoint.
+func failureOutcome(err error, mayBeSent, canceled bool) control.Outcome {
 	switch {
-	case !wrote && givenUp: // or its store was taken out
+	case !mayBeSent && canceled: // also if its endpoint was excluded
 		return control.NotSent
-	case !wrote && neterr.Local(err):
+	case !mayBeSent && neterr.Local(err):
 		return control.LocalFailure
-	case !wrote: // no connection came up, so nothing ran
+	case !mayBeSent: // no connection was established, so it has not run
 		return control.ConnectFailed
-	case givenUp || neterr.Local(err) || errors.Is(err, errClientGone):
+	case canceled || neterr.Local(err) || errors.Is(err, errClientCanceled):
 		return control.Canceled
 	default:
 		return control.ConnectionLost
@@ -287,70 +289,70 @@
 }
 
 var (
-	errLong       = errors.New("web: the answer is too long")
-	errClientGone = errors.New("web: the client left in the middle of its request's write")
+	errBodyTooLong    = errors.New("httpstore: response body exceeds the limit")
+	errClientCanceled = errors.New("httpstore: client canceled the request while it was being written")
 )
 
-// awaited is a request's body, which ends in an error once nobody waits for the request. Guards against a store that reads
-// late: what its client has withdrawn by then never gets there whole.
-type awaited struct {
-	body io.Reader
-	over *atomic.Bool // nil: somebody always does
+// cancelableBody is a request body that fails once the client has canceled the request, so that an endpoint that reads slowly never
+// receives a canceled request completely.
+type cancelableBody struct {
+	body     io.Reader
+	canceled *atomic.Bool // nil: the request cannot be canceled
 }
 
-// Read reads the next piece of the body, or returns errClientGone if nobody waits for the request any more.
-func (a awaited) Read(b []byte) (int, error) {
-	if a.over != nil && a.over.Load() {
-		return 0, errClientGone
+// Read reads the next bytes of the body, or returns errClientCanceled if the client has canceled the request.
+func (a cancelableBody) Read(b []byte) (int, error) {
+	if a.canceled != nil && a.canceled.Load() {
+		return 0, errClientCanceled
 	}
-	return a.body.Read(b[:min(len(b), bodyPiece)])
+	return a.body.Read(b[:min(len(b), bodyChunkSize)])
 }
 
 func readAll(r io.Reader) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(r, maxBody+1))
-	if err == nil && len(b) > maxBody {
-		err = errLong
+	b, err := io.ReadAll(io.LimitReader(r, maxBodyBytes+1))
+	if err == nil && len(b) > maxBodyBytes {
+		err = errBodyTooLong
 	}
 	return b, err
 }
 
-// CheckHealth asks whether a store answers; it gives no report.
-func (u *Upstream) CheckHealth(member uint32) {
-	store, ok := u.opt.Stores[member]
+// CheckHealth checks whether an endpoint responds. The result has no load report.
+func (u *Upstream) CheckHealth(endpoint uint32) {
+	target, ok := u.opt.Stores[endpoint]
 	u.wg.Add(1)
 	go func() {
 		defer u.wg.Done()
-		ev := core.HealthCheckResult{Endpoint: member, Outcome: control.ConnectFailed}
-		if n := u.probes.Add(1); ok && n <= maxProbes {
-			ev.Outcome = u.probe(store)
-		} else if ok { // this side's own limit
+		ev := core.HealthCheckResult{Endpoint: endpoint, Outcome: control.ConnectFailed}
+		if n := u.healthChecks.Add(1); ok && n <= maxHealthChecks {
+			ev.Outcome = u.checkHealth(target)
+		} else if ok { // the limit of this upstream, which says nothing about the endpoint
 			ev.Outcome = control.NotSent
 		}
-		u.probes.Add(-1)
+		u.healthChecks.Add(-1)
 		u.post(ev)
 	}()
 }
 
-func (u *Upstream) probe(store Store) control.Outcome {
-	ctx, cancel := context.WithTimeout(u.ctx, probeTimeout*time.Millisecond)
+func (u *Upstream) checkHealth(endpoint Store) control.Outcome {
+	ctx, cancel := context.WithTimeout(u.ctx, healthCheckTimeout*time.Millisecond)
 	defer cancel()
-	var begun atomic.Bool // it has left the queue for one of this side's connections
+	var connecting atomic.Bool // it no longer waits for one of the limited connections
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		ConnectStart: func(string, string) { begun.Store(true) },
-		GotConn:      func(httptrace.GotConnInfo) { begun.Store(true) },
+		ConnectStart: func(string, string) { connecting.Store(true) },
+		GotConn:      func(httptrace.GotConnInfo) { connecting.Store(true) },
 	})
-	req, err := http.NewRequestWithContext(ctx, http.MethodHead, strings.TrimSuffix(store.Base, "/")+"/"+u.opt.Probe, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodHead, strings.TrimSuffix(endpoint.Base, "/")+"/"+u.opt.Probe, nil)
 	if err != nil {
 		return control.ConnectFailed
 	}
-	if store.Signer != nil {
-		store.Signer.Sign(req, nil, time.UnixMilli(int64(u.opt.Clock.Unix())))
+	if endpoint.Signer != nil {
+		endpoint.Signer.Sign(req, nil, time.UnixMilli(int64(u.opt.Clock.Unix())))
 	}
 	resp, err := u.client.Do(req)
 	switch {
 	case err != nil && neterr.Local(err):
 		return control.LocalFailure
-	case err != nil && ctx.Err() != nil && !begun.Load():
+	case err != nil && ctx.Err() != nil && !connecting.Load():
 		return control.NotSent
 	case err != nil && ctx.Err() != nil:
 		return control.TimedOut
@@ -364,7 +366,7 @@
 	return control.OK
 }
 
-// Check tells whether a store's base can be used.
+// Check returns an error if Base is not an absolute HTTP URL without a query.
 func (s Store) Check() error {
 	u, err := url.Parse(s.Base)
 	if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" || u.RawQuery != "" {
--- a/upstream/httpstore/httpstore_test.go
+++ b/upstream/httpstore/httpstore_test.go
@@ -17,8 +17,7 @@
 	"turnfork.dev/turnfork/internal/sigv4"
 )
 
-// The examples that are published with the specification: get-vanilla of its test suite, and S3's GET
-// of an object with a range.
+// The published examples of the specification: get-vanilla of its test suite, and S3's GET of an object with a range.
 func TestSignPublishedExamples(t *testing.T) {
 	for _, x := range []struct {
 		signer           Signer
@@ -56,15 +55,15 @@
 	}
 }
 
-// Each way that a store answers or fails, and what it proves.
+// The outcome of each kind of response or failure of an endpoint.
 func TestOutcomes(t *testing.T) {
 	signer := Signer{"gateway", "secret", "kz-1", "s3"}
 	var posts atomic.Int64
-	let := make(chan struct{})
+	release := make(chan struct{})
 	at := clock.Manual(1.8e12)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		again, _ := http.NewRequest(r.Method, "http://"+r.Host+r.URL.String(), nil) // sign what came once more
+		again, _ := http.NewRequest(r.Method, "http://"+r.Host+r.URL.String(), nil) // sign the received request again
 		for _, name := range strings.Split(strings.SplitN(strings.SplitN(r.Header.Get("Authorization"), "SignedHeaders=", 2)[1], ",", 2)[0], ";") {
 			if name != "host" {
 				again.Header[http.CanonicalHeaderKey(name)] = r.Header[http.CanonicalHeaderKey(name)]
@@ -93,25 +92,25 @@
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		case "long":
-			w.Write(make([]byte, maxBody+1))
+			w.Write(make([]byte, maxBodyBytes+1))
 		case "hang":
 			select {
 			case <-r.Context().Done():
-			case <-let:
+			case <-release:
 			}
 		}
 	}))
 	defer srv.Close()
-	defer close(let)
+	defer close(release)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := l.Addr().String()
+	unused := l.Addr().String()
 	l.Close()
 	got := make(chan core.Event, 16)
 	u := New(Options{
-		Stores: map[uint32]Store{1: {srv.URL + "/rides", &signer}, 2: {"http://" + nobody, nil}}, DialTimeout: 5000,
+		Stores: map[uint32]Store{1: {srv.URL + "/rides", &signer}, 2: {"http://" + unused, nil}}, DialTimeout: 5000,
 		IdleClose: 15000, MaxConns: 4, Clock: at, Log: zerolog.Nop(),
 	}, func(ev core.Event) { got <- ev })
 	defer u.Close()
@@ -119,18 +118,18 @@
 		"ok": control.OK, "same": control.OK, "none": control.Miss, "full": control.Overloaded, "cut": control.ConnectionLost,
 		"long": control.ServerError,
 	} {
-		inDoubt := name == "cut" || name == "long" // the store may still be at it
+		unconfirmed := name == "cut" || name == "long" // the endpoint may still run it
 		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 1}, To: 1, Class: "firmware", Name: name, ClientETag: "0a", Txn: "1"})
-		if e := (<-got).(core.AttemptResult); e.Outcome != want || e.NotModified != (name == "same") || e.Unconfirmed != inDoubt ||
+		if e := (<-got).(core.AttemptResult); e.Outcome != want || e.NotModified != (name == "same") || e.Unconfirmed != unconfirmed ||
 			name == "ok" && (string(e.Body) != "bytes of /rides/firmware/ok/0" || e.ETag != "0a") {
 			t.Errorf("%s: %+v", name, e)
 		}
 	}
 	u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 2}, To: 2, Class: "ride-end", Name: "ok", Write: true, Body: []byte("x")})
 	if e := (<-got).(core.AttemptResult); e.Outcome != control.ConnectFailed || e.Unconfirmed {
-		t.Errorf("nobody there: %+v", e)
+		t.Errorf("connection refused: %+v", e)
 	}
-	// A write that breaks off is not sent a second time by anyone, and its 404 proves nothing.
+	// A write whose connection ends is not sent again, and a 404 does not prove that it has not run.
 	for name, want := range map[string]control.Outcome{"cut": control.ConnectionLost, "none": control.ServerError, "ok": control.OK} {
 		before := posts.Load()
 		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 3}, To: 1, Class: "ride-end", Name: name, Write: true, Body: []byte("ride")})
@@ -141,7 +140,7 @@
 	u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 4}, To: 1, Class: "firmware", Name: "hang"})
 	u.Cancel(core.AttemptKey{ID: 4}, control.TimedOut)
 	if e := (<-got).(core.AttemptResult); (e.Outcome != control.TimedOut || !e.Unconfirmed) && (e.Outcome != control.NotSent || e.Unconfirmed) {
-		t.Errorf("dropped: %+v", e)
+		t.Errorf("canceled: %+v", e)
 	}
 	u.CheckHealth(1)
 	if p := (<-got).(core.HealthCheckResult); p.Endpoint != 1 || p.Outcome == control.TimedOut {
@@ -149,22 +148,22 @@
 	}
 }
 
-// What must not run twice gets a connection of its own: one kept open may have been left by its store.
-func TestOnceGoesAlone(t *testing.T) {
-	froms := make(chan string, 8)
-	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { froms <- r.RemoteAddr }))
+// A request that must not run twice gets a new connection: the endpoint may have closed a kept-alive one.
+func TestNonIdempotentUsesNewConnection(t *testing.T) {
+	remotes := make(chan string, 8)
+	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { remotes <- r.RemoteAddr }))
 	defer srv.Close()
-	ends := make(chan core.Event, 8)
+	results := make(chan core.Event, 8)
 	u := New(Options{
 		Stores: map[uint32]Store{1: {Base: srv.URL}}, DialTimeout: 5000, IdleClose: 5000, MaxConns: 4,
 		Clock: clock.Manual(1.8e12), Log: zerolog.Nop(),
-	}, func(ev core.Event) { ends <- ev })
+	}, func(ev core.Event) { results <- ev })
 	defer u.Close()
 	var got []string
-	for i, once := range []bool{false, false, true, true} {
-		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: control.RequestID(i)}, To: 1, Class: "c", Name: "n", Write: once, NonIdempotent: once})
-		got = append(got, <-froms)
-		if e := (<-ends).(core.AttemptResult); e.Outcome != control.OK {
+	for i, nonIdempotent := range []bool{false, false, true, true} {
+		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: control.RequestID(i)}, To: 1, Class: "c", Name: "n", Write: nonIdempotent, NonIdempotent: nonIdempotent})
+		got = append(got, <-remotes)
+		if e := (<-results).(core.AttemptResult); e.Outcome != control.OK {
 			t.Fatalf("%+v", e)
 		}
 	}
@@ -173,13 +172,13 @@
 	}
 }
 
-// What waits for a connection does not leave for a store that the operators have taken out meanwhile, nor does what
-// comes later, until it may serve again. What is under way there goes on.
-func TestTakenOut(t *testing.T) {
-	came, let := make(chan struct{}, 4), make(chan struct{})
+// Attempts that wait for a connection to an endpoint that is excluded meanwhile are not sent, nor are later ones until the
+// exclusion ends. Attempts in flight continue.
+func TestExclude(t *testing.T) {
+	arrived, respond := make(chan struct{}, 4), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		came <- struct{}{}
-		<-let
+		arrived <- struct{}{}
+		<-respond
 		w.Write([]byte("ok"))
 	}))
 	defer srv.Close()
@@ -193,8 +192,8 @@
 		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: control.RequestID(id)}, To: 1, Class: "firmware", Name: "x"})
 	}
 	send(1)
-	<-came
-	send(2) // the one connection is taken
+	<-arrived
+	send(2) // the only connection is in use
 	u.Exclude(1, true)
 	send(3)
 	for range 2 {
@@ -202,7 +201,7 @@
 			t.Errorf("%+v", e)
 		}
 	}
-	close(let)
+	close(respond)
 	if e := (<-got).(core.AttemptResult); e.ID != 1 || e.Outcome != control.OK {
 		t.Errorf("%+v", e)
 	}
@@ -211,37 +210,37 @@
 	if e := (<-got).(core.AttemptResult); e.ID != 4 || e.Outcome != control.OK {
 		t.Errorf("%+v", e)
 	}
-	if len(came) != 1 {
-		t.Errorf("%d more requests came", len(came))
+	if len(arrived) != 1 {
+		t.Errorf("%d more requests arrived", len(arrived))
 	}
 }
 
-// What is told while an attempt waits for a connection holds for it. The store has one connection, which another request
-// has until all is told.
-func TestWhatWaitsForAConnectionIsLookedAtAgain(t *testing.T) {
+// Changes that become known while an attempt waits for a connection must apply to it. The endpoint has one connection, which
+// another request uses until the change is made.
+func TestLastCheckBeforeSend(t *testing.T) {
 	for name, c := range map[string]struct {
-		tell func(u *Upstream, s core.AttemptRequest)
-		left bool
+		notify func(u *Upstream, s core.AttemptRequest)
+		sent   bool
 	}{
-		"nothing":              {func(*Upstream, core.AttemptRequest) {}, true},
-		"the client leaves":    {func(_ *Upstream, s core.AttemptRequest) { s.Canceled.Store(true) }, false},
-		"the store is out":     {func(u *Upstream, s core.AttemptRequest) { u.Exclude(s.To, true) }, false},
-		"the object is purged": {func(u *Upstream, s core.AttemptRequest) { u.LimitCopyAge(s.AttemptKey, 77) }, false}, // decided on again
-		"another is purged":    {func(u *Upstream, s core.AttemptRequest) { u.LimitCopyAge(core.AttemptKey{ID: 9}, 77) }, true},
-		"little time is left":  {func(u *Upstream, s core.AttemptRequest) { u.opt.Clock.Set(s.Deadline - 1) }, true},
-		"no time is left":      {func(u *Upstream, s core.AttemptRequest) { u.opt.Clock.Set(s.Deadline) }, false},
-		"the key's time ends":  {func(u *Upstream, s core.AttemptRequest) { u.opt.Clock.Set(s.SendDeadline) }, false},
+		"nothing":                  {func(*Upstream, core.AttemptRequest) {}, true},
+		"the client cancels":       {func(_ *Upstream, s core.AttemptRequest) { s.Canceled.Store(true) }, false},
+		"it is excluded":           {func(u *Upstream, s core.AttemptRequest) { u.Exclude(s.To, true) }, false},
+		"the object is purged":     {func(u *Upstream, s core.AttemptRequest) { u.LimitCopyAge(s.AttemptKey, 77) }, false}, // the core routes it again
+		"another is purged":        {func(u *Upstream, s core.AttemptRequest) { u.LimitCopyAge(core.AttemptKey{ID: 9}, 77) }, true},
+		"little time is left":      {func(u *Upstream, s core.AttemptRequest) { u.opt.Clock.Set(s.Deadline - 1) }, true},
+		"no time is left":          {func(u *Upstream, s core.AttemptRequest) { u.opt.Clock.Set(s.Deadline) }, false},
+		"the send deadline passes": {func(u *Upstream, s core.AttemptRequest) { u.opt.Clock.Set(s.SendDeadline) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var waits atomic.Int64
-			came, goOn := make(chan struct{}, 2), make(chan struct{})
+			var received atomic.Int64
+			arrived, resume := make(chan struct{}, 2), make(chan struct{})
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if strings.Contains(r.URL.Path, "/second/") {
-					waits.Add(1)
+					received.Add(1)
 					return
 				}
-				came <- struct{}{}
-				<-goOn
+				arrived <- struct{}{}
+				<-resume
 			}))
 			defer srv.Close()
 			ended := make(chan core.AttemptResult, 2)
@@ -249,35 +248,35 @@
 				Clock: clock.Manual(1e12), Log: zerolog.Nop()}, func(ev core.Event) { ended <- ev.(core.AttemptResult) })
 			defer u.Close()
 			u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 1}, To: 1, Class: "first", Name: "a"})
-			<-came
+			<-arrived
 			second := core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 2}, To: 1, Class: "second", Name: "a", Canceled: new(atomic.Bool),
 				Deadline: u.opt.Clock.Now() + 500, SendDeadline: u.opt.Clock.Now() + 600}
-			if name == "the key's time ends" {
+			if name == "the send deadline passes" {
 				second.Deadline, second.SendDeadline = second.SendDeadline, second.Deadline
 			}
 			u.Send(second)
-			c.tell(u, second)
-			close(goOn)
+			c.notify(u, second)
+			close(resume)
 			for range 2 {
 				e := <-ended
-				if want := map[bool]control.Outcome{true: control.OK, false: control.NotSent}[c.left || e.ID == 1]; e.Outcome != want || e.Unconfirmed {
+				if want := map[bool]control.Outcome{true: control.OK, false: control.NotSent}[c.sent || e.ID == 1]; e.Outcome != want || e.Unconfirmed {
 					t.Errorf("%d ended as %+v, want %v", e.ID, e, want)
 				}
 			}
-			if got := waits.Load() == 1; got != c.left {
-				t.Errorf("it reached the store: %t", got)
+			if got := received.Load() == 1; got != c.sent {
+				t.Errorf("it reached the endpoint: %t", got)
 			}
 		})
 	}
 }
 
-// A write that a full socket cuts in two never gets to its store whole once its client has left.
-func TestClientLeavesInTheMiddleOfTheBody(t *testing.T) {
-	for _, stays := range []bool{true, false} {
-		begun, goOn, read := make(chan struct{}), make(chan struct{}), make(chan error, 1)
+// A write that is partly sent when the send buffer is full never reaches its endpoint completely if its client cancels it then.
+func TestClientCancelsDuringBody(t *testing.T) {
+	for _, completes := range []bool{true, false} {
+		begun, resume, read := make(chan struct{}), make(chan struct{}), make(chan error, 1)
 		srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			close(begun)
-			<-goOn
+			<-resume
 			_, err := io.Copy(io.Discard, r.Body)
 			read <- err
 		}))
@@ -290,13 +289,13 @@
 		s.Body = make([]byte, 16<<20) // more than the sockets take
 		u.Send(s)
 		<-begun
-		s.Canceled.Store(!stays)
-		close(goOn)
-		if err := <-read; (err == nil) != stays {
-			t.Errorf("stays %t: its body was read with error %v", stays, err)
+		s.Canceled.Store(!completes)
+		close(resume)
+		if err := <-read; (err == nil) != completes {
+			t.Errorf("completes %t: its body was read with error %v", completes, err)
 		}
-		if e := <-ended; (e.Outcome == control.OK) != stays {
-			t.Errorf("stays %t: ended as %+v", stays, e)
+		if e := <-ended; (e.Outcome == control.OK) != completes {
+			t.Errorf("completes %t: ended as %+v", completes, e)
 		}
 	}
 }
--- a/upstream/httpstore/local_failure_test.go
+++ b/upstream/httpstore/local_failure_test.go
@@ -16,7 +16,7 @@
 	"turnfork.dev/turnfork/internal/faultnet"
 )
 
-// newFaultUpstream is an upstream before one store, whose dials and connections can be told to fail.
+// newFaultUpstream returns an upstream with one endpoint, whose dials and connections can be made to fail.
 func newFaultUpstream(t *testing.T, conns int, handle http.HandlerFunc) (*Upstream, *faultnet.Dialer, chan core.Event) {
 	server := httptest.NewServer(handle)
 	t.Cleanup(server.Close)
@@ -33,16 +33,17 @@
 	return core.AttemptRequest{AttemptKey: core.AttemptKey{ID: control.RequestID(id)}, To: 1, Class: "tile", Name: "x"}
 }
 
-// A dial that fails on this host is no word of the store, neither for an attempt nor for a probe.
+// A dial that fails for a reason local to this host must not be counted against the endpoint, neither for an attempt nor for a
+// health check.
 func TestFailedDials(t *testing.T) {
 	type failure struct {
 		err  error
 		want control.Outcome
 	}
 	cases := map[string]failure{
-		"lookup failed":   {&net.OpError{Op: "dial", Err: &net.DNSError{Err: "server misbehaving", IsTemporary: true}}, control.LocalFailure},
-		"no such host":    {&net.OpError{Op: "dial", Err: &net.DNSError{Err: "no such host", IsNotFound: true}}, control.ConnectFailed},
-		"it is not known": {io.ErrUnexpectedEOF, control.ConnectFailed},
+		"lookup failed": {&net.OpError{Op: "dial", Err: &net.DNSError{Err: "server misbehaving", IsTemporary: true}}, control.LocalFailure},
+		"no such host":  {&net.OpError{Op: "dial", Err: &net.DNSError{Err: "no such host", IsNotFound: true}}, control.ConnectFailed},
+		"unknown error": {io.ErrUnexpectedEOF, control.ConnectFailed},
 	}
 	for errno, want := range map[syscall.Errno]control.Outcome{
 		syscall.EMFILE: control.LocalFailure, syscall.ENFILE: control.LocalFailure, syscall.ENOBUFS: control.LocalFailure,
@@ -57,41 +58,41 @@
 			var reached atomic.Int64
 			u, dialer, events := newFaultUpstream(t, 4, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 			dialer.Fail(c.err, -1)
-			for _, once := range []bool{false, true} {
+			for _, nonIdempotent := range []bool{false, true} {
 				s := get(1)
-				s.NonIdempotent, s.Write = once, once
+				s.NonIdempotent, s.Write = nonIdempotent, nonIdempotent
 				u.Send(s)
 				if e := (<-events).(core.AttemptResult); e.Outcome != c.want || e.Unconfirmed {
-					t.Errorf("once %t: ended as %+v, want %v and no doubt", once, e, c.want)
+					t.Errorf("non-idempotent %t: ended as %+v, want %v and Unconfirmed false", nonIdempotent, e, c.want)
 				}
 			}
 			u.CheckHealth(1)
 			if p := (<-events).(core.HealthCheckResult); p.Outcome != c.want {
-				t.Errorf("a probe ended as %v, want %v", p.Outcome, c.want)
+				t.Errorf("health check ended as %v, want %v", p.Outcome, c.want)
 			}
 			if reached.Load() != 0 {
-				t.Error("something reached the store")
+				t.Error("a request reached the endpoint")
 			}
 			dialer.Fail(nil, 0)
 			u.Send(get(2))
 			if e := (<-events).(core.AttemptResult); e.Outcome != control.OK {
-				t.Errorf("once dials work again: %+v", e)
+				t.Errorf("after dials work again: %+v", e)
 			}
 		})
 	}
 }
 
-// What may have left and then met a failed call stays in doubt, whoever is to blame.
+// A request that may have been sent stays unconfirmed after a failed read, whatever caused the failure.
 func TestFailedReads(t *testing.T) {
 	for errno, want := range map[syscall.Errno]control.Outcome{
 		syscall.ECONNRESET: control.ConnectionLost, syscall.ETIMEDOUT: control.ConnectionLost, syscall.EHOSTUNREACH: control.ConnectionLost,
 		syscall.ENOBUFS: control.Canceled, syscall.ENOMEM: control.Canceled, syscall.ENETUNREACH: control.Canceled,
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			came, hold := make(chan struct{}), make(chan struct{})
+			arrived, hold := make(chan struct{}), make(chan struct{})
 			u, dialer, events := newFaultUpstream(t, 4, func(_ http.ResponseWriter, r *http.Request) {
 				io.Copy(io.Discard, r.Body)
-				close(came)
+				close(arrived)
 				<-hold
 			})
 			defer close(hold)
@@ -102,23 +103,23 @@
 				return f
 			})
 			s := get(1)
-			s.Write, s.Body = true, []byte("x") // else the transport sends it again by itself
+			s.Write, s.Body = true, []byte("x") // a request without a body would be resent by the transport
 			u.Send(s)
-			<-came
+			<-arrived
 			faulty.Load().FailRead(faultnet.Error("read", errno))
 			if e := (<-events).(core.AttemptResult); e.Outcome != want || !e.Unconfirmed {
-				t.Errorf("ended as %+v, want %v in doubt", e, want)
+				t.Errorf("ended as %+v, want %v and Unconfirmed true", e, want)
 			}
 		})
 	}
 }
 
-// A client that leaves in the middle of its body is no fault of the store.
-func TestClientLeavingInTheMiddleOfTheBodyBlamesNobody(t *testing.T) {
-	begun, goOn := make(chan struct{}), make(chan struct{})
+// A request that is canceled while its body is being sent is not counted against the endpoint.
+func TestClientCancelDuringBodyIsNotEndpointFailure(t *testing.T) {
+	begun, resume := make(chan struct{}), make(chan struct{})
 	u, _, events := newFaultUpstream(t, 1, func(_ http.ResponseWriter, r *http.Request) {
 		close(begun)
-		<-goOn
+		<-resume
 		io.Copy(io.Discard, r.Body)
 	})
 	s := get(1)
@@ -126,28 +127,28 @@
 	u.Send(s)
 	<-begun
 	s.Canceled.Store(true)
-	close(goOn)
+	close(resume)
 	if e := (<-events).(core.AttemptResult); e.Outcome != control.Canceled || !e.Unconfirmed {
-		t.Errorf("ended as %+v, want cancelled in doubt", e)
+		t.Errorf("ended as %+v, want canceled and Unconfirmed true", e)
 	}
 }
 
-// A probe that gets no connection because of this side's limits is no word of the store: neither of one whose connections
-// are all taken, nor beyond the number of probes that may be out at once.
-func TestProbeMeetsOwnLimit(t *testing.T) {
-	came, hold := make(chan struct{}), make(chan struct{})
+// A health check without a connection because of the upstream's own limits must not be counted against the endpoint: neither if
+// all connections are in use, nor if the maximum number of health checks is in flight.
+func TestHealthCheckMeetsOwnLimit(t *testing.T) {
+	arrived, hold := make(chan struct{}), make(chan struct{})
 	u, _, events := newFaultUpstream(t, 1, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
-			close(came)
+			close(arrived)
 			<-hold
 		}
 	})
 	u.Send(get(1))
-	<-came
-	for range 2 * maxProbes {
+	<-arrived
+	for range 2 * maxHealthChecks {
 		u.CheckHealth(1)
 	}
-	for range 2 * maxProbes {
+	for range 2 * maxHealthChecks {
 		if p, ok := (<-events).(core.HealthCheckResult); !ok || p.Outcome != control.NotSent {
 			t.Errorf("%+v", p)
 		}
--- a/upstream/httpstore/sigv4.go
+++ b/upstream/httpstore/sigv4.go
@@ -9,7 +9,7 @@
 	"turnfork.dev/turnfork/internal/sigv4"
 )
 
-// Signer signs requests to a store with AWS Signature Version 4.
+// Signer signs requests to an endpoint with AWS Signature Version 4.
 type Signer struct {
 	AccessKey string `toml:"access_key"`
 	SecretKey string `toml:"secret_key"`
@@ -17,8 +17,8 @@
 	Service   string `toml:"service"`
 }
 
-// Sign adds the date and the Authorization header to a request whose body has the given bytes. All
-// headers that the request has by then are signed. S3 wants the body's digest as a header too.
+// Sign adds the date and the Authorization header to a request with the given body, and for S3 the digest of the body. It
+// signs all headers that the request has at that time.
 func (s Signer) Sign(r *http.Request, body []byte, now time.Time) {
 	stamp := now.UTC().Format(sigv4.Time)
 	digest := sigv4.HexSum(body)
--- a/upstream/mux/mux.go
+++ b/upstream/mux/mux.go
@@ -1,7 +1,7 @@
 // Package mux routes each attempt to the upstream that reaches its endpoint, where a gateway has two of them.
 //
-// It owns one table: which attempts in flight were sent by the primary upstream, so that a cancellation reaches the one that
-// has the attempt even after the endpoint list has changed. It opens no connection, and decides nothing about an attempt.
+// It keeps one table: which attempts in flight were sent by the primary upstream, so that a cancellation reaches the upstream
+// that sent the attempt even after the endpoint list has changed. It opens no connections and makes no routing decisions.
 package mux
 
 import (
@@ -25,7 +25,7 @@
 	Fallback core.Upstream
 
 	mu        sync.Mutex
-	byPrimary map[core.AttemptKey]struct{} // the attempts that Primary sent, until TrackResults sees their results
+	byPrimary map[core.AttemptKey]struct{} // the attempts that Primary sent, until their results are posted
 }
 
 // Send starts an attempt.
@@ -70,7 +70,8 @@
 	u.Fallback.Exclude(endpoint, excluded)
 }
 
-// TrackResults wraps the function that both upstreams post their events to: an attempt whose result has come is forgotten.
+// TrackResults wraps the function that both upstreams post their events to. It removes an attempt from the table when its
+// result is posted.
 func (u *Upstream) TrackResults(post func(core.Event)) func(core.Event) {
 	return func(event core.Event) {
 		if result, ok := event.(core.AttemptResult); ok {
@@ -80,7 +81,7 @@
 	}
 }
 
-// recordPrimary notes that the primary upstream sends an attempt.
+// recordPrimary records that the primary upstream sends an attempt.
 func (u *Upstream) recordPrimary(key core.AttemptKey) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -90,7 +91,7 @@
 	u.byPrimary[key] = struct{}{}
 }
 
-// forget removes an attempt that has ended.
+// forget removes an attempt that has ended from the table.
 func (u *Upstream) forget(key core.AttemptKey) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -107,7 +108,7 @@
 	return u.Fallback
 }
 
-// ofEndpoint returns the upstream that reaches an endpoint at present.
+// ofEndpoint returns the upstream that currently reaches an endpoint.
 func (u *Upstream) ofEndpoint(endpoint uint32) core.Upstream {
 	if u.Primary.Has(endpoint) {
 		return u.Primary
--- a/upstream/mux/mux_test.go
+++ b/upstream/mux/mux_test.go
@@ -7,7 +7,7 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// recorder is an upstream that counts its calls and reaches the endpoints of a set.
+// recorder is an upstream that counts its calls and reaches a given set of endpoints.
 type recorder struct {
 	endpoints map[uint32]bool
 	calls     map[string]int
@@ -33,7 +33,7 @@
 func (r *recorder) UpdateEndpoints(core.EndpointList) { r.calls["UpdateEndpoints"]++ }
 func (r *recorder) Exclude(uint32, bool)              { r.calls["Exclude"]++ }
 
-// Each call reaches the upstream of its endpoint or of its attempt; the endpoint list and exclusions reach both.
+// Each call is routed to the upstream of its endpoint or attempt; the endpoint list and exclusions go to both.
 func TestCallsReachTheirUpstream(t *testing.T) {
 	const byPrimary, byFallback = 1, 2
 	send := func(u *Upstream, endpoint uint32) core.AttemptKey {
@@ -42,10 +42,10 @@
 		return key
 	}
 	for _, c := range []struct {
-		name              string
-		call              func(u *Upstream, endpoint uint32)
-		method            string
-		reachesEachOfBoth bool
+		name        string
+		call        func(u *Upstream, endpoint uint32)
+		method      string
+		reachesBoth bool
 	}{
 		{"send", func(u *Upstream, endpoint uint32) { send(u, endpoint) }, "Send", false},
 		{"cancel", func(u *Upstream, endpoint uint32) { u.Cancel(send(u, endpoint), 0) }, "Cancel", false},
@@ -60,10 +60,10 @@
 				primary, fallback := newRecorder(byPrimary), newRecorder(byFallback)
 				c.call(&Upstream{Primary: primary, Fallback: fallback}, endpoint)
 				wantPrimary, wantFallback := 0, 0
-				if c.reachesEachOfBoth || endpoint == byPrimary {
+				if c.reachesBoth || endpoint == byPrimary {
 					wantPrimary = 1
 				}
-				if c.reachesEachOfBoth || endpoint == byFallback {
+				if c.reachesBoth || endpoint == byFallback {
 					wantFallback = 1
 				}
 				if primary.calls[c.method] != wantPrimary || fallback.calls[c.method] != wantFallback {
@@ -74,7 +74,8 @@
 	}
 }
 
-// An attempt stays with the upstream that sent it when that no longer reaches the endpoint, and is forgotten with its result.
+// A cancellation goes to the upstream that sent the attempt even if that no longer reaches the endpoint. The attempt is
+// removed from the table with its result.
 func TestAttemptStaysUntilItsResult(t *testing.T) {
 	primary, fallback := newRecorder(1), newRecorder()
 	u := &Upstream{Primary: primary, Fallback: fallback}
@@ -85,7 +86,7 @@
 	delete(primary.endpoints, 1)
 	u.Cancel(key, 0)
 	if primary.calls["Cancel"] != 1 || fallback.calls["Cancel"] != 0 {
-		t.Errorf("cancelled at %v and %v", primary.calls, fallback.calls)
+		t.Errorf("canceled at %v and %v", primary.calls, fallback.calls)
 	}
 	post(core.AttemptResult{AttemptKey: key})
 	if len(posted) != 1 || len(u.byPrimary) != 0 {
--- a/upstream/resp/conn.go
+++ b/upstream/resp/conn.go
@@ -15,50 +15,51 @@
 	"turnfork.dev/turnfork/internal/neterr"
 )
 
-// conn is one connection. The pool's lock guards all but net and the goroutines' own buffers.
+// conn is one connection. The pool's lock guards all fields except net and the buffers of the reader and writer goroutines.
 type conn struct {
-	pool    *Pool
-	peer    *peer
-	net     net.Conn
-	raw     syscall.RawConn              // nil: net has none
-	open    map[string]*attempt          // by ID
-	stale   map[string]float64           // IDs that an answer may still come for, and since when
-	proofs  map[string][]core.AttemptKey // by the tag of a PING behind their DROPs
-	out     []chunk
-	buf     []byte // the writer's own
-	queued  int
-	wake    chan struct{}
-	leaving bool // takes no new work
-	closing bool // its close is under way
-	broken  bool
-	ended   error   // why this side's writer closed it; nil: it did not
-	heard   float64 // last answer
-	lastUse float64
-
-	silentSince float64 // when work was given up here with nothing heard since it was written; 0: not
-}
-
-// chunk is what one attempt has to write, or a PING.
+	pool         *Pool
+	peer         *peer
+	net          net.Conn
+	raw          syscall.RawConn              // nil: net has none
+	open         map[string]*attempt          // in flight or queued, by ID
+	retiredIDs   map[string]float64           // IDs for which a response may still arrive, with the time of their attempt's end
+	barriers     map[string][]core.AttemptKey // canceled attempts, by the ID of the PING behind their DROPs
+	outgoing     []chunk                      // queued for writing
+	buf          []byte                       // used by the writer goroutine only
+	queuedBytes  int                          // in outgoing
+	wake         chan struct{}
+	draining     bool // takes no new attempts, and is closed when its attempts have ended
+	closing      bool // Close has been called
+	broken       bool
+	writeErr     error   // why the writer closed the connection; nil: it did not
+	lastResponse float64 // time of the last response
+	lastUse      float64
+
+	// When an attempt was canceled that had no response for unresponsiveAfter, with no response to any other since; 0: it responds.
+	unresponsiveSince float64
+}
+
+// chunk is a command to be written: the GET, the DROP or the probe of an attempt, or a PING behind DROPs.
 type chunk struct {
-	of    *attempt
-	bytes []byte // of a GET only once it leaves
-	size  int    // as counted in queued
-	drop  bool
-	proof string // the tag of a PING behind DROPs; else ""
+	attempt    *attempt
+	bytes      []byte // nil for a queued GET or probe, which is encoded when it is written
+	queuedSize int    // as counted in conn.queuedBytes
+	isDrop     bool   // it is the DROP of the attempt
+	barrierID  string // the ID of a PING behind DROPs; else ""
 }
 
 const (
-	maxStale = 4096    // IDs remembered; a connection with more takes no new work
-	staleTTL = 10000.0 // ms for which they are, unless requests last longer
+	maxRetiredIDs = 4096    // IDs that cannot be reused yet; a connection with more takes no new attempts
+	retiredIDTTL  = 10000.0 // ms until an ID can be reused, unless requests may last longer
 
-	maxBatch  = 16 << 10 // bytes written at once, and the last chunk's beyond that
-	headSize  = 256      // bytes that a GET is taken to have beside its body while it waits
-	maxBuffer = 1 << 20  // bytes that a writer keeps room for
+	maxBatch        = 16 << 10 // bytes after which no further chunk is added to a write
+	commandOverhead = 256      // bytes estimated for a queued GET without its body
+	maxKeptBuffer   = 1 << 20  // bytes, the capacity above which the write buffer is released
 
-	maxProofs = 4 // PINGs behind DROPs that may be open on a connection
+	maxBarriers = 4 // PINGs behind DROPs in flight on a connection
 
-	ttlField = ",ttl="
-	ttlSlack = 100 // ms that a deadline which is cut off from the command's beginning may be too late, where it can't be changed
+	ttlField     = ",ttl="
+	ttlTolerance = 100 // ms by which the ttl of a partly written command may be too high where its number cannot be changed any more
 )
 
 func newConn(p *Pool, q *peer, nc net.Conn) *conn {
@@ -68,54 +69,54 @@
 		raw, _ = sc.SyscallConn()
 	}
 	return &conn{
-		raw: raw, pool: p, peer: q, net: nc, open: map[string]*attempt{}, stale: map[string]float64{}, proofs: map[string][]core.AttemptKey{},
-		wake: make(chan struct{}, 1), heard: now, lastUse: now,
+		raw: raw, pool: p, peer: q, net: nc, open: map[string]*attempt{}, retiredIDs: map[string]float64{}, barriers: map[string][]core.AttemptKey{},
+		wake: make(chan struct{}, 1), lastResponse: now, lastUse: now,
 	}
 }
 
-// used tells whether an ID can't be used on this connection: an answer to it that comes now may be that
-// of an earlier attempt which was given up, or a second copy of the earlier attempt's answer. Taken for the
-// new attempt's, either would let a third one leave while that is still out.
-func (c *conn) used(wire string) bool {
-	_, stale := c.stale[wire]
-	return stale || c.open[wire] != nil
+// idInUse reports whether an ID must not be used for a new attempt on this connection, because a response to an earlier attempt
+// with the same ID may still arrive: the response to a canceled attempt, or a duplicate. If it were matched to the new
+// attempt, that would end early, and a third attempt could be sent while the second still runs.
+func (c *conn) idInUse(wireID string) bool {
+	_, retired := c.retiredIDs[wireID]
+	return retired || c.open[wireID] != nil
 }
 
-// idle tells whether the connection has been unused for so long that its store may close it. Guards against a request
-// that meets that close, also between two sweeps.
-func (c *conn) idle() bool {
-	return c.pool.opt.IdleClose > 0 && c.pool.now()-c.lastUse > idlePart*c.pool.opt.IdleClose
+// idleExpired reports whether the connection has been unused for so long that the endpoint may soon close it. It is also checked
+// between two sweeps, so that no request is written into that close.
+func (c *conn) idleExpired() bool {
+	return c.pool.opt.IdleClose > 0 && c.pool.now()-c.lastUse > idleCloseFraction*c.pool.opt.IdleClose
 }
 
-// retire keeps an ID from being used here again for a while.
-func (c *conn) retire(wire string) {
-	if len(c.stale) < maxStale {
-		c.stale[wire] = c.pool.now()
+// retireID keeps an ID from being reused on this connection until forgetExpiredIDs deletes it.
+func (c *conn) retireID(wireID string) {
+	if len(c.retiredIDs) < maxRetiredIDs {
+		c.retiredIDs[wireID] = c.pool.now()
 	} else {
-		c.leaving = true
+		c.draining = true
 	}
 }
 
-// forget drops the IDs for which no answer can still come.
-func (c *conn) forget(now float64) {
-	for id, at := range c.stale {
-		if now-at > max(staleTTL, c.pool.opt.Longest) {
-			delete(c.stale, id)
+// forgetExpiredIDs deletes the retired IDs for which no response can arrive any more.
+func (c *conn) forgetExpiredIDs(now float64) {
+	for id, since := range c.retiredIDs {
+		if now-since > max(retiredIDTTL, c.pool.opt.Longest) {
+			delete(c.retiredIDs, id)
 		}
 	}
 }
 
-// carry puts an attempt on the connection.
-func (c *conn) carry(a *attempt) {
-	a.on = c
-	c.open[a.wire] = a
-	c.queue(chunk{of: a, size: len(a.bytes) + len(a.Body) + headSize})
+// add assigns an attempt to the connection and queues its command.
+func (c *conn) add(a *attempt) {
+	a.conn = c
+	c.open[a.wireID] = a
+	c.enqueue(chunk{attempt: a, queuedSize: len(a.probeCommand) + len(a.Body) + commandOverhead})
 }
 
-// queue has a chunk written.
-func (c *conn) queue(k chunk) {
-	c.out = append(c.out, k)
-	c.queued += k.size
+// enqueue adds a chunk to the write queue and wakes the writer.
+func (c *conn) enqueue(k chunk) {
+	c.outgoing = append(c.outgoing, k)
+	c.queuedBytes += k.queuedSize
 	c.lastUse = c.pool.now()
 	select {
 	case c.wake <- struct{}{}:
@@ -123,139 +124,140 @@
 	}
 }
 
-func (c *conn) unqueue(a *attempt) {
-	for i, k := range c.out {
-		if k.of == a {
-			c.queued -= k.size
-			c.out = append(c.out[:i], c.out[i+1:]...)
+func (c *conn) removeQueued(a *attempt) {
+	for i, k := range c.outgoing {
+		if k.attempt == a {
+			c.queuedBytes -= k.queuedSize
+			c.outgoing = append(c.outgoing[:i], c.outgoing[i+1:]...)
 			return
 		}
 	}
 }
 
-// prove gives the tag of a PING to write behind DROPs: a store reads a connection in order, so the answer
-// proves that it has read them. A store that takes nothing new is not asked, nor one that leaves several such questions open.
-func (c *conn) prove(drops []core.AttemptKey) (tag string) {
-	_, barred := c.pool.bars[c.peer.id]
-	if len(drops) == 0 || barred || !c.peer.ready || len(c.proofs) >= maxProofs || c.pool.opt.NoProbes {
+// addBarrier registers a PING to be written behind DROPs and returns its ID. An endpoint reads a connection in order, so the
+// response confirms that it has read them. It returns "" for an endpoint that accepts no new work, or if too many such PINGs
+// are in flight.
+func (c *conn) addBarrier(drops []core.AttemptKey) (id string) {
+	_, excluded := c.pool.excluded[c.peer.id]
+	if len(drops) == 0 || excluded || !c.peer.ready || len(c.barriers) >= maxBarriers || c.pool.opt.NoProbes {
 		return ""
 	}
-	c.pool.probes++
-	tag = probeName(c.pool.probes)
-	c.proofs[tag] = drops
-	return tag
+	c.pool.lastProbeID++
+	id = probeID(c.pool.lastProbeID)
+	c.barriers[id] = drops
+	return id
 }
 
-// unproven gives up the PINGs behind DROPs that have no answer yet.
-func (c *conn) unproven() (ended []core.Event) {
-	for _, keys := range c.proofs {
+// failBarriers ends the PINGs behind DROPs that have no response yet: their attempts stay unconfirmed.
+func (c *conn) failBarriers() (ended []core.Event) {
+	for _, keys := range c.barriers {
 		ended = append(ended, core.BarrierAnswered{Keys: keys, Silent: true})
 	}
-	clear(c.proofs)
+	clear(c.barriers)
 	return ended
 }
 
-// suspect notes that an attempt is given up; it counts as silence if nothing was heard since it was
-// written, a good while ago. Where the store has answered on another connection since, it is this one that
-// serves no further use.
-func (c *conn) suspect(a *attempt) {
+// markIfUnresponsive marks the connection unresponsive when an attempt on it is canceled without any response since the attempt was
+// written, more than unresponsiveAfter ago. If the endpoint has responded on another connection meanwhile, the fault lies with this
+// connection, which then drains.
+func (c *conn) markIfUnresponsive(a *attempt) {
 	now := c.pool.now()
-	if c.heard > a.written || now-a.written <= silentWork {
+	if c.lastResponse > a.writtenAt || now-a.writtenAt <= unresponsiveAfter {
 		return
 	}
-	if c.silentSince == 0 {
-		c.silentSince = now
+	if c.unresponsiveSince == 0 {
+		c.unresponsiveSince = now
 	}
-	for _, x := range c.peer.conns {
-		if x != c && x.heard > a.written {
-			c.leaving = true
+	for _, other := range c.peer.conns {
+		if other != c && other.lastResponse > a.writtenAt {
+			c.draining = true
 		}
 	}
 }
 
-// closeIfDone closes a connection that takes no more work once its work has ended, and the store has told that it has
-// read the DROPs or has had the time for it. Guards against the close and the writer waiting for each other: a close ends
-// once nobody has hold of the descriptor, and a writer that has may be waiting for the pool, which the caller holds.
+// closeIfDone closes a draining connection once its attempts have ended and its DROPs are confirmed or their PINGs have timed
+// out. It closes in a goroutine of its own to avoid a deadlock: Close waits until the writer releases the file descriptor,
+// and the writer may wait for the pool's lock, which the caller holds.
 func (c *conn) closeIfDone() {
-	if c.leaving && len(c.open) == 0 && len(c.out) == 0 && len(c.proofs) == 0 && !c.broken && !c.closing {
+	if c.draining && len(c.open) == 0 && len(c.outgoing) == 0 && len(c.barriers) == 0 && !c.broken && !c.closing {
 		c.closing = true
-		c.pool.wg.Go(func() { c.net.Close() }) // the reader takes it off the peer
+		c.pool.wg.Go(func() { c.net.Close() }) // the reader then removes it from the peer
 	}
 }
 
-// write is the writer goroutine.
-func (c *conn) write(wake <-chan struct{}) {
+// writeLoop is the writer goroutine. It ends when wake is closed.
+func (c *conn) writeLoop(wake <-chan struct{}) {
 	defer c.pool.wg.Done()
 	for range wake {
 		for more := true; more; {
 			var err error
-			if more, err = c.flush(); err != nil {
+			if more, err = c.writeBatch(); err != nil {
 				c.pool.mu.Lock()
-				c.ended = err
+				c.writeErr = err
 				c.pool.mu.Unlock()
-				c.net.Close() // abandons all that is open on it; the reader tells
+				c.net.Close() // the reader reports the end of the attempts in flight
 				return
 			}
 		}
 	}
 }
 
-// flush writes a batch of what waits, and tells whether there may be more. Guards against a store that reads late: what
-// its full socket holds up is looked at again once the socket takes bytes, so that nothing leaves that has been taken
-// back, or that its target or source takes no more, while it waited.
-func (c *conn) flush() (more bool, err error) {
+// writeBatch writes a batch of queued chunks and reports whether there are more. If the socket's send buffer is full, the batch is
+// built again once the socket is writable, so that attempts are not sent that were canceled while they waited or whose
+// target or fill source accepts no new work any more.
+func (c *conn) writeBatch() (more bool, err error) {
 	p := c.pool
 	var batch []chunk
 	var n int
-	var failed error
-	c.net.SetWriteDeadline(time.Now().Add(writeLimit))
+	var writeErr error
+	c.net.SetWriteDeadline(time.Now().Add(writeTimeout))
 	err = c.whenWritable(func(write func([]byte) (int, error)) (done bool) {
 		p.mu.Lock()
 		var ended []core.Event
 		batch, ended = c.nextBatch()
 		p.mu.Unlock()
-		for _, ev := range ended { // the core may let a post wait, and what was worded just now must not
-			p.soon(ev)
+		for _, ev := range ended { // asynchronously, as a post may block on the core and the encoded batch must be written now
+			p.postAsync(ev)
 		}
 		c.buf = c.buf[:0]
 		for _, k := range batch {
 			c.buf = append(c.buf, k.bytes...)
 		}
-		if n, failed = 0, nil; len(c.buf) > 0 {
-			n, failed = write(c.buf)
+		if n, writeErr = 0, nil; len(c.buf) > 0 {
+			n, writeErr = write(c.buf)
 		}
-		if !errors.Is(failed, syscall.EAGAIN) {
+		if !errors.Is(writeErr, syscall.EAGAIN) {
 			return true
 		}
 		p.mu.Lock()
-		c.putBack(batch)
+		c.requeue(batch)
 		p.mu.Unlock()
-		batch, n, failed = nil, 0, nil
+		batch, n, writeErr = nil, 0, nil
 		return false
 	})
-	if cap(c.buf) > maxBuffer {
+	if cap(c.buf) > maxKeptBuffer {
 		c.buf = nil
 	}
 	if err == nil {
-		err = failed
+		err = writeErr
 	}
-	whole, cut := 0, max(0, n)
-	for ; whole < len(batch) && cut >= len(batch[whole].bytes); whole++ {
-		cut -= len(batch[whole].bytes)
+	written, partial := 0, max(0, n)
+	for ; written < len(batch) && partial >= len(batch[written].bytes); written++ {
+		partial -= len(batch[written].bytes)
 	}
-	if err == nil && cut > 0 { // the socket is full in the middle of a chunk
-		if err = c.writeRest(batch[whole], cut); err == nil {
-			whole++
+	if err == nil && partial > 0 { // the send buffer is full in the middle of a chunk
+		if err = c.writeRemainder(batch[written], partial); err == nil {
+			written++
 		}
 	}
 	p.mu.Lock()
-	ended := c.wrote(batch[:whole], batch[whole:], err)
-	if errors.Is(err, errTooLate) {
-		if ev := p.end(batch[whole].of, control.NotSent); ev != nil {
+	ended := c.recordWritten(batch[:written], batch[written:], err)
+	if errors.Is(err, errDeadlinePassed) {
+		if ev := p.endAttempt(batch[written].attempt, control.NotSent); ev != nil {
 			ended = append(ended, ev)
 		}
 	}
-	more = len(c.out) > 0 && !c.broken
+	more = len(c.outgoing) > 0 && !c.broken
 	p.mu.Unlock()
 	for _, ev := range ended {
 		p.post(ev)
@@ -263,19 +265,19 @@
 	return more, err
 }
 
-// writeRest writes what is left of a chunk, of which so many bytes have left. Guards against a store that reads late: a
-// request whose client leaves meanwhile never gets there whole, at the price of the connection, nor does one whose deadline
-// has yet to leave and can't be told any more.
-func (c *conn) writeRest(k chunk, sent int) error {
+// writeRemainder writes the remainder of a chunk of which the given number of bytes are sent. If meanwhile the client cancels the
+// request, or its ttl is not yet sent and can no longer be corrected, it returns an error instead: the connection is then
+// closed, so that a slow endpoint never receives the complete request.
+func (c *conn) writeRemainder(k chunk, sent int) error {
 	rest := k.bytes[sent:]
-	var failed error
+	var writeErr error
 	err := c.whenWritable(func(write func([]byte) (int, error)) (done bool) {
 		for len(rest) > 0 {
-			if k.unwanted() {
-				failed = errClientGone
+			if k.canceled() {
+				writeErr = errClientCanceled
 				return true
 			}
-			if rest, failed = c.redate(k, rest); failed != nil {
+			if rest, writeErr = c.updateTTL(k, rest); writeErr != nil {
 				return true
 			}
 			n, err := write(rest)
@@ -283,56 +285,57 @@
 				return false
 			}
 			if err != nil {
-				failed = err
+				writeErr = err
 				return true
 			}
 			rest = rest[n:]
 		}
 		return true
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, writeErr)
 }
 
-// redate gives the rest of a chunk with the deadline as it is now, unless that has left or is still exact enough. The number
-// can't change its width, as the command's lengths have left.
-func (c *conn) redate(k chunk, rest []byte) ([]byte, error) {
-	at, told := toldTTL(k.bytes)
+// updateTTL updates the ttl field in the remainder of a chunk to the time left now, unless the field is sent already. The number
+// of digits cannot change, as the command's lengths are sent: with fewer digits the old value stays if it is within
+// ttlTolerance, else updateTTL returns errDeadlinePassed.
+func (c *conn) updateTTL(k chunk, rest []byte) ([]byte, error) {
+	at, digits := findTTL(k.bytes)
 	sent := len(k.bytes) - len(rest)
-	if k.of == nil || k.drop || k.of.Deadline <= 0 || at == 0 || sent > at {
+	if k.attempt == nil || k.isDrop || k.attempt.Deadline <= 0 || at == 0 || sent > at {
 		return rest, nil
 	}
-	left := k.of.Deadline - c.pool.now()
-	now := strconv.FormatInt(int64(left), 10)
-	before, err := strconv.ParseInt(told, 10, 64)
+	remaining := k.attempt.Deadline - c.pool.now()
+	newDigits := strconv.FormatInt(int64(remaining), 10)
+	previous, err := strconv.ParseInt(digits, 10, 64)
 	switch {
-	case err != nil || left < minTTL || len(now) != len(told) && int64(left)+ttlSlack < before:
-		return nil, errTooLate
-	case len(now) == len(told):
-		copy(k.bytes[at:], now)
+	case err != nil || remaining < minTTL || len(newDigits) != len(digits) && int64(remaining)+ttlTolerance < previous:
+		return nil, errDeadlinePassed
+	case len(newDigits) == len(digits):
+		copy(k.bytes[at:], newDigits)
 	}
 	return rest, nil
 }
 
-// toldTTL finds the deadline in a GET: where its digits begin, or 0, and the digits.
-func toldTTL(command []byte) (at int, digits string) {
-	_, behind, found := bytes.Cut(command, []byte(ttlField))
+// findTTL finds the ttl field in a GET. It returns the position of its first digit, or 0 if there is none, and its digits.
+func findTTL(command []byte) (at int, digits string) {
+	_, after, found := bytes.Cut(command, []byte(ttlField))
 	if !found {
 		return 0, ""
 	}
 	n := 0
-	for n < len(behind) && behind[n] >= '0' && behind[n] <= '9' {
+	for n < len(after) && after[n] >= '0' && after[n] <= '9' {
 		n++
 	}
-	return len(command) - len(behind), string(behind[:n])
+	return len(command) - len(after), string(after[:n])
 }
 
-// unwanted tells whether a chunk is a request that nobody waits for any more.
-func (k chunk) unwanted() bool {
-	return k.of != nil && !k.drop && k.of.Canceled != nil && k.of.Canceled.Load()
+// canceled reports whether a chunk is a request that its client has canceled.
+func (k chunk) canceled() bool {
+	return k.attempt != nil && !k.isDrop && k.attempt.Canceled != nil && k.attempt.Canceled.Load()
 }
 
-// whenWritable calls try with a write that does not wait, and again when the socket takes bytes until it is done. A
-// connection that can't tell, such as a recorded one, waits in the write itself.
+// whenWritable calls try with a non-blocking write function, and again whenever the socket is writable, until it returns
+// true. A connection without a file descriptor, such as a recorded one, gets a blocking write function.
 func (c *conn) whenWritable(try func(write func([]byte) (int, error)) (done bool)) error {
 	if c.raw == nil {
 		try(c.net.Write)
@@ -349,17 +352,17 @@
 	})
 }
 
-// command gives an attempt's bytes for a write at a time. Guards against a store that is told of time which
-// has passed while the attempt waited for a dial or behind a full socket.
+// command encodes an attempt for a write at the given time. It is encoded this late so that the ttl does not include time
+// that the attempt has spent waiting for a dial or a full socket.
 func (a *attempt) command(now float64) []byte {
 	if a.probe {
-		return a.bytes
+		return a.probeCommand
 	}
-	return encode(a.AttemptRequest, a.Deadline-now)
+	return encodeGet(a.AttemptRequest, a.Deadline-now)
 }
 
-// batchSize is how many bytes are taken to be written at once. A write that waits by itself takes one chunk each time, so
-// that those behind it are worded after the wait.
+// batchSize returns the number of bytes after which a batch is complete. With blocking writes a batch has one chunk, so that
+// the chunks behind it are encoded only after that write.
 func (c *conn) batchSize() int {
 	if c.raw == nil {
 		return 1
@@ -367,114 +370,115 @@
 	return maxBatch
 }
 
-// nextBatch gives what to write next, with a PING behind its DROPs, and ends what may not leave any more.
+// nextBatch takes the next batch from the write queue, with a PING behind its DROPs, and ends the attempts that must not be
+// sent any more.
 func (c *conn) nextBatch() (batch []chunk, ended []core.Event) {
 	if c.broken {
 		return nil, nil
 	}
 	var drops []core.AttemptKey
 	size, next := 0, 0
-	for ; next < len(c.out) && size < c.batchSize(); next++ {
-		k := c.out[next]
-		c.queued -= k.size
-		switch a := k.of; {
-		case a.over: // its end came another way
+	for ; next < len(c.outgoing) && size < c.batchSize(); next++ {
+		k := c.outgoing[next]
+		c.queuedBytes -= k.queuedSize
+		switch a := k.attempt; {
+		case a.ended: // it has ended otherwise, such as by a response
 			continue
-		case k.drop:
+		case k.isDrop:
 			drops = append(drops, a.AttemptKey)
-		case a.dropped || !c.pool.mayLeave(a):
-			if ev := c.pool.end(a, control.NotSent); ev != nil {
+		case a.cancelRequested || !c.pool.maySend(a):
+			if ev := c.pool.endAttempt(a, control.NotSent); ev != nil {
 				ended = append(ended, ev)
 			}
 			continue
 		default:
-			a.writing, a.written = true, c.pool.now()
-			k.bytes = a.command(a.written)
+			a.mayBeSent, a.writtenAt = true, c.pool.now()
+			k.bytes = a.command(a.writtenAt)
 		}
 		batch, size = append(batch, k), size+len(k.bytes)
 	}
-	if c.out = c.out[next:]; len(c.out) == 0 {
-		c.out = nil
+	if c.outgoing = c.outgoing[next:]; len(c.outgoing) == 0 {
+		c.outgoing = nil
 	}
-	if tag := c.prove(drops); tag != "" {
-		batch = append(batch, chunk{proof: tag, bytes: appendCommand(nil, "PING", tag)})
+	if id := c.addBarrier(drops); id != "" {
+		batch = append(batch, chunk{barrierID: id, bytes: appendCommand(nil, "PING", id)})
 	}
 	return batch, ended
 }
 
-// putBack has chunks of which no byte has left wait on.
-func (c *conn) putBack(batch []chunk) {
-	var back []chunk
+// requeue returns chunks that are not completely written to the front of the write queue.
+func (c *conn) requeue(batch []chunk) {
+	var requeued []chunk
 	for _, k := range batch {
-		if k.proof != "" { // asked for anew with its DROPs
-			delete(c.proofs, k.proof)
+		if k.barrierID != "" { // registered again with its DROPs
+			delete(c.barriers, k.barrierID)
 			continue
 		}
-		if !k.drop {
-			k.of.writing, k.bytes = false, nil
+		if !k.isDrop {
+			k.attempt.mayBeSent, k.bytes = false, nil
 		}
-		c.queued += k.size
-		back = append(back, k)
+		c.queuedBytes += k.queuedSize
+		requeued = append(requeued, k)
 	}
-	c.out = append(back, c.out...)
+	c.outgoing = append(requeued, c.outgoing...)
 }
 
-// wrote books what has left whole and puts the rest back. What a failed write has not sent whole can't have arrived
-// whole, so it is proven not to have run.
-func (c *conn) wrote(whole, rest []chunk, err error) (ended []core.Event) {
-	for _, k := range whole {
-		if k.drop && !k.of.over { // the DROP is out: from now on another attempt may leave
-			c.retire(k.of.wire)
-			if ev := c.pool.end(k.of, k.of.as); ev != nil {
+// recordWritten records the chunks that are completely written and puts the rest back. A chunk that a failed write did not send
+// completely cannot have arrived completely, so its attempt has not run.
+func (c *conn) recordWritten(written, rest []chunk, err error) (ended []core.Event) {
+	for _, k := range written {
+		if k.isDrop && !k.attempt.ended { // the DROP is sent: from now on the next attempt of the request may be sent
+			c.retireID(k.attempt.wireID)
+			if ev := c.pool.endAttempt(k.attempt, k.attempt.cancelOutcome); ev != nil {
 				ended = append(ended, ev)
 			}
 		}
 	}
-	if c.putBack(rest); err == nil {
+	if c.requeue(rest); err == nil {
 		c.closeIfDone()
 	}
 	return ended
 }
 
-// pieces reads a connection on which answers may come in pieces of any size. Guards against an answer that stops short
-// and leaves everything else on the connection waiting behind it: from its first byte on each piece has so long, and
-// all of it until a time, while an idle connection has no limit.
-type pieces struct {
-	net   net.Conn
-	until time.Time // zero: no answer is under way
+// responseReader reads a connection with time limits on each response, so that one that stops short does not block all others on the
+// connection. From a response's first byte on, each read is limited to responseReadTimeout and the response as a whole to
+// deadline. An idle connection has no limit.
+type responseReader struct {
+	net      net.Conn
+	deadline time.Time // zero: no response has begun
 }
 
-// Read reads what has come. While an answer is under way it fails with a time-out where the next piece is late.
-func (p *pieces) Read(b []byte) (int, error) {
-	at := p.until
-	if next := time.Now().Add(answerPieceTimeout); !at.IsZero() && next.Before(at) {
-		at = next
+// Read reads the available bytes. Within a response it fails with a timeout if the next bytes do not arrive in time.
+func (p *responseReader) Read(b []byte) (int, error) {
+	deadline := p.deadline
+	if next := time.Now().Add(responseReadTimeout); !deadline.IsZero() && next.Before(deadline) {
+		deadline = next
 	}
-	p.net.SetReadDeadline(at)
+	p.net.SetReadDeadline(deadline)
 	return p.net.Read(b)
 }
 
-// read is the reader goroutine; it owns the connection's end.
-func (c *conn) read() {
+// readLoop is the reader goroutine. When the connection has ended, it ends all attempts on it.
+func (c *conn) readLoop() {
 	p := c.pool
 	defer p.wg.Done()
-	in := &pieces{net: c.net}
-	r := bufio.NewReaderSize(in, readBuffer)
+	in := &responseReader{net: c.net}
+	r := bufio.NewReaderSize(in, readBufferSize)
 	var err error
 	for err == nil {
-		in.until = time.Time{}
+		in.deadline = time.Time{}
 		if _, err = r.Peek(1); err != nil {
 			break
 		}
-		in.until = time.Now().Add(answerTimeout)
-		var a answer
-		if a, err = readAnswer(r); err == nil {
+		in.deadline = time.Now().Add(responseTimeout)
+		var a response
+		if a, err = readResponse(r); err == nil {
 			var ev core.Event
-			var proven []core.AttemptKey
-			if ev, proven, err = c.take(a); ev != nil {
+			var confirmed []core.AttemptKey
+			if ev, confirmed, err = c.handleResponse(a); ev != nil {
 				p.post(ev)
 			}
-			for _, k := range proven {
+			for _, k := range confirmed {
 				p.post(core.CancelConfirmed{AttemptKey: k})
 			}
 		}
@@ -491,21 +495,21 @@
 	}
 	var ended []core.Event
 	lost := len(c.open)
-	notSent, mayHaveRun := c.endResults(err)
+	notSent, mayHaveRun := c.closeOutcomes(err)
 	for _, a := range c.open {
 		res := mayHaveRun
 		switch {
-		case !a.writing: // no byte of it has left
+		case !a.mayBeSent: // no byte of it was sent
 			res = notSent
-		case a.dropped: // the close has told the store
-			res = a.as
+		case a.cancelRequested: // the close of the connection cancels it at the endpoint
+			res = a.cancelOutcome
 		}
-		if ev := p.end(a, res); ev != nil {
+		if ev := p.endAttempt(a, res); ev != nil {
 			ended = append(ended, ev)
 		}
 	}
-	ended = append(ended, c.unproven()...)
-	expected := c.leaving || p.ctx.Err() != nil
+	ended = append(ended, c.failBarriers()...)
+	expected := c.draining || p.ctx.Err() != nil
 	close(c.wake)
 	c.wake = nil
 	p.mu.Unlock()
@@ -517,71 +521,74 @@
 	}
 }
 
-// endResults tells what the end of the connection means for the attempts on it, given the reader's error. An end for a
-// reason of this host, or because a client left in the middle of its request, says nothing of the store.
-func (c *conn) endResults(read error) (notSent, mayHaveRun control.Outcome) {
-	if neterr.Local(read) || neterr.Local(c.ended) || errors.Is(c.ended, errClientGone) {
+// closeOutcomes returns the outcomes of the attempts on a connection that has ended with the given read error: of those that were
+// not sent, and of those that may have run. A failure local to this host, or a client's cancellation in the middle of
+// writing its request, is not counted against the endpoint.
+func (c *conn) closeOutcomes(readErr error) (notSent, mayHaveRun control.Outcome) {
+	if neterr.Local(readErr) || neterr.Local(c.writeErr) || errors.Is(c.writeErr, errClientCanceled) {
 		return control.LocalFailure, control.Canceled
 	}
 	return control.ConnectFailed, control.ConnectionLost
 }
 
-// take books one answer: the end of an attempt or a probe, or the attempts whose DROPs it proves to be read.
-func (c *conn) take(a answer) (_ core.Event, proven []core.AttemptKey, _ error) {
+// handleResponse processes one response. It returns the event of the attempt or probe that ended with it, or the attempts whose DROPs it
+// confirms.
+func (c *conn) handleResponse(a response) (_ core.Event, confirmed []core.AttemptKey, _ error) {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// That a store reads does not count as work done: a connection on which work comes to nothing is left all the same.
-	if proven = c.proofs[a.id]; proven != nil {
-		delete(c.proofs, a.id)
+	// This response does not update the time of the last response: an endpoint that reads but does not respond to attempts
+	// still counts as unresponsive.
+	if confirmed = c.barriers[a.id]; confirmed != nil {
+		delete(c.barriers, a.id)
 		c.closeIfDone()
-		return nil, proven, nil
+		return nil, confirmed, nil
 	}
-	c.heard, c.silentSince = p.now(), 0
+	c.lastResponse, c.unresponsiveSince = p.now(), 0
 	t := c.open[a.id]
 	if t == nil {
-		// An answer to what was given up, a second copy, or one under an id that was never asked here: each
-		// is whole and harms nothing. Guards against one of them costing every request on the connection.
+		// A complete response to a canceled attempt, a duplicate, or a response with an unknown ID. It is ignored, so that
+		// it does not end all other attempts on the connection.
 		return nil, nil, nil
 	}
 	if t.confirms != nil {
-		return p.end(t, control.OK), nil, nil
+		return p.endAttempt(t, control.OK), nil, nil
 	}
 	if t.probe {
-		ev := p.end(t, control.ServerError)
+		ev := p.endAttempt(t, control.ServerError)
 		if got, ok := ev.(core.HealthCheckResult); ok {
-			switch a.word {
+			switch a.status {
 			case "READY":
 				got.Outcome = control.OK
 			case "AILING":
 			default:
-				return ev, nil, fmt.Errorf("%w: %.20q to a probe", errWire, a.word)
+				return ev, nil, fmt.Errorf("%w: status %.20q in response to a probe", errMalformed, a.status)
 			}
 			got.Load = a.fields.load()
 			ev = got
 		}
 		return ev, nil, nil
 	}
-	res, ok := words[a.word]
+	res, ok := outcomes[a.status]
 	if !ok {
-		return p.end(t, control.ServerError), nil, fmt.Errorf("%w: word %.20q", errWire, a.word)
+		return p.endAttempt(t, control.ServerError), nil, fmt.Errorf("%w: unknown status %.20q", errMalformed, a.status)
 	}
-	t.told = true
-	if res != control.OK { // the request may be asked for again
-		c.retire(a.id)
+	t.answered = true
+	if res != control.OK { // the request may be retried with the same ID
+		c.retireID(a.id)
 	}
-	ev, _ := p.end(t, res).(core.AttemptResult)
+	ev, _ := p.endAttempt(t, res).(core.AttemptResult)
 	ev.Note, ev.QueueDelay, ev.Load = notes[a.fields.get("why")], a.fields.number("lag"), a.fields.load()
-	ev.ETag, ev.CreatedAt, ev.Body, ev.NotModified = a.fields.get("tag"), a.fields.number("minted"), a.body, a.word == "NOMOD"
+	ev.ETag, ev.CreatedAt, ev.Body, ev.NotModified = a.fields.get("tag"), a.fields.number("minted"), a.body, a.status == "NOMOD"
 	return ev, nil, nil
 }
 
 const probePrefix = "p-"
 
-func probeName(n uint64) string { return probePrefix + strconv.FormatUint(n, 10) }
+func probeID(n uint64) string { return probePrefix + strconv.FormatUint(n, 10) }
 
-// encode words an attempt as a GET of a client that has left ms to wait.
-func encode(s core.AttemptRequest, left float64) []byte {
+// encodeGet encodes an attempt as a GET whose client waits for the given number of milliseconds more.
+func encodeGet(s core.AttemptRequest, remaining float64) []byte {
 	f := make([]byte, 0, 160)
 	f = append(f, "lane="...)
 	f = append(f, s.Class...)
@@ -589,9 +596,9 @@
 	f = append(f, s.Name...)
 	f = append(f, ",piece="...)
 	f = strconv.AppendUint(f, uint64(s.Part), 10)
-	if s.Deadline > 0 { // rounded down: never more than is left
+	if s.Deadline > 0 { // rounded down: never more than the client has left
 		f = append(f, ttlField...)
-		f = strconv.AppendInt(f, int64(left), 10)
+		f = strconv.AppendInt(f, int64(remaining), 10)
 	}
 	if s.Fill {
 		f = append(f, ",via="...)
@@ -601,7 +608,7 @@
 		f = append(f, ",tier="...)
 		f = strconv.AppendUint(f, uint64(s.CacheRank), 10)
 	}
-	if s.MaxAge > 0 { // rounded down: 0 would ask for the class's own limit, which is wider
+	if s.MaxAge > 0 { // rounded down, but at least 1: 0 would select the limit of the class, which is wider
 		f = append(f, ",fresh="...)
 		f = strconv.AppendInt(f, max(1, int64(s.MaxAge)), 10)
 	}
--- a/upstream/resp/local_failure_test.go
+++ b/upstream/resp/local_failure_test.go
@@ -21,27 +21,27 @@
 	return "ACK", "tag=0a,minted=1,why=local", nil, true
 }
 
-// newFaultBed is a bed whose dials and connections can be told to fail, before one store.
-func newFaultBed(t *testing.T, handle func(fakestore.Call) (string, string, []byte, bool)) (*bed, *fakestore.Store, *faultnet.Dialer) {
+// newFaultTestPool returns a test pool with one endpoint, whose dials and connections can be made to fail.
+func newFaultTestPool(t *testing.T, handle func(fakestore.Call) (string, string, []byte, bool)) (*testPool, *fakestore.Store, *faultnet.Dialer) {
 	s, err := fakestore.Listen("127.0.0.1:0", handle)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Close() })
-	b, dialer := newBed(t), &faultnet.Dialer{}
+	b, dialer := newTestPool(t), &faultnet.Dialer{}
 	b.pool.opt.Dial = dialer.DialContext
-	b.list(s.Addr())
+	b.setEndpoints(s.Addr())
 	return b, s, dialer
 }
 
-// probed waits for the result of a probe, and forgets it.
-func (b *bed) probed() (result control.Outcome) {
+// awaitHealthCheck waits for the result of a health check, and deletes it from the record.
+func (b *testPool) awaitHealthCheck() (result control.Outcome) {
 	b.t.Helper()
-	b.until("a probe's result", func() bool {
-		for i, ev := range b.got {
+	b.waitUntil("the result of a health check", func() bool {
+		for i, ev := range b.events {
 			if p, ok := ev.(core.HealthCheckResult); ok {
 				result = p.Outcome
-				b.got = append(b.got[:i], b.got[i+1:]...)
+				b.events = append(b.events[:i], b.events[i+1:]...)
 				return true
 			}
 		}
@@ -50,8 +50,8 @@
 	return result
 }
 
-// A dial that fails on this host is no word of the store, whatever waits for it: an attempt, one that must have a
-// connection of its own, or a probe. The next dial is as good as any.
+// A dial that fails for a reason local to this host must not be counted against the endpoint, whether an attempt, an attempt
+// with a dedicated connection or a health check waits for it. The next dial is made as usual.
 func TestFailedDials(t *testing.T) {
 	for errno, want := range map[syscall.Errno]control.Outcome{
 		syscall.EMFILE: control.LocalFailure, syscall.ENFILE: control.LocalFailure, syscall.ENOBUFS: control.LocalFailure,
@@ -62,33 +62,33 @@
 		syscall.EHOSTUNREACH: control.ConnectFailed,
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			b, s, dialer := newFaultBed(t, acknowledge)
+			b, s, dialer := newFaultTestPool(t, acknowledge)
 			dialer.Fail(faultnet.Error("connect", errno), 3)
-			first, alone, later := send(1, 0, 1), send(2, 0, 1), send(3, 0, 1)
-			alone.NonIdempotent = true
-			for _, a := range []core.AttemptRequest{first, alone} {
+			first, dedicated, later := newRequest(1, 0, 1), newRequest(2, 0, 1), newRequest(3, 0, 1)
+			dedicated.NonIdempotent = true
+			for _, a := range []core.AttemptRequest{first, dedicated} {
 				b.pool.Send(a)
-				if e := b.ended(a.AttemptKey); e.Outcome != want || e.Unconfirmed {
-					t.Errorf("once %t: ended as %+v, want %v and no doubt", a.NonIdempotent, e, want)
+				if e := b.awaitResult(a.AttemptKey); e.Outcome != want || e.Unconfirmed {
+					t.Errorf("non-idempotent %t: ended as %+v, want %v and Unconfirmed false", a.NonIdempotent, e, want)
 				}
 			}
 			b.pool.CheckHealth(1)
-			if got := b.probed(); got != want {
-				t.Errorf("a probe ended as %v, want %v", got, want)
+			if got := b.awaitHealthCheck(); got != want {
+				t.Errorf("health check ended as %v, want %v", got, want)
 			}
 			if n := len(s.Calls("GET")) + len(s.Calls("LOAD")); n != 0 {
-				t.Errorf("%d commands reached the store", n)
+				t.Errorf("%d commands reached the endpoint", n)
 			}
 			b.pool.Send(later)
-			if e := b.ended(later.AttemptKey); e.Outcome != control.OK {
-				t.Errorf("once dials work again: %+v", e)
+			if e := b.awaitResult(later.AttemptKey); e.Outcome != control.OK {
+				t.Errorf("after dials work again: %+v", e)
 			}
 		})
 	}
 }
 
-// An open connection that breaks is the store's or the way's, and what was written may have run; where the call failed for
-// want of something on this host nothing is said of the store.
+// After a failed read the attempts on the connection may have run. The failure is counted against the endpoint unless it is
+// caused by a shortage or fault of this host.
 func TestFailedReads(t *testing.T) {
 	for errno, want := range map[syscall.Errno]control.Outcome{
 		syscall.ECONNRESET: control.ConnectionLost, syscall.ETIMEDOUT: control.ConnectionLost, syscall.EHOSTUNREACH: control.ConnectionLost,
@@ -96,7 +96,7 @@
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			hold := make(chan struct{})
-			b, s, dialer := newFaultBed(t, func(c fakestore.Call) (string, string, []byte, bool) {
+			b, s, dialer := newFaultTestPool(t, func(c fakestore.Call) (string, string, []byte, bool) {
 				<-hold
 				return acknowledge(c)
 			})
@@ -107,18 +107,18 @@
 				faulty.Store(f)
 				return f
 			})
-			a := send(1, 0, 1)
+			a := newRequest(1, 0, 1)
 			b.pool.Send(a)
-			b.until("the request at the store", func() bool { return len(s.Calls("GET")) == 1 })
+			b.waitUntil("the request arrives at the endpoint", func() bool { return len(s.Calls("GET")) == 1 })
 			faulty.Load().FailRead(faultnet.Error("read", errno))
-			if e := b.ended(a.AttemptKey); e.Outcome != want || !e.Unconfirmed {
-				t.Errorf("ended as %+v, want %v in doubt", e, want)
+			if e := b.awaitResult(a.AttemptKey); e.Outcome != want || !e.Unconfirmed {
+				t.Errorf("ended as %+v, want %v and Unconfirmed true", e, want)
 			}
 		})
 	}
 }
 
-// What a failed write has not sent whole is proven not to have run, whoever is to blame.
+// An attempt that a failed write did not send completely has not run, whatever caused the failure.
 func TestFailedWrites(t *testing.T) {
 	for errno, want := range map[syscall.Errno]control.Outcome{
 		syscall.EPIPE: control.ConnectFailed, syscall.ECONNRESET: control.ConnectFailed, syscall.ETIMEDOUT: control.ConnectFailed,
@@ -126,34 +126,34 @@
 		syscall.EPERM: control.LocalFailure,
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			b, s, dialer := newFaultBed(t, acknowledge)
+			b, s, dialer := newFaultTestPool(t, acknowledge)
 			dialer.Wrap(func(c net.Conn) net.Conn {
 				f := &faultnet.Conn{Conn: c}
 				f.FailWrite(faultnet.Error("write", errno))
 				return f
 			})
-			a := send(1, 0, 1)
+			a := newRequest(1, 0, 1)
 			b.pool.Send(a)
-			if e := b.ended(a.AttemptKey); e.Outcome != want || e.Unconfirmed {
-				t.Errorf("ended as %+v, want %v and no doubt", e, want)
+			if e := b.awaitResult(a.AttemptKey); e.Outcome != want || e.Unconfirmed {
+				t.Errorf("ended as %+v, want %v and Unconfirmed false", e, want)
 			}
 			if n := len(s.Calls("GET")); n != 0 {
-				t.Errorf("%d requests reached the store", n)
+				t.Errorf("%d requests reached the endpoint", n)
 			}
 		})
 	}
 }
 
-// A client that leaves in the middle of its request's write costs the connection. That is this side's doing: the store is
-// not to blame for what else was on it.
-func TestClientLeavingInTheMiddleOfTheWriteBlamesNobody(t *testing.T) {
+// A request that is canceled while it is being written ends its connection. This must not be counted against the endpoint,
+// neither for that request nor for others on the connection.
+func TestClientCancelDuringWriteIsNotEndpointFailure(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	arrived, goOn, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	go func() { // a store that answers nothing and stops to read in the middle of the second request
+	arrived, resume, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	go func() { // an endpoint that never responds and stops reading in the middle of the second request
 		defer close(ended)
 		conn, err := listener.Accept()
 		if err != nil {
@@ -166,73 +166,74 @@
 			}
 			arrived <- struct{}{}
 		}
-		<-goOn
+		<-resume
 		io.Copy(io.Discard, conn)
 	}()
-	b, dialer := newBed(t), &faultnet.Dialer{}
+	b, dialer := newTestPool(t), &faultnet.Dialer{}
 	dialer.Wrap(func(c net.Conn) net.Conn {
 		c.(*net.TCPConn).SetWriteBuffer(8 << 10)
 		return c
 	})
 	b.pool.opt.MaxConns, b.pool.opt.Dial = 1, dialer.DialContext
-	b.list(listener.Addr().String())
-	written, cut, behind := send(1, 0, 1), send(2, 0, 1), send(3, 0, 1)
-	cut.Body, cut.Canceled = make([]byte, 1<<20), new(atomic.Bool) // more than the sockets take
-	b.pool.Send(written)
+	b.setEndpoints(listener.Addr().String())
+	complete, partial, queued := newRequest(1, 0, 1), newRequest(2, 0, 1), newRequest(3, 0, 1)
+	partial.Body, partial.Canceled = make([]byte, 1<<20), new(atomic.Bool) // more than the sockets take
+	b.pool.Send(complete)
 	<-arrived
-	b.pool.Send(cut)
+	b.pool.Send(partial)
 	<-arrived
-	b.pool.Send(behind)
-	cut.Canceled.Store(true)
-	close(goOn)
+	b.pool.Send(queued)
+	partial.Canceled.Store(true)
+	close(resume)
 	for _, c := range []struct {
-		name  string
-		send  core.AttemptRequest
-		want  control.Outcome
-		doubt bool
+		name        string
+		request     core.AttemptRequest
+		want        control.Outcome
+		unconfirmed bool
 	}{
-		{"written before", written, control.Canceled, true},
-		{"cut", cut, control.LocalFailure, false},
-		{"behind it", behind, control.LocalFailure, false},
+		{"completely written", complete, control.Canceled, true},
+		{"partly written", partial, control.LocalFailure, false},
+		{"queued behind it", queued, control.LocalFailure, false},
 	} {
-		if e := b.ended(c.send.AttemptKey); e.Outcome != c.want || e.Unconfirmed != c.doubt {
-			t.Errorf("%s: ended as %+v, want %v, doubt %t", c.name, e, c.want, c.doubt)
+		if e := b.awaitResult(c.request.AttemptKey); e.Outcome != c.want || e.Unconfirmed != c.unconfirmed {
+			t.Errorf("%s: ended as %+v, want %v, unconfirmed %t", c.name, e, c.want, c.unconfirmed)
 		}
 	}
 	<-ended
 }
 
-// What finds no connection because of the pool's own limit is not sent, which is no word of the store either.
-func TestOwnLimitBlamesNobody(t *testing.T) {
+// An attempt or health check without a connection because of the pool's own limit ends as not sent, which is not counted
+// against the endpoint.
+func TestOwnLimitIsNotEndpointFailure(t *testing.T) {
 	hold := make(chan struct{})
-	b, s, _ := newFaultBed(t, func(c fakestore.Call) (string, string, []byte, bool) {
+	b, s, _ := newFaultTestPool(t, func(c fakestore.Call) (string, string, []byte, bool) {
 		<-hold
 		return acknowledge(c)
 	})
 	defer close(hold)
 	b.pool.opt.MaxConns, b.pool.opt.Streams = 1, 1
-	b.pool.Send(send(1, 0, 1))
-	b.until("the request at the store", func() bool { return len(s.Calls("GET")) == 1 })
-	second := send(2, 0, 1)
+	b.pool.Send(newRequest(1, 0, 1))
+	b.waitUntil("the request arrives at the endpoint", func() bool { return len(s.Calls("GET")) == 1 })
+	second := newRequest(2, 0, 1)
 	b.pool.Send(second)
-	if e := b.ended(second.AttemptKey); e.Outcome != control.NotSent || e.Unconfirmed {
+	if e := b.awaitResult(second.AttemptKey); e.Outcome != control.NotSent || e.Unconfirmed {
 		t.Errorf("ended as %+v", e)
 	}
 	b.pool.CheckHealth(1)
-	if got := b.probed(); got != control.NotSent {
-		t.Errorf("a probe ended as %v", got)
+	if got := b.awaitHealthCheck(); got != control.NotSent {
+		t.Errorf("health check ended as %v", got)
 	}
 }
 
-// asker is a front that takes answers.
-type asker chan core.Answer
+// answerRecorder is a frontend that receives answers.
+type answerRecorder chan core.Answer
 
-func (a asker) Answer(_ uint64, answer core.Answer) { a <- answer }
+func (a answerRecorder) Answer(_ uint64, answer core.Answer) { a <- answer }
 
-// A shortage of descriptors that passes within a request's time costs no request its answer and puts no store out: what
-// comes after it is served at once by the same cache.
-func TestShortageEjectsNoStore(t *testing.T) {
-	for name, class := range map[string]string{"a read": "tile", "what must not run twice": "ride-end"} {
+// A shortage of file descriptors that ends before a request's deadline must not fail the request or eject an endpoint: the next
+// request is served immediately by the same cache.
+func TestDescriptorShortageEjectsNoEndpoint(t *testing.T) {
+	for name, class := range map[string]string{"a read": "tile", "a non-idempotent write": "ride-end"} {
 		t.Run(name, func(t *testing.T) {
 			s, err := fakestore.Listen("127.0.0.1:0", acknowledge)
 			if err != nil {
@@ -269,8 +270,8 @@
 			}
 			module.Post(list)
 			dialer.Fail(faultnet.Error("socket", syscall.EMFILE), 5)
-			answers := make(asker, 1)
-			for tag := range uint64(2) { // the second one comes once there is room
+			answers := make(answerRecorder, 1)
+			for tag := range uint64(2) { // the second request follows once descriptors are available again
 				module.Post(core.Request{Frontend: answers, RequestTag: tag, Txn: string(rune('a' + tag)), Class: class, Object: 1, Name: "x",
 					ReceivedAt: clk.Now(), Remaining: 20000})
 				if got := <-answers; got.Verdict != core.Served {
@@ -278,7 +279,7 @@
 				}
 			}
 			if n := len(s.Calls("GET")); n != 2 {
-				t.Errorf("%d requests reached the store, want 2", n)
+				t.Errorf("%d requests reached the endpoint, want 2", n)
 			}
 		})
 	}
--- a/upstream/resp/parse.go
+++ b/upstream/resp/parse.go
@@ -11,49 +11,49 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Bounds of what a store may send.
+// Limits of a response.
 const (
-	maxBody   = 256 << 10 // an object has at most 240,000 bytes
-	maxField  = 4 << 10   // any other word
-	maxLine   = 32        // a length line
-	maxWords  = 8
-	fewWords  = 2 // an answer has an id and a word at least
-	answerLen = 4
+	maxBodyBytes     = 256 << 10 // bytes; an object has at most 240,000
+	maxElementBytes  = 4 << 10   // bytes of any other element
+	maxLengthLine    = 32        // bytes of a length line
+	maxElements      = 8
+	minElements      = 2 // the ID and the status
+	elementsWithBody = 4 // elements up to the body
 )
 
-// errWire is the kind of every malformed answer.
-var errWire = errors.New("malformed answer")
+// errWire is wrapped by the errors for all malformed responses.
+var errMalformed = errors.New("malformed response")
 
-// answer is one answer of a store.
-type answer struct {
-	id, word string
-	fields   fields
-	body     []byte
+// response is one response of an endpoint.
+type response struct {
+	id, status string
+	fields     fields
+	body       []byte
 }
 
-// readAnswer reads one RESP array of bulk strings. Lengths are checked before anything is allocated.
-func readAnswer(r *bufio.Reader) (a answer, err error) {
+// readResponse reads one RESP array of bulk strings. It checks lengths before it allocates.
+func readResponse(r *bufio.Reader) (a response, err error) {
 	n, err := readLength(r, '*')
 	if err != nil {
 		return a, err
 	}
-	if n < fewWords || n > maxWords {
-		return a, fmt.Errorf("%w: an array of %d words", errWire, n)
+	if n < minElements || n > maxElements {
+		return a, fmt.Errorf("%w: array of %d elements", errMalformed, n)
 	}
 	for i := range n {
-		most := maxField
-		if i == answerLen-1 {
-			most = maxBody
+		limit := maxElementBytes
+		if i == elementsWithBody-1 {
+			limit = maxBodyBytes
 		}
-		b, err := readBulk(r, most)
+		b, err := readBulk(r, limit)
 		if err != nil {
-			return a, noEnd(err)
+			return a, unexpectedEOF(err)
 		}
 		switch i {
 		case 0:
 			a.id = string(b)
 		case 1:
-			a.word = string(b)
+			a.status = string(b)
 		case 2:
 			a.fields = fields(b)
 		case 3:
@@ -63,8 +63,8 @@
 	return a, nil
 }
 
-// noEnd tells an end inside an answer from one between answers.
-func noEnd(err error) error {
+// unexpectedEOF turns io.EOF inside a response into io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -75,38 +75,38 @@
 	line, err := r.ReadSlice('\n')
 	if err != nil {
 		if err == bufio.ErrBufferFull || err == io.EOF && len(line) > 0 {
-			return 0, fmt.Errorf("%w: no end of a length line", errWire)
+			return 0, fmt.Errorf("%w: unterminated length line", errMalformed)
 		}
 		return 0, err
 	}
-	if len(line) > maxLine || len(line) < 4 || line[0] != kind || line[len(line)-2] != '\r' {
-		return 0, fmt.Errorf("%w: length line %.40q", errWire, line)
+	if len(line) > maxLengthLine || len(line) < 4 || line[0] != kind || line[len(line)-2] != '\r' {
+		return 0, fmt.Errorf("%w: length line %.40q", errMalformed, line)
 	}
 	n, err := strconv.ParseUint(string(line[1:len(line)-2]), 10, 31)
 	if err != nil {
-		return 0, fmt.Errorf("%w: length %.40q", errWire, line)
+		return 0, fmt.Errorf("%w: length %.40q", errMalformed, line)
 	}
 	return int(n), nil
 }
 
-func readBulk(r *bufio.Reader, most int) ([]byte, error) {
+func readBulk(r *bufio.Reader, limit int) ([]byte, error) {
 	n, err := readLength(r, '$')
 	if err != nil {
 		return nil, err
 	}
-	if n > most {
-		return nil, fmt.Errorf("%w: a word of %d bytes, %d at most", errWire, n, most)
+	if n > limit {
+		return nil, fmt.Errorf("%w: element of %d bytes, limit %d", errMalformed, n, limit)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
-		return nil, noEnd(err)
+		return nil, unexpectedEOF(err)
 	}
 	var end [2]byte
 	if _, err := io.ReadFull(r, end[:]); err != nil {
-		return nil, noEnd(err)
+		return nil, unexpectedEOF(err)
 	}
 	if end != [2]byte{'\r', '\n'} {
-		return nil, fmt.Errorf("%w: no line end behind a word", errWire)
+		return nil, fmt.Errorf("%w: no line end after an element", errMalformed)
 	}
 	return b, nil
 }
@@ -126,7 +126,7 @@
 	return b
 }
 
-// fields is a list name=value,name=value, or - for none.
+// fields is a list of the form name=value,name=value, or "-" if it is empty.
 type fields string
 
 func (f fields) get(name string) string {
@@ -154,12 +154,12 @@
 	"not_there": control.SourceLacks, "no_place": control.NoPlace, "far_fault": control.OriginFailed,
 }
 
-var words = map[string]control.Outcome{
+var outcomes = map[string]control.Outcome{
 	"ACK": control.OK, "NOMOD": control.OK, "NOENT": control.Miss, "AGAIN": control.Overloaded, "EIO": control.ServerError,
 	"STALE": control.NotSent,
 }
 
-// load reads a report such as inflight:7;util:0.61; nil where there is none.
+// load parses the load report, such as inflight:7;util:0.61. It returns nil if there is none.
 func (f fields) load() *control.LoadReport {
 	text := f.get("rep")
 	if text == "" {
--- a/upstream/resp/resp.go
+++ b/upstream/resp/resp.go
@@ -1,5 +1,5 @@
-// Package resp is the upstream that speaks with stores, parents and the origin in RESP arrays: many
-// attempts share a connection by their IDs.
+// Package resp is the upstream that sends attempts to endpoints (caches, parents and the origin) as RESP arrays. Many
+// attempts share a connection; their IDs match responses to attempts.
 package resp
 
 import (
@@ -20,38 +20,38 @@
 
 // Options set the limits of an upstream.
 type Options struct {
-	DialTimeout  float64 // ms until a connection that is not up counts as unreached
-	IdleClose    float64 // ms after which stores close idle connections; we do so somewhat earlier
-	ProbeTimeout float64 // ms
-	Streams      int     // attempts on one connection
-	MaxConns     int     // connections in all
-	Longest      float64 // ms that a request lasts at the most
-	NoProbes     bool    // the settings allow none, and a PING is one: nothing but time ends a doubt
-	NoDrops      bool    // the settings allow no giving up: what is written runs to its end
+	DialTimeout  float64 // ms
+	IdleClose    float64 // ms after which endpoints close idle connections; the pool closes them somewhat earlier
+	ProbeTimeout float64 // ms, of health checks and PINGs
+	Streams      int     // maximum number of attempts in flight on one connection
+	MaxConns     int     // to all endpoints together
+	Longest      float64 // ms, the maximum duration of a request
+	NoProbes     bool    // send no health checks and no PINGs, so that cancellations cannot be confirmed
+	NoDrops      bool    // send no DROPs, so that a canceled attempt runs to its end at the endpoint
 	Clock        *clock.Clock
 	Log          zerolog.Logger
 	Dial         func(ctx context.Context, network, addr string) (net.Conn, error) // nil: net.Dialer
 }
 
 const (
-	idlePart           = 0.8             // of the idle time, after which this side closes: no request crosses a close
-	writeLimit         = 2 * time.Second // a store that takes nothing for so long loses the connection
-	maxQueued          = 2 << 20         // bytes that wait for one connection's writer
-	silentWork         = 500.0           // ms without a byte since work was written, for its end to count as silence
-	maxSilence         = 1000.0          // ms of silence from then on, until a connection is left
-	sweepInterval      = 250 * time.Millisecond
-	proofTTL           = 2000.0 // ms since its last use for which a connection that is left stays for the answer to a PING
-	connsPerPeer       = 8
-	spareConns         = 8                      // kept for stores without one
-	redialDelay        = 1000.0                 // ms after a failed dial until a further connection is tried beside others
-	fewOpen            = 2                      // attempts on each connection before the next one is dialled
-	answerPieceTimeout = 500 * time.Millisecond // from one piece of an answer to the next
-	answerTimeout      = 2 * time.Second        // from an answer's first byte to its last, however it goes on
-	readBuffer         = 4 << 10
-	minTTL             = 1.0 // ms that a client must have left for its request to leave: the least that a store can be told
+	idleCloseFraction   = 0.8             // of IdleClose, so that this side closes first and no request is sent into the endpoint's close
+	writeTimeout        = 2 * time.Second // a connection whose endpoint reads nothing for this duration is closed
+	maxQueuedBytes      = 2 << 20         // bytes buffered for one connection's writer
+	unresponsiveAfter   = 500.0           // ms without a response after which a cancellation marks its connection unresponsive
+	unresponsiveTTL     = 1000.0          // ms for which an unresponsive connection still takes new attempts
+	sweepInterval       = 250 * time.Millisecond
+	barrierTimeout      = 2000.0 // ms since its last use for which a draining connection waits for the responses to barrier PINGs
+	maxConnsPerPeer     = 8
+	reservedConns       = 8                      // reserved for endpoints without a connection
+	redialDelay         = 1000.0                 // ms after a failed dial until an additional connection is dialed again
+	dialThreshold       = 2                      // attempts in flight on each connection before an additional one is dialed
+	responseReadTimeout = 500 * time.Millisecond // maximum time between two reads of one response
+	responseTimeout     = 2 * time.Second        // from a response's first byte to its last
+	readBufferSize      = 4 << 10
+	minTTL              = 1.0 // ms that the client must have left for its request to be sent: the least value of the ttl field
 )
 
-// Pool is the upstream. Events go to its sink, always from goroutines of its own.
+// Pool implements core.Upstream with a pool of connections. It posts its events from its own goroutines only.
 type Pool struct {
 	opt  Options
 	post func(core.Event)
@@ -59,61 +59,61 @@
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 
-	mu       sync.Mutex
-	peers    map[uint32]*peer
-	gone     map[uint32]*peer // of these, the ones that have left the list
-	attempts map[core.AttemptKey]*attempt
-	bars     map[uint32]struct{} // stores that the operators took out
-	probes   uint64
-	conns    int
-	late     chan core.Event // what a call from the core found at once
+	mu          sync.Mutex
+	peers       map[uint32]*peer
+	removed     map[uint32]*peer // those of peers that are no longer in the endpoint list
+	attempts    map[core.AttemptKey]*attempt
+	excluded    map[uint32]struct{} // endpoints that operators have excluded
+	lastProbeID uint64              // number of health checks and PINGs so far, for their IDs
+	conns       int
+	asyncEvents chan core.Event // events of calls by the core, which must not post themselves
 }
 
 var (
-	errGone       = errors.New("the store is gone")
-	errClientGone = errors.New("the client left in the middle of its request's write")
-	errTooLate    = fmt.Errorf("%w: its time ended before its store was told of it", errClientGone)
+	errEndpointRemoved = errors.New("endpoint was removed from the endpoint list")
+	errClientCanceled  = errors.New("client canceled the request while it was being written")
+	errDeadlinePassed  = fmt.Errorf("%w: deadline passed before it was sent to the endpoint", errClientCanceled)
 )
 
-// peer is one store, parent or origin.
+// peer is one endpoint and its connections.
 type peer struct {
-	id      uint32
-	addr    string
-	gone    bool
-	ready   bool          // it may be asked something new
-	started time.Duration // the clock time of its last start; 0: long ago
-	conns   []*conn
-	dialing bool
-	failed  float64    // when a dial last failed
-	waiting []*attempt // for a connection
-	confirm *attempt   // the latest PING that asks whether the store reads; nil: none yet
+	id           uint32
+	addr         string
+	removed      bool
+	ready        bool          // it accepts new attempts
+	startedAt    time.Duration // its last start, as clock time; 0: long ago
+	conns        []*conn
+	dialing      bool
+	dialFailedAt float64    // time of the last failed dial
+	waiting      []*attempt // for a connection
+	barrier      *attempt   // the latest PING that was not sent behind a DROP; nil: none yet
 }
 
-// attempt is a GET or a probe.
+// attempt is a GET, or a probe: a health check (LOAD) or a PING.
 type attempt struct {
 	core.AttemptRequest
-	wire     string // its ID on the wire
-	member   uint32
-	probe    bool
-	confirms []core.AttemptKey // of a PING: the attempts whose ends wait for its answer
-	on       *conn
-	writing  bool // it is in a buffer that the writer has taken, or written
-	written  float64
-	dropped  bool
-	as       control.Outcome // of a dropped one
-	over     bool
-	told     bool   // the store's own word has ended it
-	bytes    []byte // of a probe; an attempt is worded when it leaves
+	wireID          string // its ID on the wire
+	endpoint        uint32
+	probe           bool
+	confirms        []core.AttemptKey // of a PING: the attempts whose cancellations its response confirms
+	conn            *conn             // nil while it waits for a connection
+	mayBeSent       bool              // the writer has taken it, so bytes of it may have been sent
+	writtenAt       float64           // when the writer took it
+	cancelRequested bool
+	cancelOutcome   control.Outcome // the result of a canceled attempt
+	ended           bool            // its result has been reported
+	answered        bool            // it ended with a response of the endpoint
+	probeCommand    []byte          // the command of a probe; a GET is encoded when it is written
 }
 
-// New returns a pool that lives until Close.
+// New returns a pool that runs until Close.
 func New(opt Options, post func(core.Event)) *Pool {
 	if opt.Dial == nil {
 		opt.Dial = (&net.Dialer{}).DialContext
 	}
 	p := &Pool{
-		opt: opt, post: post, peers: map[uint32]*peer{}, gone: map[uint32]*peer{}, attempts: map[core.AttemptKey]*attempt{}, bars: map[uint32]struct{}{},
-		late: make(chan core.Event, 8192),
+		opt: opt, post: post, peers: map[uint32]*peer{}, removed: map[uint32]*peer{}, attempts: map[core.AttemptKey]*attempt{}, excluded: map[uint32]struct{}{},
+		asyncEvents: make(chan core.Event, 8192),
 	}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	p.wg.Add(2)
@@ -122,7 +122,7 @@
 		defer p.wg.Done()
 		for {
 			select {
-			case ev := <-p.late:
+			case ev := <-p.asyncEvents:
 				p.post(ev)
 			case <-p.ctx.Done():
 				return
@@ -149,246 +149,247 @@
 
 func (p *Pool) now() float64 { return p.opt.Clock.Now() }
 
-// soon posts an event from the pool's own goroutine, for calls that must not post themselves.
-func (p *Pool) soon(ev core.Event) {
+// postAsync posts an event from a goroutine of the pool, for calls by the core, which must not post before they return.
+func (p *Pool) postAsync(ev core.Event) {
 	select {
-	case p.late <- ev:
+	case p.asyncEvents <- ev:
 	case <-p.ctx.Done():
-	default: // Guards against the core and this queue waiting for each other.
+	default: // Queue full: blocking here would deadlock if the queue's goroutine waits for the core.
 		go p.post(ev)
 	}
 }
 
-// Limit sets the number of connections anew. Those beyond it stay until they are idle.
-func (p *Pool) Limit(most int) {
+// Limit changes the maximum number of connections. Existing connections above it stay open until they are idle.
+func (p *Pool) Limit(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opt.MaxConns = max(1, most)
+	p.opt.MaxConns = max(1, maxConns)
 }
 
-// Exclude has nothing leave for a store that has not left yet, nor name it as a source, until it is lifted. The work
-// under way there goes on.
-func (p *Pool) Exclude(member uint32, on bool) {
+// Exclude stops sending new attempts to an endpoint and naming it as a fill source, until it is called with excluded
+// false. Attempts in flight at the endpoint continue.
+func (p *Pool) Exclude(endpoint uint32, excluded bool) {
 	p.mu.Lock()
-	delete(p.bars, member)
+	delete(p.excluded, endpoint)
 	var ended []core.Event
-	if on {
-		p.bars[member] = struct{}{}
-		ended = p.retract(member)
+	if excluded {
+		p.excluded[endpoint] = struct{}{}
+		ended = p.endUnsent(endpoint)
 	}
 	p.mu.Unlock()
 	for _, ev := range ended {
-		p.soon(ev)
+		p.postAsync(ev)
 	}
 }
 
-// retract takes back all that waits to leave for a store or to name it as a source. Guards against work that a
-// dial or a full connection has held up reaching a store that takes nothing new any more: what was decided
-// before the word came would leave after its grace.
-func (p *Pool) retract(id uint32) (ended []core.Event) {
+// endUnsent ends the attempts that are not yet sent and have this endpoint as their target or fill source. Without it,
+// attempts delayed by a dial or a full connection would reach an endpoint that no longer accepts new work, possibly after
+// its grace period.
+func (p *Pool) endUnsent(id uint32) (ended []core.Event) {
 	none := true
-	back := func(a *attempt) {
+	cancel := func(a *attempt) {
 		none = false
-		if a.on != nil {
-			a.on.unqueue(a)
+		if a.conn != nil {
+			a.conn.removeQueued(a)
 		}
-		if ev := p.end(a, control.NotSent); ev != nil {
+		if ev := p.endAttempt(a, control.NotSent); ev != nil {
 			ended = append(ended, ev)
 		}
 	}
 	for _, a := range p.attempts {
-		if (a.To == id || a.Fill && a.Source == id) && !a.writing && !a.dropped {
-			back(a)
+		if (a.To == id || a.Fill && a.Source == id) && !a.mayBeSent && !a.cancelRequested {
+			cancel(a)
 		}
 	}
-	if q := p.peers[id]; q != nil { // probes have no key
+	if q := p.peers[id]; q != nil { // probes have no key in p.attempts
 		for _, a := range q.waiting {
-			back(a)
+			cancel(a)
 		}
 		for _, c := range q.conns {
 			for _, a := range c.open {
-				if a.probe && !a.writing {
-					back(a)
+				if a.probe && !a.mayBeSent {
+					cancel(a)
 				}
 			}
 		}
 	}
-	if none { // mostly, as a list that changes names many stores without work
+	if none { // the usual case: most endpoints in a list update have no unsent attempts
 		return nil
 	}
 	for _, q := range p.peers {
-		q.waiting = slices.DeleteFunc(q.waiting, func(a *attempt) bool { return a.over })
+		q.waiting = slices.DeleteFunc(q.waiting, func(a *attempt) bool { return a.ended })
 	}
 	return ended
 }
 
-// UpdateEndpoints tells of the stores. A store that is gone keeps its connections until its work has ended.
-func (p *Pool) UpdateEndpoints(s core.EndpointList) {
+// UpdateEndpoints applies an update of the endpoint list. The connections of a removed endpoint stay open until its attempts
+// in flight have ended.
+func (p *Pool) UpdateEndpoints(list core.EndpointList) {
 	var ended []core.Event
 	defer func() {
 		for _, ev := range ended {
-			p.soon(ev)
+			p.postAsync(ev)
 		}
 	}()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s.Snapshot {
+	if list.Snapshot {
 		for _, q := range p.peers {
-			q.gone, q.ready = true, false
+			q.removed, q.ready = true, false
 		}
 	}
-	for _, e := range s.Endpoints {
+	for _, e := range list.Endpoints {
 		id := uint32(e.Info.ID)
 		q := p.peers[id]
 		if q == nil {
 			q = &peer{id: id}
 			p.peers[id] = q
 		}
-		// Guards against sending one store's work to another: an address may be used again, so
-		// connections belong to an id at an address.
+		// An address may be reused by another endpoint, so a connection belongs to an ID at an address. Otherwise attempts for
+		// one endpoint could be sent to another.
 		if q.addr != e.Addr {
 			for _, c := range q.conns {
-				c.leaving = true
+				c.draining = true
 			}
 			q.addr = e.Addr
 		}
-		q.gone, q.ready = e.Info.State == control.Gone, e.Info.State == control.Ready
-		if q.gone {
-			p.gone[id] = q
+		q.removed, q.ready = e.Info.State == control.Gone, e.Info.State == control.Ready
+		if q.removed {
+			p.removed[id] = q
 		} else {
-			delete(p.gone, id)
+			delete(p.removed, id)
 		}
-		// What was decided before a new start was told is decided again: a cold store bears less.
-		if !q.ready || e.Info.StartedAt > q.started {
-			ended = append(ended, p.retract(id)...)
+		// Attempts that were routed before a restart became known are routed again: a cold cache takes less load.
+		if !q.ready || e.Info.StartedAt > q.startedAt {
+			ended = append(ended, p.endUnsent(id)...)
 		}
-		q.started = e.Info.StartedAt
+		q.startedAt = e.Info.StartedAt
 	}
-	if s.Snapshot {
+	if list.Snapshot {
 		for id, q := range p.peers {
-			if q.gone {
-				p.gone[id] = q
+			if q.removed {
+				p.removed[id] = q
 			}
 		}
 	}
-	for id, q := range p.gone {
-		ended = append(ended, p.retract(id)...)
+	for id, q := range p.removed {
+		ended = append(ended, p.endUnsent(id)...)
 		for _, c := range q.conns {
-			c.leaving = true
+			c.draining = true
 			c.closeIfDone()
 		}
-		p.forget(q)
+		p.removeIfUnused(q)
 	}
 }
 
-// forget drops a store that has left the list, once nothing of it is left.
-func (p *Pool) forget(q *peer) {
-	if q.gone && len(q.conns) == 0 && !q.dialing {
+// removeIfUnused deletes an endpoint that is no longer in the list once it has no connection and no dial in progress.
+func (p *Pool) removeIfUnused(q *peer) {
+	if q.removed && len(q.conns) == 0 && !q.dialing {
 		delete(p.peers, q.id)
-		delete(p.gone, q.id)
+		delete(p.removed, q.id)
 	}
 }
 
 // Send makes an attempt.
 func (p *Pool) Send(s core.AttemptRequest) {
-	a := &attempt{AttemptRequest: s, wire: s.Txn, member: s.To}
+	a := &attempt{AttemptRequest: s, wireID: s.Txn, endpoint: s.To}
 	p.mu.Lock()
 	q := p.peers[s.To]
-	if p.attempts[s.AttemptKey] != nil || !p.mayLeave(a) {
+	if p.attempts[s.AttemptKey] != nil || !p.maySend(a) {
 		p.mu.Unlock()
-		p.soon(core.AttemptResult{AttemptKey: s.AttemptKey, Outcome: control.NotSent})
+		p.postAsync(core.AttemptResult{AttemptKey: s.AttemptKey, Outcome: control.NotSent})
 		return
 	}
 	p.attempts[s.AttemptKey] = a
-	ended := p.place(q, a)
+	ended := p.assign(q, a)
 	p.mu.Unlock()
 	for _, ev := range ended {
-		p.soon(ev)
+		p.postAsync(ev)
 	}
 }
 
-// mayLeave is the last check before an attempt is written, whatever it waited for since it was decided: its target and
-// the source of its fill take new work, somebody waits for it and has time left, and its key is remembered.
-func (p *Pool) mayLeave(a *attempt) bool {
-	takes := func(id uint32) bool {
-		_, barred := p.bars[id]
+// maySend is the last check before an attempt is written, however long it was queued: its target and fill source accept
+// new work, the client has not canceled the request and has time left, and the endpoints still remember its idempotency key.
+func (p *Pool) maySend(a *attempt) bool {
+	acceptsWork := func(id uint32) bool {
+		_, excluded := p.excluded[id]
 		q := p.peers[id]
-		return q != nil && q.ready && !barred
+		return q != nil && q.ready && !excluded
 	}
-	return takes(a.member) && (!a.Fill || takes(a.Source)) && (a.Canceled == nil || !a.Canceled.Load()) &&
+	return acceptsWork(a.endpoint) && (!a.Fill || acceptsWork(a.Source)) && (a.Canceled == nil || !a.Canceled.Load()) &&
 		(a.SendDeadline <= 0 || p.now() < a.SendDeadline) && (a.Deadline <= 0 || a.Deadline-p.now() >= minTTL)
 }
 
-// LimitCopyAge has an attempt that has not left ask for no older copy.
+// LimitCopyAge makes an attempt that is not yet sent ask for no copy older than maxAge.
 func (p *Pool) LimitCopyAge(k core.AttemptKey, maxAge float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if a := p.attempts[k]; a != nil { // where it has left already, nothing words it any more
+	if a := p.attempts[k]; a != nil { // no effect on an attempt that is already encoded
 		a.MaxAge = maxAge
 	}
 }
 
-// CheckHealth asks a store for its report.
-func (p *Pool) CheckHealth(member uint32) {
+// CheckHealth asks an endpoint for its load report.
+func (p *Pool) CheckHealth(endpoint uint32) {
 	p.mu.Lock()
-	q := p.peers[member]
+	q := p.peers[endpoint]
 	if q == nil {
 		p.mu.Unlock()
-		p.soon(core.HealthCheckResult{Endpoint: member, Outcome: control.ConnectFailed})
+		p.postAsync(core.HealthCheckResult{Endpoint: endpoint, Outcome: control.ConnectFailed})
 		return
 	}
-	p.probes++
-	a := &attempt{wire: probeName(p.probes), member: member, probe: true}
-	a.bytes = appendCommand(nil, "LOAD", a.wire)
-	ended := p.place(q, a)
+	p.lastProbeID++
+	a := &attempt{wireID: probeID(p.lastProbeID), endpoint: endpoint, probe: true}
+	a.probeCommand = appendCommand(nil, "LOAD", a.wireID)
+	ended := p.assign(q, a)
 	p.mu.Unlock()
-	p.askedFor(a, ended)
+	p.watchProbe(a, ended)
 }
 
-// askedFor tells what came of placing a probe, and bounds the wait for its answer.
-func (p *Pool) askedFor(a *attempt, ended []core.Event) {
+// watchProbe posts the events that resulted from assigning a probe to a connection, and starts the probe's timeout.
+func (p *Pool) watchProbe(a *attempt, ended []core.Event) {
 	for _, ev := range ended {
-		p.soon(ev)
+		p.postAsync(ev)
 	}
-	p.after(p.opt.ProbeTimeout, func() { p.giveUp(a, control.TimedOut) })
+	p.after(p.opt.ProbeTimeout, func() { p.cancelAndPost(a, control.TimedOut) })
 }
 
-// ConfirmCancel has a store show that it reads: by the PING behind the attempt's DROP where that is under way, else by one of
-// its own, which all share that wait before it leaves.
-func (p *Pool) ConfirmCancel(k core.AttemptKey, member uint32) bool {
+// ConfirmCancel has an endpoint confirm that it reads what is written to it now: with the PING behind the attempt's DROP if
+// that is in flight, else with a separate PING. Calls made before that PING is written share it.
+func (p *Pool) ConfirmCancel(k core.AttemptKey, endpoint uint32) bool {
 	if p.opt.NoProbes {
 		return false
 	}
 	p.mu.Lock()
-	q := p.peers[member]
+	q := p.peers[endpoint]
 	if q == nil {
 		p.mu.Unlock()
-		p.soon(core.BarrierAnswered{Keys: []core.AttemptKey{k}, Silent: true})
+		p.postAsync(core.BarrierAnswered{Keys: []core.AttemptKey{k}, Silent: true})
 		return true
 	}
-	if q.proving(k) {
+	if q.barrierInFlight(k) {
 		p.mu.Unlock()
 		return true
 	}
-	if a := q.confirm; a != nil && !a.over && !a.writing {
+	if a := q.barrier; a != nil && !a.ended && !a.mayBeSent {
 		a.confirms = append(a.confirms, k)
 		p.mu.Unlock()
 		return true
 	}
-	p.probes++
-	a := &attempt{wire: probeName(p.probes), member: member, probe: true, confirms: []core.AttemptKey{k}}
-	a.bytes = appendCommand(nil, "PING", a.wire)
-	q.confirm = a
-	ended := p.place(q, a)
+	p.lastProbeID++
+	a := &attempt{wireID: probeID(p.lastProbeID), endpoint: endpoint, probe: true, confirms: []core.AttemptKey{k}}
+	a.probeCommand = appendCommand(nil, "PING", a.wireID)
+	q.barrier = a
+	ended := p.assign(q, a)
 	p.mu.Unlock()
-	p.askedFor(a, ended)
+	p.watchProbe(a, ended)
 	return true
 }
 
-// proving tells whether the PING behind an attempt's DROP waits for its answer.
-func (q *peer) proving(k core.AttemptKey) bool {
+// barrierInFlight reports whether the PING behind an attempt's DROP is in flight.
+func (q *peer) barrierInFlight(k core.AttemptKey) bool {
 	for _, c := range q.conns {
-		for _, keys := range c.proofs {
+		for _, keys := range c.barriers {
 			if slices.Contains(keys, k) {
 				return true
 			}
@@ -405,35 +406,35 @@
 	})
 }
 
-// Cancel gives an attempt up.
-func (p *Pool) Cancel(k core.AttemptKey, as control.Outcome) {
+// Cancel cancels an attempt, which ends with the given outcome if its endpoint may have received it.
+func (p *Pool) Cancel(k core.AttemptKey, outcome control.Outcome) {
 	p.mu.Lock()
 	a := p.attempts[k]
 	p.mu.Unlock()
 	if a != nil {
-		if ev := p.drop(a, as); ev != nil {
-			p.soon(ev)
+		if ev := p.cancelAttempt(a, outcome); ev != nil {
+			p.postAsync(ev)
 		}
 	}
 }
 
-func (p *Pool) giveUp(a *attempt, as control.Outcome) {
-	if ev := p.drop(a, as); ev != nil {
+func (p *Pool) cancelAndPost(a *attempt, outcome control.Outcome) {
+	if ev := p.cancelAttempt(a, outcome); ev != nil {
 		p.post(ev)
 	}
 }
 
-// drop takes back what has not left, which is proven not to have run; for the rest it has DROP
-// written, and the end is told once it is.
-func (p *Pool) drop(a *attempt, as control.Outcome) core.Event {
+// cancelAttempt cancels an attempt. An attempt that is not yet sent ends at once, and certainly has not run. For any other a DROP is
+// queued, and the attempt ends once that is written.
+func (p *Pool) cancelAttempt(a *attempt, outcome control.Outcome) core.Event {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if a.over || a.dropped {
+	if a.ended || a.cancelRequested {
 		return nil
 	}
 	switch {
-	case a.on == nil: // waits for a connection
-		if q := p.peers[a.member]; q != nil {
+	case a.conn == nil: // waiting for a connection
+		if q := p.peers[a.endpoint]; q != nil {
 			for i, w := range q.waiting {
 				if w == a {
 					q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
@@ -442,66 +443,67 @@
 			}
 		}
 		if a.probe {
-			return p.end(a, control.ConnectFailed)
+			return p.endAttempt(a, control.ConnectFailed)
 		}
-		return p.end(a, control.NotSent)
-	case !a.writing:
-		a.on.unqueue(a)
+		return p.endAttempt(a, control.NotSent)
+	case !a.mayBeSent:
+		a.conn.removeQueued(a)
 		if a.probe {
-			return p.end(a, as)
+			return p.endAttempt(a, outcome)
 		}
-		return p.end(a, control.NotSent)
+		return p.endAttempt(a, control.NotSent)
 	case a.probe || p.opt.NoDrops:
-		if a.on.suspect(a); !a.probe { // its answer may still come
-			a.on.retire(a.wire)
+		if a.conn.markIfUnresponsive(a); !a.probe { // its response may still arrive
+			a.conn.retireID(a.wireID)
 		}
-		return p.end(a, as)
+		return p.endAttempt(a, outcome)
 	}
-	a.dropped, a.as = true, as
-	a.on.suspect(a)
-	word := appendCommand(nil, "DROP", a.wire)
-	a.on.queue(chunk{of: a, bytes: word, size: len(word), drop: true})
+	a.cancelRequested, a.cancelOutcome = true, outcome
+	a.conn.markIfUnresponsive(a)
+	command := appendCommand(nil, "DROP", a.wireID)
+	a.conn.enqueue(chunk{attempt: a, bytes: command, queuedSize: len(command), isDrop: true})
 	return nil
 }
 
-// end makes the event of an attempt's end; the caller posts it without the lock.
-func (p *Pool) end(a *attempt, res control.Outcome) core.Event {
-	if a.over {
+// endAttempt ends an attempt and returns its event, which the caller posts after releasing the lock. It returns nil if the attempt
+// has already ended.
+func (p *Pool) endAttempt(a *attempt, outcome control.Outcome) core.Event {
+	if a.ended {
 		return nil
 	}
-	a.over = true
-	a.bytes = nil
-	if c := a.on; c != nil {
-		if c.open[a.wire] == a {
-			delete(c.open, a.wire)
+	a.ended = true
+	a.probeCommand = nil
+	if c := a.conn; c != nil {
+		if c.open[a.wireID] == a {
+			delete(c.open, a.wireID)
 		}
 		c.lastUse = p.now()
 		c.closeIfDone()
 	}
 	if a.confirms != nil {
-		return core.BarrierAnswered{Keys: a.confirms, Silent: res != control.OK}
+		return core.BarrierAnswered{Keys: a.confirms, Silent: outcome != control.OK}
 	}
 	if a.probe {
-		return core.HealthCheckResult{Endpoint: a.member, Outcome: res}
+		return core.HealthCheckResult{Endpoint: a.endpoint, Outcome: outcome}
 	}
 	delete(p.attempts, a.AttemptKey)
-	return core.AttemptResult{AttemptKey: a.AttemptKey, Outcome: res, Unconfirmed: a.writing && !a.told}
+	return core.AttemptResult{AttemptKey: a.AttemptKey, Outcome: outcome, Unconfirmed: a.mayBeSent && !a.answered}
 }
 
-// place puts an attempt on a connection, or has one dialled. Work is spread over several connections, as one
-// bad answer costs all that is open on its connection; nothing waits for a further one to come up.
-func (p *Pool) place(q *peer, a *attempt) (ended []core.Event) {
-	// Guards against losing what must not be sent again to a connection that its store has left, or to another
-	// request's bad answer there: it gets a connection of its own, which ends with it.
+// assign assigns an attempt to a connection, or dials one. Attempts are spread over several connections, because a malformed
+// response ends all attempts on its connection. An attempt waits for a dial only if the peer has no usable connection.
+func (p *Pool) assign(q *peer, a *attempt) (ended []core.Event) {
+	// An attempt that must not be sent twice gets a connection of its own, which is closed after it. On a shared connection
+	// it could be lost to the endpoint's idle close or to a malformed response to another attempt.
 	if a.NonIdempotent && p.conns < p.opt.MaxConns {
 		p.conns++
 		p.wg.Add(1)
 		go p.dial(q, q.addr, a)
 		return nil
 	}
-	c := q.pick(a.wire, p.opt.Streams)
-	more := c == nil || len(c.open) >= fewOpen && p.now() > q.failed+redialDelay
-	if more && !q.dialing && p.conns < p.opt.MaxConns && q.kept() < p.perPeer() {
+	c := q.pickConn(a.wireID, p.opt.Streams)
+	needsDial := c == nil || len(c.open) >= dialThreshold && p.now() > q.dialFailedAt+redialDelay
+	if needsDial && !q.dialing && p.conns < p.opt.MaxConns && q.countConns() < p.peerConnLimit() {
 		q.dialing = true
 		p.conns++
 		p.wg.Add(1)
@@ -509,33 +511,34 @@
 	}
 	switch {
 	case c != nil:
-		c.carry(a)
+		c.add(a)
 	case q.dialing:
 		q.waiting = append(q.waiting, a)
-	default: // no connection left: it has not been sent, which tells nothing of the store
-		if ev := p.end(a, control.NotSent); ev != nil {
+	default: // connection limit reached: not sent, which is no failure of the endpoint
+		if ev := p.endAttempt(a, control.NotSent); ev != nil {
 			ended = append(ended, ev)
 		}
 	}
 	return ended
 }
 
-// perPeer is the share of the connections that one store may have.
-func (p *Pool) perPeer() int {
-	return max(2, min(connsPerPeer, (p.opt.MaxConns-spareConns)/max(1, len(p.peers))))
+// peerConnLimit returns the maximum number of connections to one endpoint.
+func (p *Pool) peerConnLimit() int {
+	return max(2, min(maxConnsPerPeer, (p.opt.MaxConns-reservedConns)/max(1, len(p.peers))))
 }
 
-// pick gives a connection that can still take an attempt of this ID: of those with few attempts the one used
-// last, else the one with fewest. Guards against work meeting the close of a connection that is hardly used.
-func (q *peer) pick(wire string, streams int) (best *conn) {
+// pickConn returns a connection that can take an attempt with this ID, or nil. Among lightly loaded connections it prefers the
+// most recently used one, so that attempts do not meet the endpoint's close of an idle connection; otherwise it returns the
+// connection with the fewest attempts.
+func (q *peer) pickConn(wireID string, streams int) (best *conn) {
 	better := func(a, b *conn) bool {
-		if len(a.open) < fewOpen && len(b.open) < fewOpen {
+		if len(a.open) < dialThreshold && len(b.open) < dialThreshold {
 			return a.lastUse > b.lastUse
 		}
 		return len(a.open) < len(b.open)
 	}
 	for _, c := range q.conns {
-		if !c.leaving && !c.broken && !c.idle() && len(c.open) < streams && c.queued < maxQueued && !c.used(wire) &&
+		if !c.draining && !c.broken && !c.idleExpired() && len(c.open) < streams && c.queuedBytes < maxQueuedBytes && !c.idInUse(wireID) &&
 			(best == nil || better(c, best)) {
 			best = c
 		}
@@ -543,26 +546,26 @@
 	return best
 }
 
-// kept counts a store's connections, but for those that close as soon as their reader has seen it.
-func (q *peer) kept() (n int) {
+// countConns counts a peer's connections, except for those that have no attempts and are about to be closed.
+func (q *peer) countConns() (n int) {
 	for _, c := range q.conns {
-		if !c.leaving && !c.idle() || len(c.open) > 0 {
+		if !c.draining && !c.idleExpired() || len(c.open) > 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// dial brings a connection up: for all that waits for one, or for one attempt alone.
-func (p *Pool) dial(q *peer, addr string, alone *attempt) {
+// dial opens a connection for all waiting attempts of a peer, or, if dedicated is not nil, for that attempt only.
+func (p *Pool) dial(q *peer, addr string, dedicated *attempt) {
 	defer p.wg.Done()
 	ctx, cancel := context.WithTimeout(p.ctx, clock.Duration(p.opt.DialTimeout))
 	nc, err := p.opt.Dial(ctx, "tcp", addr)
 	cancel()
 	var ended []core.Event
 	p.mu.Lock()
-	waiting := []*attempt{alone}
-	if alone == nil {
+	waiting := []*attempt{dedicated}
+	if dedicated == nil {
 		q.dialing = false
 		waiting, q.waiting = q.waiting, nil
 	}
@@ -570,36 +573,36 @@
 		nc.Close()
 		err = p.ctx.Err()
 	}
-	if err == nil && q.gone { // Guards against dialling a store that is gone over and over for what waits.
+	if err == nil && q.removed { // otherwise waiting attempts would dial a removed endpoint again and again
 		nc.Close()
-		err = errGone
+		err = errEndpointRemoved
 	}
 	if err != nil {
 		p.conns--
-		if alone == nil {
-			q.failed = p.now()
+		if dedicated == nil {
+			q.dialFailedAt = p.now()
 		}
 		for _, a := range waiting {
-			if ev := p.end(a, dialResult(err)); ev != nil {
+			if ev := p.endAttempt(a, dialOutcome(err)); ev != nil {
 				ended = append(ended, ev)
 			}
 		}
 	} else {
 		c := newConn(p, q, nc)
-		c.leaving = alone != nil || q.addr != addr
+		c.draining = dedicated != nil || q.addr != addr
 		q.conns = append(q.conns, c)
 		p.wg.Add(2)
-		go c.read()
-		go c.write(c.wake)
+		go c.readLoop()
+		go c.writeLoop(c.wake)
 		for _, a := range waiting {
-			if a.over {
+			if a.ended {
 				continue
 			}
-			if alone == nil || q.addr != addr {
-				ended = append(ended, p.place(q, a)...)
+			if dedicated == nil || q.addr != addr {
+				ended = append(ended, p.assign(q, a)...)
 				continue
 			}
-			c.carry(a)
+			c.add(a)
 		}
 		c.closeIfDone()
 	}
@@ -612,15 +615,15 @@
 	}
 }
 
-// dialResult tells what a failed dial proves: a failure of this host says nothing of the store.
-func dialResult(err error) control.Outcome {
+// dialOutcome returns the outcome of a failed dial. A failure local to this host is not counted against the endpoint.
+func dialOutcome(err error) control.Outcome {
 	if neterr.Local(err) {
 		return control.LocalFailure
 	}
 	return control.ConnectFailed
 }
 
-// sweep closes connections that are idle or silent.
+// sweep closes idle and unresponsive connections.
 func (p *Pool) sweep() {
 	defer p.wg.Done()
 	t := time.NewTicker(sweepInterval)
@@ -636,22 +639,21 @@
 		p.mu.Lock()
 		for _, q := range p.peers {
 			for _, c := range q.conns {
-				c.forget(now)
-				// A connection on which work was given up and nothing has come since may lead to a
-				// machine that vanished: new work asks with a new connection, whose failure proves that
-				// nothing ran.
-				if c.silentSince > 0 && now-c.silentSince > maxSilence {
-					c.leaving = true
+				c.forgetExpiredIDs(now)
+				// A connection with canceled attempts and no response since may lead to a machine that has failed without
+				// closing it. New attempts then dial a new connection: a failed dial proves that they have not run.
+				if c.unresponsiveSince > 0 && now-c.unresponsiveSince > unresponsiveTTL {
+					c.draining = true
 				}
-				if c.idle() {
-					c.leaving = true
+				if c.idleExpired() {
+					c.draining = true
 				}
-				if c.leaving && now-c.lastUse > proofTTL { // silent: what its DROPs did stays in doubt
-					ended = append(ended, c.unproven()...)
+				if c.draining && now-c.lastUse > barrierTimeout { // no response: the canceled attempts stay unconfirmed
+					ended = append(ended, c.failBarriers()...)
 				}
 				c.closeIfDone()
 			}
-			p.forget(q)
+			p.removeIfUnused(q)
 		}
 		p.mu.Unlock()
 		for _, ev := range ended {
