--- a/upstream/httpstore/httpstore.go
+++ b/upstream/httpstore/httpstore.go
@@ -293,8 +293,8 @@
 	errClientCanceled = errors.New("httpstore: client canceled the request while it was being written")
 )
 
-// cancelableBody is a request body that fails once the client has canceled the request, so that an endpoint that reads slowly never
-// receives a canceled request completely.
+// cancelableBody is a request body that fails once the client has canceled the request, so that an endpoint that reads slowly
+// never receives a canceled request completely.
 type cancelableBody struct {
 	body     io.Reader
 	canceled *atomic.Bool // nil: the request cannot be canceled
--- a/upstream/resp/conn.go
+++ b/upstream/resp/conn.go
@@ -157,9 +157,9 @@
 	return ended
 }
 
-// markIfUnresponsive marks the connection unresponsive when an attempt on it is canceled without any response since the attempt was
-// written, more than unresponsiveAfter ago. If the endpoint has responded on another connection meanwhile, the fault lies with this
-// connection, which then drains.
+// markIfUnresponsive marks the connection unresponsive when an attempt on it is canceled without any response since the attempt
+// was written, more than unresponsiveAfter ago. If the endpoint has responded on another connection meanwhile, the fault lies
+// with this connection, which then drains.
 func (c *conn) markIfUnresponsive(a *attempt) {
 	now := c.pool.now()
 	if c.lastResponse > a.writtenAt || now-a.writtenAt <= unresponsiveAfter {
@@ -202,8 +202,8 @@
 	}
 }
 
-// writeBatch writes a batch of queued chunks and reports whether there are more. If the socket's send buffer is full, the batch is
-// built again once the socket is writable, so that attempts are not sent that were canceled while they waited or whose
+// writeBatch writes a batch of queued chunks and reports whether there are more. If the socket's send buffer is full, the batch
+// is built again once the socket is writable, so that attempts are not sent that were canceled while they waited or whose
 // target or fill source accepts no new work any more.
 func (c *conn) writeBatch() (more bool, err error) {
 	p := c.pool
@@ -265,8 +265,8 @@
 	return more, err
 }
 
-// writeRemainder writes the remainder of a chunk of which the given number of bytes are sent. If meanwhile the client cancels the
-// request, or its ttl is not yet sent and can no longer be corrected, it returns an error instead: the connection is then
+// writeRemainder writes the remainder of a chunk of which the given number of bytes are sent. If meanwhile the client cancels
+// the request, or its ttl is not yet sent and can no longer be corrected, it returns an error instead: the connection is then
 // closed, so that a slow endpoint never receives the complete request.
 func (c *conn) writeRemainder(k chunk, sent int) error {
 	rest := k.bytes[sent:]
@@ -440,9 +440,9 @@
 	return ended
 }
 
-// responseReader reads a connection with time limits on each response, so that one that stops short does not block all others on the
-// connection. From a response's first byte on, each read is limited to responseReadTimeout and the response as a whole to
-// deadline. An idle connection has no limit.
+// responseReader reads a connection with time limits on each response, so that a truncated one does not block all others on the
+// connection. From a response's first byte on, each read is limited to responseReadTimeout and the response as a whole to the
+// time in deadline. An idle connection has no limit.
 type responseReader struct {
 	net      net.Conn
 	deadline time.Time // zero: no response has begun
@@ -521,8 +521,8 @@
 	}
 }
 
-// closeOutcomes returns the outcomes of the attempts on a connection that has ended with the given read error: of those that were
-// not sent, and of those that may have run. A failure local to this host, or a client's cancellation in the middle of
+// closeOutcomes returns the outcomes of the attempts on a connection that has ended with the given read error: of those that
+// were not sent, and of those that may have run. A failure local to this host, or a client's cancellation in the middle of
 // writing its request, is not counted against the endpoint.
 func (c *conn) closeOutcomes(readErr error) (notSent, mayHaveRun control.Outcome) {
 	if neterr.Local(readErr) || neterr.Local(c.writeErr) || errors.Is(c.writeErr, errClientCanceled) {
@@ -531,8 +531,8 @@
 	return control.ConnectFailed, control.ConnectionLost
 }
 
-// handleResponse processes one response. It returns the event of the attempt or probe that ended with it, or the attempts whose DROPs it
-// confirms.
+// handleResponse processes one response. It returns the event of the attempt or probe that ended with it, or the attempts whose
+// DROPs it confirms.
 func (c *conn) handleResponse(a response) (_ core.Event, confirmed []core.AttemptKey, _ error) {
 	p := c.pool
 	p.mu.Lock()
--- a/upstream/resp/deadline_test.go
+++ b/upstream/resp/deadline_test.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// pipeRoom is the capacity in bytes of the pipe of a pipeConn: a page, the minimum.
+// pipeCapacity is the capacity in bytes of the pipe of a pipeConn: a page, the minimum.
 const pipeCapacity = 4096
 
 // pipeConn is a connection whose writes go through a pipe, so that a write stops when the pipe is full.
--- a/upstream/resp/parse.go
+++ b/upstream/resp/parse.go
@@ -13,7 +13,7 @@
 
 // Limits of a response.
 const (
-	maxBodyBytes     = 256 << 10 // bytes; an object has at most 240,000
+	maxBodyBytes     = 256 << 10 // an object has at most 240,000 bytes
 	maxElementBytes  = 4 << 10   // bytes of any other element
 	maxLengthLine    = 32        // bytes of a length line
 	maxElements      = 8
@@ -21,7 +21,7 @@
 	elementsWithBody = 4 // elements up to the body
 )
 
-// errWire is wrapped by the errors for all malformed responses.
+// errMalformed is wrapped by the errors for all malformed responses.
 var errMalformed = errors.New("malformed response")
 
 // response is one response of an endpoint.
--- a/upstream/resp/resp.go
+++ b/upstream/resp/resp.go
@@ -26,8 +26,8 @@
 	Streams      int     // maximum number of attempts in flight on one connection
 	MaxConns     int     // to all endpoints together
 	Longest      float64 // ms, the maximum duration of a request
-	NoProbes     bool    // send no health checks and no PINGs, so that cancellations cannot be confirmed
-	NoDrops      bool    // send no DROPs, so that a canceled attempt runs to its end at the endpoint
+	NoProbes     bool    // health checks are disabled, and with them PINGs: only time resolves an unconfirmed cancellation
+	NoDrops      bool    // cancellation is disabled: no DROP is sent, and a canceled attempt runs to its end at the endpoint
 	Clock        *clock.Clock
 	Log          zerolog.Logger
 	Dial         func(ctx context.Context, network, addr string) (net.Conn, error) // nil: net.Dialer
@@ -37,7 +37,7 @@
 	idleCloseFraction   = 0.8             // of IdleClose, so that this side closes first and no request is sent into the endpoint's close
 	writeTimeout        = 2 * time.Second // a connection whose endpoint reads nothing for this duration is closed
 	maxQueuedBytes      = 2 << 20         // bytes buffered for one connection's writer
-	unresponsiveAfter   = 500.0           // ms without a response after which a cancellation marks its connection unresponsive
+	unresponsiveAfter   = 500.0           // ms without a response since an attempt was written: its cancellation then marks the connection unresponsive
 	unresponsiveTTL     = 1000.0          // ms for which an unresponsive connection still takes new attempts
 	sweepInterval       = 250 * time.Millisecond
 	barrierTimeout      = 2000.0 // ms since its last use for which a draining connection waits for the responses to barrier PINGs
@@ -424,8 +424,8 @@
 	}
 }
 
-// cancelAttempt cancels an attempt. An attempt that is not yet sent ends at once, and certainly has not run. For any other a DROP is
-// queued, and the attempt ends once that is written.
+// cancelAttempt cancels an attempt. One that is not yet sent ends immediately, and certainly has not run. For any other a DROP
+// is queued, and the attempt ends once that is written.
 func (p *Pool) cancelAttempt(a *attempt, outcome control.Outcome) core.Event {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -465,8 +465,8 @@
 	return nil
 }
 
-// endAttempt ends an attempt and returns its event, which the caller posts after releasing the lock. It returns nil if the attempt
-// has already ended.
+// endAttempt ends an attempt and returns its event, which the caller posts after releasing the lock. It returns nil if the
+// attempt has already ended.
 func (p *Pool) endAttempt(a *attempt, outcome control.Outcome) core.Event {
 	if a.ended {
 		return nil
