--- a/front/accept_test.go
+++ b/front/accept_test.go
@@ -12,14 +12,15 @@
 	"turnfork.dev/turnfork/internal/faultnet"
 )
 
-// acceptErrors is what accept4(2) documents beside a listener that is closed.
+// acceptErrors are the errors that accept4(2) documents, other than that of a closed listener.
 var acceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EINTR,
 	syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
 }
 
-// No error of accept ends a front: the connections that wait are taken after it. The console and both fronts accept here.
-func TestAcceptErrorsEndNothing(t *testing.T) {
+// An error of accept must not end Serve: pending connections are accepted after it. Serve is shared by the admin API and both
+// frontends.
+func TestServeContinuesAfterAcceptErrors(t *testing.T) {
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -42,7 +43,7 @@
 			}
 			defer conn.Close()
 			if got, err := io.ReadAll(conn); err != nil || string(got) != "served" {
-				t.Errorf("the connection got %q, %v", got, err)
+				t.Errorf("the connection received %q, error %v", got, err)
 			}
 			if n := faulty.Failed(); n != 3 {
 				t.Errorf("accept failed %d times", n)
--- a/front/admission.go
+++ b/front/admission.go
@@ -8,44 +8,44 @@
 	"time"
 )
 
-// Admission: an accepted connection has a place at once where one is free. Some are kept free ahead of need, by closing
-// idle connections in batches, as a reader needs a moment to confirm that it has nothing in hand. Where that is outrun, a
-// few connections wait for places, each with a limit of its own, in the order in which they came; those behind them stay in
-// the machine's queue. Nothing polls: a place that becomes free goes to the first who waits.
+// Admission: an accepted connection gets a slot at once if one is free. A reserve of free slots is maintained by closing
+// idle connections in batches, because a reader needs a moment to confirm that it holds no part of a request. If connections
+// arrive faster than slots become free, up to maxWaiting of them wait in order of arrival, each with its own timeout; further
+// ones stay in the kernel's accept queue. There is no polling: a freed slot is assigned to the first waiting connection.
 
 const (
-	reservedShare    = 16                     // one place in so many is kept free, and as many connections may wait
-	admissionTimeout = 500 * time.Millisecond // a connection waits so long for a place
-	silentShare      = 4                      // silent connections may hold one place in so many before they go first
-	silentGrace      = 50.0                   // ms that a new connection has in any case
-	partialGrace     = 300.0                  // ms without a byte after which half a request keeps no place from others
-	evictionTimeout  = 20 * time.Millisecond  // a reader that has not closed its connection by then has others closed, too
+	reservedShare    = 16                     // 1/reservedShare of the slots are kept free; as many connections may wait
+	admissionTimeout = 500 * time.Millisecond // maximum wait of a connection for a slot
+	silentShare      = 4                      // connections without a complete request are evicted first beyond 1/silentShare of the slots
+	silentGrace      = 50.0                   // ms for which a new connection is not evicted
+	partialGrace     = 300.0                  // ms without a new byte after which a connection with a partial request may be evicted
+	evictionTimeout  = 20 * time.Millisecond  // if a reader has not closed its connection by then, others are evicted instead
 )
 
-// waiter is an accepted connection without a place.
+// waiter is an accepted connection that waits for a slot.
 type waiter struct {
 	conn     net.Conn
-	came     float64    // when it was accepted
-	admitted chan *Conn // has room for one
+	came     float64    // time of the accept
+	admitted chan *Conn // buffered, for one element
 }
 
-// maxWaiting is how many accepted connections may wait for a place; they hold descriptors, too.
+// maxWaiting returns how many accepted connections may wait for a slot.
 func (s *Server) maxWaiting() int { return s.limit()/reservedShare + 1 }
 
-// capacity is the number of places: what the waiting connections may hold is left out.
+// capacity returns the number of slots. It is lower than the limit, as the waiting connections hold descriptors, too.
 func (s *Server) capacity() int { return s.limit() + 1 - s.maxWaiting() }
 
-// reserve is the number of places kept free ahead of need.
+// reserve returns the number of slots that are kept free for new connections.
 func (s *Server) reserve() int { return s.limit() / reservedShare }
 
-// tryAdmit gives a connection a place, or nil where none is free now.
+// tryAdmit assigns a slot to a connection. It returns nil if none is free.
 func (s *Server) tryAdmit(nc net.Conn) *Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.admit(nc)
 }
 
-// admitOrWait gives a connection a place, or has it wait for one.
+// admitOrWait assigns a slot to a connection or appends it to the waiting ones.
 func (s *Server) admitOrWait(nc net.Conn) (*Conn, *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +57,8 @@
 	return nil, w
 }
 
-// await gives the place for which a connection waits, or nil once its time is up or ctx has ended: it is closed then.
+// await waits until a connection has a slot. After admissionTimeout, or when ctx is done, it closes the connection and returns
+// nil.
 func (s *Server) await(ctx context.Context, w *waiter) *Conn {
 	timeout := time.NewTimer(admissionTimeout)
 	defer timeout.Stop()
@@ -74,7 +75,7 @@
 	return <-w.admitted
 }
 
-// withdraw takes a connection out of the queue, and tells whether it was still there.
+// withdraw removes a connection from the waiting ones and reports whether it was still among them.
 func (s *Server) withdraw(w *waiter) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +87,7 @@
 	return true
 }
 
-// admit gives a connection a place that is free, unless others wait for it. The lock is held, here and below.
+// admit assigns a free slot to a connection, unless others wait for one. The caller holds mu, here and below.
 func (s *Server) admit(nc net.Conn) *Conn {
 	s.makeRoom(1)
 	if len(s.waiters) > 0 || len(s.conns) >= s.capacity() {
@@ -110,7 +111,7 @@
 	return conn
 }
 
-// admitWaiting gives free places to those who wait.
+// admitWaiting assigns free slots to the connections that wait.
 func (s *Server) admitWaiting() {
 	for len(s.waiters) > 0 && len(s.conns) < s.capacity() {
 		w := s.waiters[0]
@@ -121,8 +122,8 @@
 	}
 }
 
-// makeRoom has idle connections closed where too few places are free, or about to be, for those who wait, for so many that
-// arrive now and for the reserve. It does so in batches, so that not every arrival looks through all connections.
+// makeRoom evicts idle connections if too few slots are free, or about to be, for the waiting connections, the arriving ones
+// and the reserve. It evicts in batches, so that not every new connection causes a scan of all connections.
 func (s *Server) makeRoom(arriving int) {
 	wanted := len(s.waiters) + arriving
 	free := s.capacity() - len(s.conns) + s.closing
@@ -131,15 +132,15 @@
 	}
 	if !s.fullLogged && free < wanted {
 		s.fullLogged = true
-		s.Log.Warn().Int("connections", len(s.conns)).Msg("all places taken: idle connections are closed for new ones")
+		s.Log.Warn().Int("connections", len(s.conns)).Msg("connection limit reached; closing idle connections to admit new ones")
 	}
-	// With each round in which readers were stuck the batch grows, so that a run of them soon ends.
+	// The batch grows by the number of stuck readers, so that a series of them soon ends.
 	for _, x := range s.evictionCandidates(wanted + s.reserve() + s.stuck - free) {
 		s.evict(x)
 	}
 }
 
-// evict has a connection closed for a new one by its reader, which may have read a request since it was chosen.
+// evict asks a connection's reader to close it. The reader keeps it open if it has read a request in the meantime.
 func (s *Server) evict(x *Conn) {
 	s.requestClose(x)
 	if x.shouldClose(s.Clock.Now()) {
@@ -147,14 +148,14 @@
 	}
 }
 
-// requestClose marks a connection for its reader to close, once it has nothing in hand.
+// requestClose marks a connection to be closed by its reader as soon as that holds no part of a request.
 func (s *Server) requestClose(x *Conn) {
 	x.closing, x.stuck, x.closeAskedAt = true, false, time.Now()
 	s.closing++
 	s.checkClosingLater()
 }
 
-// checkClosingLater has a check made while readers are about to close connections.
+// checkClosingLater schedules checkClosing if readers have been asked to close connections.
 func (s *Server) checkClosingLater() {
 	if s.closing > 0 && !s.checking {
 		s.checking = true
@@ -162,7 +163,7 @@
 	}
 }
 
-// keep takes such a mark back: a request came, or the connection has ended.
+// keep cancels requestClose, because a request was received or the connection has ended.
 func (s *Server) keep(x *Conn) {
 	switch {
 	case !x.closing:
@@ -175,8 +176,8 @@
 	x.closing, x.stuck = false, false
 }
 
-// checkClosing no longer counts on readers that have not closed their connections in time, and goes on for as long as any is
-// about to.
+// checkClosing marks the connections that were not closed within evictionTimeout as stuck, evicts others in their stead, and
+// schedules itself again while readers are still to close connections.
 func (s *Server) checkClosing() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,9 +194,9 @@
 	s.checkClosingLater()
 }
 
-// remove takes a connection's place back, and gives it to another one.
+// remove frees a connection's slot and assigns it to a waiting connection.
 func (s *Server) remove(x *Conn) {
-	if _, placed := s.conns[x]; !placed {
+	if _, admitted := s.conns[x]; !admitted {
 		return
 	}
 	s.keep(x)
@@ -203,35 +204,36 @@
 	s.admitWaiting()
 }
 
-// evictable is a connection that may be closed for a new one.
+// evictable is a connection that may be evicted.
 type evictable struct {
 	conn  *Conn
-	since float64 // when it last did something
+	since float64 // time of its last activity
 }
 
-// evictionCandidates gives up to count connections to close for new ones: of those that never brought a whole request the
-// ones that have been silent for longest, where such hold many places, else the ones that have been idle for longest. Half a
-// request keeps its place only while it goes on.
+// evictionCandidates returns up to count connections to evict. Connections that have never sent a complete request or have
+// stalled in one go first, longest silent first, while they hold more than 1/silentShare of the slots; otherwise the connection
+// with the oldest activity goes first. A connection with a partial request is a candidate only after partialGrace without a
+// new byte.
 func (s *Server) evictionCandidates(count int) []*Conn {
 	now := s.Clock.Now()
 	var silent, idle []evictable
-	silents := 0
+	silentCount := 0
 	for x := range s.conns {
-		from, least := x.idleSince, 0.0
+		since, grace := x.idleSince, 0.0
 		switch {
-		case x.openRequests > 0 || x.closing: // that one is closing already, or has bytes in hand
+		case x.openRequests > 0 || x.closing: // if closing, its reader is about to close it or holds part of a request
 			continue
 		case x.partial():
-			from, least = x.last(), partialGrace
+			since, grace = x.last(), partialGrace
 		case !x.hadRequest:
-			least = silentGrace
+			grace = silentGrace
 		}
 		if x.hadRequest && x.requestDeadline == 0 {
-			idle = append(idle, evictable{x, from})
+			idle = append(idle, evictable{x, since})
 			continue
 		}
-		if silents++; now-from >= least {
-			silent = append(silent, evictable{x, from})
+		if silentCount++; now-since >= grace {
+			silent = append(silent, evictable{x, since})
 		}
 	}
 	oldestFirst := func(a, b evictable) int { return cmp.Compare(a.since, b.since) }
@@ -239,10 +241,10 @@
 	slices.SortFunc(idle, oldestFirst)
 	var chosen []*Conn
 	for len(chosen) < count && len(silent)+len(idle) > 0 {
-		crowd := silentShare*silents > s.limit()
-		if len(silent) > 0 && (crowd || len(idle) == 0 || silent[0].since <= idle[0].since) {
+		manySilent := silentShare*silentCount > s.limit()
+		if len(silent) > 0 && (manySilent || len(idle) == 0 || silent[0].since <= idle[0].since) {
 			chosen, silent = append(chosen, silent[0].conn), silent[1:]
-			silents--
+			silentCount--
 		} else {
 			chosen, idle = append(chosen, idle[0].conn), idle[1:]
 		}
--- a/front/admission_test.go
+++ b/front/admission_test.go
@@ -14,9 +14,9 @@
 	"turnfork.dev/turnfork/clock"
 )
 
-// echo serves connections that ask with a byte and are answered with it. Where stopped is not nil, a reader that has
-// answered an s stays there, as one does that gets no processor.
-func echo(stopped <-chan struct{}) func(net.Conn, *Conn) {
+// echo serves connections whose requests are one byte each and are answered with the same byte. A reader that has answered an
+// 's' then blocks until resume is closed, like one whose goroutine is not scheduled.
+func echo(resume <-chan struct{}) func(net.Conn, *Conn) {
 	return func(nc net.Conn, conn *Conn) {
 		conn.CloseWhenIdle()
 		conn.Update(0, false, 0)
@@ -29,53 +29,54 @@
 			}
 			conn.Update(1, true, 0)
 			nc.Write(b)
-			if b[0] == 'b' { // busy until its client leaves
+			if b[0] == 'b' { // busy until the client closes the connection
 				nc.Read(b)
 				return
 			}
 			conn.Update(0, true, 0)
 			if b[0] == 's' {
-				<-stopped
+				<-resume
 			}
 		}
 	}
 }
 
-// echoServer serves echo until the test ends.
-func echoServer(t *testing.T, places int, stopped <-chan struct{}) (s *Server, ask func(question byte) (net.Conn, error)) {
+// echoServer serves echo until the test ends. send opens a connection and sends a request on it.
+func echoServer(t *testing.T, maxConns int, resume <-chan struct{}) (s *Server, send func(request byte) (net.Conn, error)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s = &Server{Max: places, Clock: clock.System(), Log: zerolog.Nop()}
-	ctx, end := context.WithCancel(context.Background())
+	s = &Server{Max: maxConns, Clock: clock.System(), Log: zerolog.Nop()}
+	ctx, cancel := context.WithCancel(context.Background())
 	var serving sync.WaitGroup
-	serving.Go(func() { s.Serve(ctx, l, echo(stopped)) })
+	serving.Go(func() { s.Serve(ctx, l, echo(resume)) })
 	t.Cleanup(func() {
-		end()
+		cancel()
 		serving.Wait()
 	})
-	return s, func(question byte) (net.Conn, error) {
+	return s, func(request byte) (net.Conn, error) {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			return nil, err
 		}
 		t.Cleanup(func() { c.Close() })
 		c.SetDeadline(time.Now().Add(20 * time.Second))
-		_, err = c.Write([]byte{question})
+		_, err = c.Write([]byte{request})
 		return c, err
 	}
 }
 
-// Readers that are stopped keep their places, and hold nobody else up: others are closed in their stead.
-func TestStoppedReadersHoldNobodyUp(t *testing.T) {
-	const places, stopped = 64, 24
-	goOn := make(chan struct{})
-	s, ask := echoServer(t, places, goOn)
-	defer close(goOn)
-	answered := func(question byte) {
+// Blocked readers do not close their connections when asked to. New connections must not be delayed by them: others are
+// evicted instead.
+func TestBlockedReadersDelayNoNewConnections(t *testing.T) {
+	const maxConns, blocked = 64, 24
+	resume := make(chan struct{})
+	s, send := echoServer(t, maxConns, resume)
+	defer close(resume)
+	exchange := func(request byte) {
 		t.Helper()
-		c, err := ask(question)
+		c, err := send(request)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,39 +84,39 @@
 			t.Fatal(err)
 		}
 	}
-	for range stopped { // the oldest, so that they are the first to be asked
-		answered('s')
+	for range blocked { // the oldest, so that they are the first to be evicted
+		exchange('s')
 	}
 	start := time.Now()
-	for range 5 * places {
-		answered('a')
+	for range 5 * maxConns {
+		exchange('a')
 	}
 	if took := time.Since(start); took > time.Second {
-		t.Errorf("%d connections took %v", 5*places, took)
+		t.Errorf("%d connections took %v", 5*maxConns, took)
 	}
-	if n := s.Conns(); n > places {
-		t.Errorf("%d connections, %d places", n, places)
+	if n := s.Conns(); n > maxConns {
+		t.Errorf("%d connections, limit %d", n, maxConns)
 	}
 }
 
-// Where every place has a request open, several connections wait at once, each for its own time; and a place that becomes
-// free goes to the first of them without delay.
-func TestWaitingEndsByASignal(t *testing.T) {
-	const places = 64
-	s, ask := echoServer(t, places, nil)
+// If every slot has an open request, several connections wait at the same time, each with its own timeout, and a freed slot is
+// assigned to the first of them without delay.
+func TestFreedSlotIsAssignedToFirstWaiter(t *testing.T) {
+	const maxConns = 64
+	s, send := echoServer(t, maxConns, nil)
 	var busy []net.Conn
 	for range s.capacity() {
-		c, err := ask('b')
+		c, err := send('b')
 		if err != nil {
 			t.Fatal(err)
 		}
 		busy = append(busy, c)
 	}
-	until := func(what string, ok func() bool) {
+	waitFor := func(what string, ok func() bool) {
 		t.Helper()
-		for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(100 * time.Microsecond) {
-			if time.Now().After(limit) {
-				t.Fatalf("never: %s", what)
+		for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(100 * time.Microsecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("timed out waiting for: %s", what)
 			}
 		}
 	}
@@ -133,30 +134,30 @@
 		}
 		return open == s.capacity()
 	}
-	until("all places busy", allBusy)
+	waitFor("all slots busy", allBusy)
 	start := time.Now()
-	var late []net.Conn
+	var queued []net.Conn
 	for i := range 4 {
-		c, err := ask('b')
+		c, err := send('b')
 		if err != nil {
 			t.Fatal(err)
 		}
-		late = append(late, c)
-		until("a connection waits", func() bool { return waiting() == i+1 })
+		queued = append(queued, c)
+		waitFor("a connection waits", func() bool { return waiting() == i+1 })
 	}
 	busy[0].Close()
-	if b, err := bufio.NewReader(late[0]).ReadByte(); err != nil || b != 'b' {
-		t.Errorf("the first that waits: %q, %v", b, err)
+	if b, err := bufio.NewReader(queued[0]).ReadByte(); err != nil || b != 'b' {
+		t.Errorf("the first waiting connection: %q, %v", b, err)
 	}
 	if took := time.Since(start); took > admissionTimeout {
-		t.Errorf("a free place was given after %v", took)
+		t.Errorf("the freed slot was assigned after %v", took)
 	}
-	for _, c := range late[1:] {
+	for _, c := range queued[1:] {
 		if b, err := bufio.NewReader(c).ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("one that found no place: %q, %v", b, err)
+			t.Errorf("a connection without a slot: %q, %v", b, err)
 		}
 	}
 	if took := time.Since(start); took > 2*admissionTimeout {
-		t.Errorf("those that waited at once ended after %v, one after the other", took)
+		t.Errorf("the waiting connections were closed after %v, one after the other", took)
 	}
 }
--- a/front/arrival.go
+++ b/front/arrival.go
@@ -8,29 +8,30 @@
 	"turnfork.dev/turnfork/clock"
 )
 
-// readerPause is for how long, in ms, a reader may be busy elsewhere before what has come meanwhile counts as a backlog.
+// readerPause is the time in ms between two reads above which the bytes received in between count as a backlog.
 const readerPause = 5.0
 
-// arrivals tells when the bytes that a reader takes from a connection came to this machine. Guards against a request that
-// is given more time than its client has left: it may have waited in the accept queue, for a place or unread in the socket.
-// Only the reader's goroutine may use it. On a connection that shows no descriptor, bytes come when they are read.
+// arrivals determines when the bytes that a reader reads from a connection arrived at this machine. A request may have waited
+// in the accept queue, for a slot or unread in the socket; without the time of that wait it would be given more time than its
+// client has left. Only the reader's goroutine may use it. Without access to the descriptor, bytes count as having arrived
+// when they are read.
 type arrivals struct {
 	conn     net.Conn
 	clock    *clock.Clock
 	stalls   *stalls
-	began    float64 // when the read under way did
-	checked  float64 // when the reader last looked for bytes, or the connection was accepted
-	segments uint32  // with data, which had come by then
-	backlog  int     // bytes that came while the reader was elsewhere, as far as they are still to be read
-	since    float64 // the earliest time at which these may have come
-	arrived  float64 // when the bytes that were read last came, at the latest
+	began    float64 // start of the current read
+	checked  float64 // end of the last read, or time of the accept
+	segments uint32  // segments with data that had arrived at the last read that returned bytes
+	backlog  int     // bytes still to be read that arrived between two reads
+	since    float64 // earliest time at which the backlog may have arrived
+	arrived  float64 // latest time at which the bytes of the last read may have arrived
 }
 
-// acceptedAt tells when the connection was accepted, before anything is read.
+// acceptedAt sets the time of the accept. It is called before the first read.
 func (a *arrivals) acceptedAt(at float64) { a.checked, a.arrived = at, at }
 
-// beforeRead notes what has come while the reader was elsewhere. A single segment tells when it came; of several only the
-// last does, so they may have come at any time since the reader last looked.
+// beforeRead records the bytes that have arrived since the last read. The kernel reports only the time of the last segment:
+// it is that of all bytes if there is a single segment; of several, the first may have arrived at any time since the last read.
 func (a *arrivals) beforeRead() {
 	now := a.clock.Now()
 	a.began = now
@@ -46,7 +47,7 @@
 	}
 }
 
-// afterRead notes when the bytes came that were just read.
+// afterRead records when the n bytes that were just read arrived.
 func (a *arrivals) afterRead(n int) {
 	a.checked = a.clock.Now()
 	if n <= 0 {
@@ -64,8 +65,8 @@
 	}
 }
 
-// lastData tells how many ms ago data last came on a connection, by the machine's monotonic clock, and how many segments
-// with data have come on it. A connection that can't tell gives zeros.
+// lastData returns how many ms ago data last arrived on a connection, by the kernel's monotonic clock, and how many segments
+// with data have arrived on it. Both are zero if the connection does not provide them.
 func lastData(c net.Conn) (age float64, segments uint32) {
 	control(c, func(fd int) {
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
@@ -75,7 +76,7 @@
 	return age, segments
 }
 
-// unreadBytes counts the bytes that wait in the machine for this side to read them, as far as a connection can tell.
+// unreadBytes returns the number of bytes in the socket's receive buffer, or 0 if the connection does not provide it.
 func unreadBytes(c net.Conn) (n int) {
 	control(c, func(fd int) {
 		if waiting, err := unix.IoctlGetInt(fd, unix.TIOCINQ); err == nil {
@@ -85,7 +86,7 @@
 	return n
 }
 
-// timedReader notes when the bytes that are read came.
+// timedReader records when the bytes that are read from it arrived.
 type timedReader struct {
 	arrivals *arrivals
 	r        io.Reader
@@ -98,9 +99,9 @@
 	return n, err
 }
 
-// timed gives a reader that notes when the bytes of the connection came.
+// timed wraps the connection's reader to record when its bytes arrived.
 func (a *arrivals) timed(r io.Reader) io.Reader { return timedReader{a, r} }
 
-// Arrived is when the bytes that CountReads gave last came to this machine, or the connection where none have. Only the
-// goroutine that reads may call it.
+// Arrived returns when the bytes that were last read through CountReads arrived at this machine, or the time of the accept if
+// none were read. Only the reader's goroutine may call it.
 func (s *Conn) Arrived() float64 { return s.arrivals.arrived }
--- a/front/budget.go
+++ b/front/budget.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// Budget bounds the bytes that wait to be written, on all connections of a front.
+// Budget limits the bytes that a frontend holds in memory for one purpose, over all its connections.
 type Budget struct {
 	Most int64
 	held atomic.Int64
 }
 
-// Take books n bytes, or tells that there is no room.
+// Take reserves n bytes. It returns false if that would exceed the limit.
 func (b *Budget) Take(n int) bool {
 	if b.held.Add(int64(n)) > atomic.LoadInt64(&b.Most) {
 		b.held.Add(-int64(n))
@@ -17,11 +17,11 @@
 	return true
 }
 
-// TakeAnyway books n bytes, also beyond the bound. Its users bound how often.
+// TakeAnyway reserves n bytes even beyond the limit. Callers must limit how often they do so.
 func (b *Budget) TakeAnyway(n int) { b.held.Add(int64(n)) }
 
-// Give returns n bytes.
+// Give releases n reserved bytes.
 func (b *Budget) Give(n int) { b.held.Add(-int64(n)) }
 
-// Limit sets the bound anew. What is booked beyond it stays.
-func (b *Budget) Limit(most int64) { atomic.StoreInt64(&b.Most, most) }
+// Limit changes the limit. Bytes that are already reserved stay reserved.
+func (b *Budget) Limit(maxBytes int64) { atomic.StoreInt64(&b.Most, maxBytes) }
--- a/front/close_test.go
+++ b/front/close_test.go
@@ -17,13 +17,13 @@
 	"turnfork.dev/turnfork/front"
 )
 
-// holdingConn holds a read up once it has taken its bytes from the machine: they are read, and nobody knows of them yet.
+// holdingConn delays the return of a read: the bytes have left the socket, but the frontend has not received them yet.
 type holdingConn struct {
 	*net.TCPConn
 	armed   atomic.Bool
-	read    chan struct{} // closed once the bytes are taken
-	goOn    chan struct{} // closed by the test: the read returns
-	decided chan struct{} // closed once the connection is closed, or its reader is told to
+	read    chan struct{} // closed once the bytes were read from the socket
+	resume  chan struct{} // closed by the test to let the read return
+	decided chan struct{} // closed once the connection is closed or its reads are interrupted
 	once    sync.Once
 }
 
@@ -31,7 +31,7 @@
 	n, err := c.TCPConn.Read(b)
 	if n > 0 && c.armed.CompareAndSwap(true, false) {
 		close(c.read)
-		<-c.goOn
+		<-c.resume
 	}
 	return n, err
 }
@@ -50,7 +50,7 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// holdingListener makes each connection one whose reads can be held up.
+// holdingListener wraps each accepted connection in a holdingConn.
 type holdingListener struct {
 	net.Listener
 	accepted chan *holdingConn
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	c := &holdingConn{
-		TCPConn: nc.(*net.TCPConn), read: make(chan struct{}), goOn: make(chan struct{}), decided: make(chan struct{}),
+		TCPConn: nc.(*net.TCPConn), read: make(chan struct{}), resume: make(chan struct{}), decided: make(chan struct{}),
 	}
 	select {
 	case l.accepted <- c:
@@ -71,14 +71,14 @@
 	return c, nil
 }
 
-// calls is the console as a protocol.
-var calls = protocol{
-	name: "console",
-	open: func(_ testing.TB, places int, clk *clock.Clock) server {
-		return undrained{adminapi.New(adminapi.Options{Gateway: idleGateway{}, MaxConns: places, Clock: clk, Log: zerolog.Nop()})}
+// adminProtocol is that of the admin API.
+var adminProtocol = protocol{
+	name: "admin",
+	newServer: func(_ testing.TB, maxConns int, clk *clock.Clock) server {
+		return undrained{adminapi.New(adminapi.Options{Gateway: idleGateway{}, MaxConns: maxConns, Clock: clk, Log: zerolog.Nop()})}
 	},
-	request: []byte("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"),
-	answer:  httpAnswer,
+	request:      []byte("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"),
+	readResponse: readHTTPResponse,
 }
 
 type idleGateway struct{}
@@ -87,13 +87,13 @@
 func (idleGateway) Disable(context.Context, uint32, bool) error { return nil }
 func (idleGateway) Drain(context.Context, bool) error           { return nil }
 
-// undrained is a server that no drain empties.
+// undrained is a server that is not affected by a drain.
 type undrained struct{ *adminapi.Server }
 
 func (undrained) Drain(bool) {}
 
-// httpAnswer reads an answer, whatever it says.
-func httpAnswer(r *bufio.Reader) error {
+// readHTTPResponse reads a response with any status.
+func readHTTPResponse(r *bufio.Reader) error {
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return err
@@ -102,157 +102,157 @@
 	return err
 }
 
-// unread tells whether bytes wait in the machine for this side to read them.
+// unread reports whether there are bytes in the socket's receive buffer.
 func unread(c *net.TCPConn) bool {
 	readable, _ := front.Pending(c)
 	return readable
 }
 
-// closing is a way in which a connection comes to be closed, with what came on it before.
-type closing struct {
-	name   string
-	before func(p protocol) []byte // what came on it
-	whole  bool                    // that is a whole request, which is answered
-	drain  bool
-	wait   float64 // ms before the request whose last byte is read in the moment of the close
-	begin  func(c *crowd, clk *clock.Clock)
+// closeCase is a reason for which a connection is closed, with the bytes received before.
+type closeCase struct {
+	name     string
+	before   func(p protocol) []byte // the bytes received before
+	complete bool                    // they are a complete request, which is answered
+	drain    bool
+	wait     float64 // ms before the request whose last byte is read at the time of the close
+	trigger  func(f *frontendTest, clk *clock.Clock)
 }
 
-func nothing(protocol) []byte    { return nil }
-func half(p protocol) []byte     { return p.request[:len(p.request)/2] }
-func wholeOne(p protocol) []byte { return p.request }
+func noBytes(protocol) []byte           { return nil }
+func halfRequest(p protocol) []byte     { return p.request[:len(p.request)/2] }
+func completeRequest(p protocol) []byte { return p.request }
 
-func anotherComes(c *crowd, _ *clock.Clock) { c.connect(nil) }
+func evict(f *frontendTest, _ *clock.Clock) { f.connect(nil) }
 
-func later(ms float64) func(*crowd, *clock.Clock) {
-	return func(_ *crowd, clk *clock.Clock) { clk.Advance(ms) }
+func advance(ms float64) func(*frontendTest, *clock.Clock) {
+	return func(_ *frontendTest, clk *clock.Clock) { clk.Advance(ms) }
 }
 
-func drained(ms float64) func(*crowd, *clock.Clock) {
-	return func(c *crowd, clk *clock.Clock) {
-		c.front.Drain(true)
+func drain(ms float64) func(*frontendTest, *clock.Clock) {
+	return func(f *frontendTest, clk *clock.Clock) {
+		f.frontend.Drain(true)
 		clk.Advance(ms)
 	}
 }
 
-func stopped(c *crowd, _ *clock.Clock) { c.front.(interface{ Stop() }).Stop() }
+func stop(f *frontendTest, _ *clock.Clock) { f.frontend.(interface{ Stop() }).Stop() }
 
-var closings = []closing{
-	{name: "a silent one whose place is wanted", before: nothing, wait: 100, begin: anotherComes},
-	{name: "a stalled partial request whose place is wanted", before: half, wait: 400, begin: anotherComes},
-	{name: "an idle one whose place is wanted", before: wholeOne, whole: true, wait: 100, begin: anotherComes},
-	{name: "nothing came in time", before: nothing, begin: later(12100)},
-	{name: "a partial request stalls for too long", before: half, begin: later(5100)},
-	{name: "a partial request takes too long", before: half, begin: later(30100)},
-	{name: "idle for too long", before: wholeOne, whole: true, begin: later(60100)},
-	{name: "a drain closes what is idle", before: wholeOne, whole: true, drain: true, begin: drained(600)},
-	{name: "a drain closes what is new and silent", before: nothing, drain: true, begin: drained(800)},
-	{name: "a drain refuses what is partial", before: half, drain: true, begin: drained(2600)},
-	{name: "the end, idle", before: wholeOne, whole: true, begin: stopped},
-	{name: "the end, silent", before: nothing, begin: stopped},
-	{name: "the end, partial", before: half, begin: stopped},
+var closeCases = []closeCase{
+	{name: "eviction of a silent connection", before: noBytes, wait: 100, trigger: evict},
+	{name: "eviction with a stalled partial request", before: halfRequest, wait: 400, trigger: evict},
+	{name: "eviction of an idle connection", before: completeRequest, complete: true, wait: 100, trigger: evict},
+	{name: "first byte timeout", before: noBytes, trigger: advance(12100)},
+	{name: "read timeout of a partial request", before: halfRequest, trigger: advance(5100)},
+	{name: "request timeout of a partial request", before: halfRequest, trigger: advance(30100)},
+	{name: "idle timeout", before: completeRequest, complete: true, trigger: advance(60100)},
+	{name: "drain of an idle connection", before: completeRequest, complete: true, drain: true, trigger: drain(600)},
+	{name: "drain of a new silent connection", before: noBytes, drain: true, trigger: drain(800)},
+	{name: "drain with a partial request", before: halfRequest, drain: true, trigger: drain(2600)},
+	{name: "stop with an idle connection", before: completeRequest, complete: true, trigger: stop},
+	{name: "stop with a silent connection", before: noBytes, trigger: stop},
+	{name: "stop with a partial request", before: halfRequest, trigger: stop},
 }
 
-// A request whose last byte has been read when its connection comes to be closed, for whatever reason, has its answer, also
-// on a new connection.
-func TestWhatIsReadIsAnswered(t *testing.T) {
-	for _, p := range append([]protocol{calls}, protocols...) {
+// A request whose last byte has been read at the time at which its connection is to be closed, for whatever reason, must be
+// answered, also if it is the connection's first.
+func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
+	for _, p := range append([]protocol{adminProtocol}, protocols...) {
 		if p.name == "signed" {
-			p.answer = httpAnswer // a drain answers 503
+			p.readResponse = readHTTPResponse // the status is 503 in a drain
 		}
-		for _, c := range closings {
-			if p.name == calls.name && (c.whole || c.drain) { // a call ends its connection, and no drain does
+		for _, c := range closeCases {
+			if p.name == adminProtocol.name && (c.complete || c.drain) { // the admin API closes after one request and is not drained
 				continue
 			}
-			t.Run(p.name+"/"+c.name, func(t *testing.T) { readInTheMomentOfTheClose(t, p, c) })
+			t.Run(p.name+"/"+c.name, func(t *testing.T) { testRequestReadDuringClose(t, p, c) })
 		}
 	}
 }
 
-func readInTheMomentOfTheClose(t *testing.T, p protocol, how closing) {
+func testRequestReadDuringClose(t *testing.T, p protocol, c closeCase) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	clk := clock.Manual(1e12)
 	accepted := make(chan *holdingConn, 1)
-	c := serveCrowd(t, p, 1, clk, holdingListener{l, accepted})
-	sent := how.before(p)
-	client, err := c.connect(sent)
+	f := serveFrontend(t, p, 1, clk, holdingListener{l, accepted})
+	sent := c.before(p)
+	client, err := f.connect(sent)
 	if err != nil {
 		t.Fatal(err)
 	}
-	answers := bufio.NewReader(client)
+	responses := bufio.NewReader(client)
 	rest := p.request
-	if how.whole {
-		if err := p.answer(answers); err != nil {
+	if c.complete {
+		if err := p.readResponse(responses); err != nil {
 			t.Fatal(err)
 		}
 	} else {
 		rest = rest[len(sent):]
 	}
 	held := <-accepted
-	for limit := time.Now().Add(20 * time.Second); c.front.Conns() == 0 || unread(held.TCPConn); time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatal("what came before is never read")
+	for deadline := time.Now().Add(20 * time.Second); f.frontend.Conns() == 0 || unread(held.TCPConn); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("timed out waiting for the frontend to read the first bytes")
 		}
 	}
-	clk.Advance(how.wait)
+	clk.Advance(c.wait)
 	held.armed.Store(true)
 	if _, err := client.Write(rest); err != nil {
 		t.Fatal(err)
 	}
 	<-held.read
-	how.begin(c, clk)
+	c.trigger(f, clk)
 	answered := make(chan error, 1)
-	go func() { answered <- p.answer(answers) }()
+	go func() { answered <- p.readResponse(responses) }()
 	select {
 	case <-held.decided:
-		close(held.goOn)
+		close(held.resume)
 		err = <-answered
-	case err = <-answered: // the partial request is refused, while its rest is being read
-		close(held.goOn)
-	case <-time.After(2 * sweeps): // nobody is about to close it
-		close(held.goOn)
+	case err = <-answered: // the partial request was rejected while the rest of it was being read
+		close(held.resume)
+	case <-time.After(2 * maxSweepDelay): // the connection is not to be closed
+		close(held.resume)
 		err = <-answered
 	}
 	if err != nil {
-		t.Errorf("a request that was read has no answer: %v", err)
+		t.Errorf("a request that was read was not answered: %v", err)
 	}
 }
 
-// sweeps is beyond the time in which a sweep comes in any case.
-const sweeps = time.Second
+// maxSweepDelay is longer than the time between two sweeps, also on a busy machine.
+const maxSweepDelay = time.Second
 
-// What goes on without ever becoming a whole request loses its connection all the same once its time is up, though there is
-// always more to read.
-func TestPartialRequestThatNeverStopsIsClosed(t *testing.T) {
+// A connection that keeps sending without ever completing a request must be closed at the timeout, although there are always
+// unread bytes.
+func TestEndlessPartialRequestTimesOut(t *testing.T) {
 	endless := map[string]struct{ first, more []byte }{
-		// Bytes of a stream that nobody reads; and a body, a byte at a time, that is never whole.
+		// Records of the unused DATA stream; and a body, one byte at a time, that is never complete.
 		"fastcgi": {protocols[0].request[:len(protocols[0].request)/2], []byte{1, 8, 0, 1, 0, 1, 0, 0, 'x'}},
 		"signed":  {[]byte("POST /v1/ride-end/1/0 HTTP/1.1\r\nHost: a\r\nContent-Length: 48000\r\n\r\n"), []byte("x")},
 	}
 	for _, p := range protocols {
 		t.Run(p.name, func(t *testing.T) {
 			clk := clock.Manual(1e12)
-			c := newCrowd(t, p, 4, clk)
-			nc, err := c.connect(endless[p.name].first)
+			f := startFrontend(t, p, 4, clk)
+			nc, err := f.connect(endless[p.name].first)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for limit := time.Now().Add(20 * time.Second); c.front.Conns() == 0; time.Sleep(time.Millisecond) {
-				if time.Now().After(limit) {
-					t.Fatal("never accepted")
+			for deadline := time.Now().Add(20 * time.Second); f.frontend.Conns() == 0; time.Sleep(time.Millisecond) {
+				if time.Now().After(deadline) {
+					t.Fatal("timed out waiting for the connection to be accepted")
 				}
 			}
 			start := time.Now()
 			for {
-				clk.Advance(10) // with time enough for the limit to pass
+				clk.Advance(10) // the loop runs long enough to exceed the timeout
 				if _, err := nc.Write(endless[p.name].more); err != nil {
 					break
 				}
 				if time.Since(start) > 15*time.Second {
-					t.Fatal("the connection is kept")
+					t.Fatal("the connection was not closed")
 				}
 			}
 		})
--- a/front/conn.go
+++ b/front/conn.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// Conn is what the server knows of a connection. Its front keeps it up to date.
+// Conn is the server's state of a connection. The frontend that serves the connection updates it.
 type Conn struct {
 	server          *Server
 	conn            net.Conn
-	hadRequest      bool // a whole request came on it
-	openRequests    int  // whole requests that are not yet answered, and answers not yet written
+	hadRequest      bool // a complete request was received
+	openRequests    int  // unanswered complete requests plus unwritten responses
 	acceptedAt      float64
-	idleSince       float64       // when the last of them ended, or the connection came
-	requestDeadline float64       // when a request that has begun must be whole at the latest; 0: none is under way
-	lastReadAt      atomic.Uint64 // the bits of the time when bytes last came; 0: none did
-	reads           atomic.Uint64 // how many reads brought bytes
-	spared          bool          // its time was up with bytes unread, which its reader was left to read first
-	sparedAfter     uint64        // how many reads there were by then
-	closeWhenIdle   bool          // its reads are interrupted, and its front closes it
-	closing         bool          // it has been idle for too long, or its place is wanted
-	stuck           bool          // its reader has not closed it in time for that
-	handOver        func()        // has the front hand the connection to another process
-	handingOver     bool          // which is under way
-	shedPartial     func()        // has the front refuse what has begun and is not whole; nil: the connection is closed
-
-	closeAskedAt time.Time // when its reader was asked to close it, as it was idle
-
-	arrivals arrivals // the reader's own
-}
-
-// OnShedPartial names what a drain calls to have the connection's half requests refused. It is called once at most
-// at a time, without the server's lock.
+	idleSince       float64       // when openRequests last fell to 0, or the time of the accept
+	requestDeadline float64       // by when a partial request must be complete; 0: there is none
+	lastReadAt      atomic.Uint64 // math.Float64bits of the time of the last read that returned bytes; 0: none did
+	reads           atomic.Uint64 // number of reads that returned bytes
+	spared          bool          // it timed out with unread bytes, and its reader may read once more before it closes it
+	sparedAfter     uint64        // value of reads at that time
+	closeWhenIdle   bool          // the server interrupts its reads, and its reader closes it
+	closing         bool          // its reader was asked to close it, as it was idle for too long or its slot is needed
+	stuck           bool          // its reader has not closed it within evictionTimeout
+	handOver        func()        // makes the frontend hand the connection over to another process
+	handingOver     bool          // a handover has been requested and is not finished
+	shedPartial     func()        // makes the frontend reject the partial requests; nil: the connection is closed instead
+
+	closeAskedAt time.Time // when its reader was asked to close it
+
+	arrivals arrivals // for the reader's goroutine only
+}
+
+// OnShedPartial sets the function that rejects the connection's partial requests, in a drain or after a timeout. It is called
+// without the server's lock.
 func (s *Conn) OnShedPartial(f func()) {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
 	s.shedPartial = f
 }
 
-// OnHandOver names what has the connection handed to another process, once the server leaves. Until HandedOver is called the
-// connection is not closed for being idle.
+// OnHandOver sets the function that starts the connection's handover to another process. Leave calls it, or OnHandOver itself
+// if Leave was called before. From then until HandedOver is called, a drain does not close the connection.
 func (s *Conn) OnHandOver(f func()) {
 	s.server.mu.Lock()
 	s.handOver = f
@@ -54,14 +54,15 @@
 	}
 }
 
-// RemoteAddr is the client's address.
+// RemoteAddr returns the client's address.
 func (s *Conn) RemoteAddr() net.Addr {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
 	return s.conn.RemoteAddr()
 }
 
-// HandedOver tells that a connection was handed over and nc has taken its place here, or with nil that it stays.
+// HandedOver reports the end of a handover: nc replaces the connection here, or with nil the handover failed and the
+// connection stays.
 func (s *Conn) HandedOver(nc net.Conn) {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -70,13 +71,13 @@
 	}
 }
 
-// countedReader notes when bytes came on a connection.
+// countedReader records the reads of a connection.
 type countedReader struct {
 	conn *Conn
 	r    io.Reader
 }
 
-// Read reads, and records the time of the read on the connection if it returned any bytes.
+// Read counts the read and records its time if it returned any bytes.
 func (m countedReader) Read(b []byte) (int, error) {
 	n, err := m.r.Read(b)
 	if n > 0 {
@@ -86,11 +87,11 @@
 	return n, err
 }
 
-// CountReads has what is read from r count as progress on the connection: limits of time are for those who bring nothing,
-// not for those who bring little.
+// CountReads wraps r so that each read that returns bytes counts as progress on the connection. A slow client thus does not
+// exceed ReadTimeout; one that sends nothing does.
 func (s *Conn) CountReads(r io.Reader) io.Reader { return countedReader{s, s.arrivals.timed(r)} }
 
-// last is when bytes last came, or the connection.
+// last returns when bytes were last read, or the time of the accept if none were.
 func (s *Conn) last() float64 {
 	if at := math.Float64frombits(s.lastReadAt.Load()); at > 0 {
 		return at
@@ -98,42 +99,42 @@
 	return s.acceptedAt
 }
 
-// Update tells how many whole requests are open on the connection, whether one has come on it yet, and until when the
-// one under way has to be whole at the latest (0: none is).
-func (s *Conn) Update(open int, asked bool, until float64) {
+// Update sets the number of complete requests that are open on the connection, whether it has received one so far, and the
+// time by which a partial request must be complete (0: there is none).
+func (s *Conn) Update(open int, hadRequest bool, deadline float64) {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
-	idles := open == 0 && (s.openRequests > 0 || asked && !s.hadRequest)
-	if idles {
+	becameIdle := open == 0 && (s.openRequests > 0 || hadRequest && !s.hadRequest)
+	if becameIdle {
 		s.idleSince = s.server.Clock.Now()
 	}
-	s.openRequests, s.hadRequest, s.requestDeadline = open, s.hadRequest || asked, until
+	s.openRequests, s.hadRequest, s.requestDeadline = open, s.hadRequest || hadRequest, deadline
 	if open > 0 {
 		s.spared = false
 	}
 	now := s.server.Clock.Now()
-	if s.closing && (open > 0 || until > 0 && !s.stalled(now)) {
+	if s.closing && (open > 0 || deadline > 0 && !s.stalled(now)) {
 		s.server.keep(s)
 		s.server.makeRoom(0)
 	}
 	if s.server.emptying() && s.drained(now) {
 		s.server.interruptRead(s)
 	}
-	if idles && len(s.server.waiters) > 0 { // its place may be the one that they wait for
+	if becameIdle && len(s.server.waiters) > 0 { // this connection may be evicted for one of them
 		s.server.makeRoom(0)
 	}
 }
 
-// CloseWhenIdle has the server interrupt the connection's reads in place of closing it: its reader then closes it, unless it
-// holds a request, which the reader alone knows.
+// CloseWhenIdle makes the server interrupt the connection's reads instead of closing it. Its reader then closes it, unless it
+// holds part of a request, which only the reader knows.
 func (s *Conn) CloseWhenIdle() {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
 	s.closeWhenIdle = true
 }
 
-// ShouldClose tells a reader whose read was interrupted, and that holds nothing of a request beyond what it has told by
-// Update, whether it is to close the connection now: in a drain, as its time is up, or for a new one.
+// ShouldClose reports whether a reader whose read was interrupted must close the connection: because of a drain, a timeout or
+// an eviction. The reader must not hold part of a request that it has not reported by Update.
 func (s *Conn) ShouldClose() bool {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -141,8 +142,8 @@
 	return s.mustEnd(now) || s.shouldClose(now)
 }
 
-// ShouldClosePartial is ShouldClose for a reader that holds part of a request of which Update has not been told. Such a
-// connection stays, unless its time is up or it never brought a whole request and its place is wanted.
+// ShouldClosePartial is ShouldClose for a reader that holds part of a request that it has not reported by Update. Such a
+// connection is closed only if it has timed out, or if it is to be evicted and has never sent a complete request.
 func (s *Conn) ShouldClosePartial() bool {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -150,15 +151,15 @@
 	return s.mustEnd(now) || !s.hadRequest && s.closing && s.shouldClose(now)
 }
 
-// shouldClose tells whether a connection that is idle, or whose partial request has stalled, is to be closed, with nothing
-// left to read on it. The server's lock is held, here and below.
+// shouldClose reports whether the connection is to be closed by an eviction or a drain: it is idle, or its partial request has
+// stalled, and it has no unread bytes. The caller holds the server's lock, here and below.
 func (s *Conn) shouldClose(now float64) bool {
 	evicted := s.closing && s.openRequests == 0 && (!s.partial() || s.stalled(now))
 	return evicted && !unread(s.conn) || s.server.emptying() && s.drained(now)
 }
 
-// mustEnd tells whether a reader is to close a connection whose time is up. Guards against a request that came in the last
-// moment: what lies unread is read once before that.
+// mustEnd reports whether the reader must close the connection because of a timeout. If there are unread bytes, such as a
+// request that arrived at the last moment, the reader may read once more before that.
 func (s *Conn) mustEnd(now float64) bool {
 	if s.openRequests > 0 || !s.late(now) {
 		return false
@@ -170,15 +171,15 @@
 	return false
 }
 
-// partial tells whether part of a request has come.
+// partial reports whether part of a request was received.
 func (s *Conn) partial() bool {
 	return s.requestDeadline > 0 || !s.hadRequest && s.lastReadAt.Load() > 0
 }
 
-// stalled tells whether a partial request no longer keeps its place from others.
+// stalled reports whether a partial request has stalled, so that its connection may be evicted.
 func (s *Conn) stalled(now float64) bool { return now-s.last() >= partialGrace }
 
-// late tells whether a connection's time is up: no whole request came within the limit, or none for long.
+// late reports whether the connection has exceeded one of its timeouts, or holds a partial request late in a drain.
 func (s *Conn) late(now float64) bool {
 	server := s.server
 	if s.requestDeadline > 0 && (now > s.requestDeadline || server.ReadTimeout > 0 && now > s.last()+server.ReadTimeout) {
@@ -190,19 +191,20 @@
 	switch {
 	case s.hadRequest && (s.openRequests > 0 || s.requestDeadline > 0):
 		return false
-	case !s.hadRequest && s.lastReadAt.Load() > 0: // also before it is known what has begun
+	case !s.hadRequest && s.lastReadAt.Load() > 0: // bytes were read, but no request has been reported yet
 		return server.ReadTimeout > 0 && now > s.last()+server.ReadTimeout ||
 			server.RequestTimeout > 0 && now > s.acceptedAt+server.RequestTimeout
 	case !s.hadRequest:
 		return server.FirstByteTimeout > 0 && now > s.acceptedAt+server.FirstByteTimeout
 	}
-	// Guards against a few bytes that never become a request keeping the reader from closing it.
+	// The reader does not close the connection while it holds a few bytes. If these never become a request, the connection
+	// times out here.
 	return s.closing && server.ReadTimeout > 0 && now > s.idleSince+server.IdleTimeout+server.ReadTimeout &&
 		now > s.last()+server.ReadTimeout
 }
 
-// interruptRead has a connection's reader close it, unless that holds a request by then: what was read is answered, where a
-// close from here would leave its client nothing but the end of the connection. One without a reader is closed at once.
+// interruptRead interrupts the reads of a connection, so that its reader closes it unless it has read a request in the
+// meantime. A close from here would leave that request unanswered. Without CloseWhenIdle the connection is closed at once.
 func (s *Server) interruptRead(x *Conn) {
 	if x.closeWhenIdle {
 		x.conn.SetReadDeadline(time.Unix(1, 0))
--- a/front/drain.go
+++ b/front/drain.go
@@ -1,21 +1,22 @@
 package front
 
 const (
-	// Of a drain, in ms from its call. The platform's front asks ten times a second and sends nothing new 0.2 s
-	// after a no, and wants every connection gone by 4 s.
-	drainNotice = 500.0  // then connections close once they are quiet
-	drainRefuse = 1200.0 // then what is asked for is refused, so that each one becomes quiet
-	drainHalf   = 2500.0 // then what is not whole is refused too
-	drainIdle   = 200.0  // ms that a new connection has to ask after that
+	// Times of a drain, in ms from its start. The platform's proxy checks the gateway's health ten times a second, sends no
+	// new requests from 0.2 s after a negative response, and requires every connection to be closed by 4 s.
+	drainNotice = 500.0  // from then on idle connections are closed
+	drainRefuse = 1200.0 // from then on new requests are rejected, so that each connection becomes idle
+	drainHalf   = 2500.0 // from then on partial requests are rejected
+	drainIdle   = 200.0  // ms after its accept for which a new connection is not closed
 
-	// Of a process that another one replaces, in ms from its signal. It is killed the longest deadline and 0.7 s later.
-	leaveRefuse = 600.0  // a connection still never quiet has its new requests refused
-	leaveHalf   = 1500.0 // and what is not whole
+	// Times of a process that is replaced by another one, in ms from its signal. It is killed 0.7 s after the longest deadline
+	// that a request can have.
+	leaveRefuse = 600.0  // from then on new requests are rejected, so that busy connections become idle
+	leaveHalf   = 1500.0 // from then on partial requests are rejected
 )
 
-// drained tells whether a connection can be closed in a drain: the platform has had time to notice, nothing is open
-// and nothing waits to be read, as what crosses the close is lost to its client. One that another process can take
-// over is closed as soon as that; a new one has a moment to ask.
+// drained reports whether the connection can be closed in a drain: the platform has had time to notice the drain, no request
+// is open, and there are no unread bytes, as a request that crosses the close is lost to its client. If another process
+// accepts the new connections, there is no need to wait for the platform. A new connection has drainIdle to send a request.
 func (s *Conn) drained(now float64) bool {
 	due := s.acceptedAt
 	if !s.hadRequest {
@@ -30,16 +31,16 @@
 	return s.openRequests == 0 && s.requestDeadline == 0 && !s.handingOver && now >= due && !unread(s.conn)
 }
 
-// emptying tells whether connections are closed as soon as they are quiet. The lock is held, here and below.
+// emptying reports whether connections are closed as soon as they are idle. The caller holds the lock, here and below.
 func (s *Server) emptying() bool { return s.draining || s.leaving || s.stopping }
 
-// shedsPartial tells whether requests that have begun and are not whole are refused by now.
+// shedsPartial reports whether partial requests are rejected at this time.
 func (s *Server) shedsPartial(now float64) bool {
 	return s.stopping || s.draining && now >= s.drainStartedAt+drainHalf || s.leaving && now >= s.leftAt+leaveHalf
 }
 
-// Stop ends the server's reading, ahead of the end of Serve's context: each connection is closed by its reader as soon as
-// what was read on it is answered, and whatever comes is refused.
+// Stop is called before the end of Serve's context: each connection is closed by its reader once the requests that were read
+// from it are answered, and new requests are rejected.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	s.stopping = true
@@ -47,7 +48,7 @@
 	s.Sweep()
 }
 
-// Drain begins to empty the server of connections, or with on false ends that.
+// Drain starts a drain, in which the server closes its connections, or with on false ends it.
 func (s *Server) Drain(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,30 +58,30 @@
 	s.draining = on
 }
 
-// Leave empties the server for good, as another process takes what is new: connections are handed to it where heirs
-// says so and the front can, the others are closed as soon as they are quiet.
-func (s *Server) Leave(heirs bool) {
-	var pass []func()
+// Leave closes the server's connections because another process accepts the new ones. With handOver, connections are handed
+// over to that process if their frontend supports it. All others are closed as soon as they are idle.
+func (s *Server) Leave(handOver bool) {
+	var handovers []func()
 	s.mu.Lock()
-	s.leaving, s.leftAt, s.handsOver = true, s.Clock.Now(), heirs
+	s.leaving, s.leftAt, s.handsOver = true, s.Clock.Now(), handOver
 	for x := range s.conns {
-		if x.handOver != nil && heirs {
+		if x.handOver != nil && handOver {
 			x.handingOver = true
-			pass = append(pass, x.handOver)
+			handovers = append(handovers, x.handOver)
 		}
 	}
 	s.mu.Unlock()
-	for _, f := range pass {
+	for _, f := range handovers {
 		f()
 	}
 	s.Sweep()
 }
 
-// Draining tells whether the server is being emptied, and whether new requests are refused by now.
-func (s *Server) Draining() (draining, refuse bool) {
+// Draining reports whether a drain was started, and whether new requests are rejected at this time.
+func (s *Server) Draining() (draining, reject bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
-	refuse = s.stopping || s.draining && now >= s.drainStartedAt+drainRefuse || s.leaving && now >= s.leftAt+leaveRefuse
-	return s.draining, refuse
+	reject = s.stopping || s.draining && now >= s.drainStartedAt+drainRefuse || s.leaving && now >= s.leftAt+leaveRefuse
+	return s.draining, reject
 }
--- a/front/fastcgi/deadline_test.go
+++ b/front/fastcgi/deadline_test.go
@@ -13,18 +13,18 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// eventually waits for what must come; only a hung program meets its limit.
+// eventually waits until ok returns true. Its timeout is long enough to be reached only by a program that hangs.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// sinceData is how many ms ago data last came on a connection, by the machine's word.
-func sinceData(t *testing.T, c *net.TCPConn) (age uint32) {
+// timeSinceData returns the time in ms since data last arrived on a connection, as reported by the kernel.
+func timeSinceData(t *testing.T, c *net.TCPConn) (age uint32) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -41,49 +41,49 @@
 	return age
 }
 
-// asker is a front that gives what it asks of the core.
-func asker(clk *clock.Clock, asks chan<- core.Request) *Front {
+// forwardingFront returns a frontend that sends the requests for the core to a channel.
+func forwardingFront(clk *clock.Clock, requests chan<- core.Request) *Front {
 	return New(Options{Clock: clk, Log: zerolog.Nop(), Post: func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
-			asks <- a
+			requests <- a
 		}
 	}})
 }
 
-// X-Ttl-Ms runs from when the request's last byte came to this machine, wherever the request has waited since.
-func TestTimeRunsFromTheRequestsLastByte(t *testing.T) {
+// X-Ttl-Ms counts from the arrival of the request's last byte at this machine, wherever the request has waited since.
+func TestDeadlineCountsFromLastByte(t *testing.T) {
 	const (
-		waits = 300.0 // ms by the fronts' clock
-		slack = 190.0 // by the machine's word, the bytes came a little before they were read
+		wait  = 300.0 // ms by the frontends' clock
+		slack = 190.0 // ms; as reported by the kernel, the bytes arrived a little before they were read
 	)
 	request := append(begin(1), whole(1, "/v1/tile", "0a")...)
 	head, end := request[:len(request)-headerLen], request[len(request)-headerLen:] // the end of its body
-	at := func(t *testing.T, asks <-chan core.Request, earliest, latest float64) {
+	expectReceivedAt := func(t *testing.T, requests <-chan core.Request, earliest, latest float64) {
 		t.Helper()
-		if a := <-asks; a.ReceivedAt > latest || a.ReceivedAt < earliest || a.Remaining != 1500 {
-			t.Errorf("received at %v, want %v to %v; %v ms from then on", a.ReceivedAt, earliest, latest, a.Remaining)
+		if a := <-requests; a.ReceivedAt > latest || a.ReceivedAt < earliest || a.Remaining != 1500 {
+			t.Errorf("received at %v, want %v to %v; %v ms remaining from then", a.ReceivedAt, earliest, latest, a.Remaining)
 		}
 	}
-	t.Run("unread in its socket", func(t *testing.T) {
+	t.Run("unread in the socket", func(t *testing.T) {
 		near, far := accepted(t)
 		near.Write(request)
-		eventually(t, "a wait of 60 ms", func() bool { return sinceData(t, far) >= 60 })
-		asks, clk := make(chan core.Request, 1), clock.Manual(1e12)
-		go asker(clk, asks).Handle(far)
-		at(t, asks, 1e12-20000, 1e12-60)
+		eventually(t, "a wait of 60 ms", func() bool { return timeSinceData(t, far) >= 60 })
+		requests, clk := make(chan core.Request, 1), clock.Manual(1e12)
+		go forwardingFront(clk, requests).Handle(far)
+		expectReceivedAt(t, requests, 1e12-20000, 1e12-60)
 	})
-	t.Run("its body comes late", func(t *testing.T) {
+	t.Run("the end of the body arrives late", func(t *testing.T) {
 		near, far := accepted(t)
-		asks, clk := make(chan core.Request, 1), clock.Manual(1e12)
-		f := asker(clk, asks)
+		requests, clk := make(chan core.Request, 1), clock.Manual(1e12)
+		f := forwardingFront(clk, requests)
 		go f.Handle(far)
 		near.Write(head)
-		eventually(t, "its beginning", func() bool { return f.Open() == 1 })
-		clk.Advance(waits)
+		eventually(t, "the beginning of the request", func() bool { return f.Open() == 1 })
+		clk.Advance(wait)
 		near.Write(end)
-		at(t, asks, 1e12+waits-slack, 1e12+waits)
+		expectReceivedAt(t, requests, 1e12+wait-slack, 1e12+wait)
 	})
-	t.Run("handed over twice before it is whole", func(t *testing.T) {
+	t.Run("handed over twice before it is complete", func(t *testing.T) {
 		near, far := accepted(t)
 		path := filepath.Join(t.TempDir(), "h")
 		u, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -91,27 +91,27 @@
 			t.Fatal(err)
 		}
 		defer u.Close()
-		heir := func() (*net.UnixConn, error) {
+		successor := func() (*net.UnixConn, error) {
 			return net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 		}
-		asks, clk := make(chan core.Request, 1), clock.Manual(1e12)
-		fronts := []*Front{asker(clk, asks), asker(clk, asks), asker(clk, asks)}
+		requests, clk := make(chan core.Request, 1), clock.Manual(1e12)
+		frontends := []*Front{forwardingFront(clk, requests), forwardingFront(clk, requests), forwardingFront(clk, requests)}
 		var served sync.WaitGroup
-		served.Go(func() { fronts[0].Handle(far) })
+		served.Go(func() { frontends[0].Handle(far) })
 		near.Write(head)
-		for i, f := range fronts[:2] {
-			eventually(t, "its beginning", func() bool { return f.Open() == 1 })
-			clk.Advance(waits)
-			f.HandOver(heir)
+		for i, f := range frontends[:2] {
+			eventually(t, "the beginning of the request", func() bool { return f.Open() == 1 })
+			clk.Advance(wait)
+			f.HandOver(successor)
 			from, err := u.AcceptUnix()
 			if err != nil {
 				t.Fatal(err)
 			}
-			served.Go(func() { fronts[i+1].Adopt(from) })
+			served.Go(func() { frontends[i+1].Adopt(from) })
 		}
-		eventually(t, "its beginning", func() bool { return fronts[2].Open() == 1 })
+		eventually(t, "the beginning of the request", func() bool { return frontends[2].Open() == 1 })
 		near.Write(end)
-		at(t, asks, 1e12+2*waits-slack, 1e12+2*waits)
+		expectReceivedAt(t, requests, 1e12+2*wait-slack, 1e12+2*wait)
 		near.Close()
 		served.Wait()
 	})
--- a/front/fastcgi/spin_test.go
+++ b/front/fastcgi/drain_interrupt_test.go
@@ -15,19 +15,19 @@
 // interruptedConn counts how often its reads are interrupted.
 type interruptedConn struct {
 	*net.TCPConn
-	times *atomic.Int64
+	count *atomic.Int64
 }
 
 func (c interruptedConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() {
-		c.times.Add(1)
+		c.count.Add(1)
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// A reader that holds part of a record in a drain, so that it can't close its connection, is interrupted once by each sweep and
-// not by itself.
-func TestPartOfARecordInADrain(t *testing.T) {
+// In a drain, a reader that holds part of a record cannot close its connection. It must be interrupted once by each sweep, and
+// must not interrupt itself in a busy loop.
+func TestPartialRecordInDrain(t *testing.T) {
 	clk := clock.Manual(1e12)
 	f := New(Options{Post: func(core.Event) {}, Clock: clk, Log: zerolog.Nop()})
 	near, far := accepted(t)
@@ -40,16 +40,16 @@
 	near.Write(append(begin(1), whole(1, "/healthz", "1")...))
 	cl.wait(t, 1)
 	near.Write(begin(2)[:3])
-	arrive(t, far, 0, false)
+	waitForArrival(t, far, 0, false)
 	f.Drain(true)
 	clk.Advance(600)
 	const sweeps = 5
 	for range sweeps {
 		f.server.Sweep()
-		time.Sleep(20 * time.Millisecond) // time enough to go round thousands of times
+		time.Sleep(20 * time.Millisecond) // enough for thousands of iterations of a busy loop
 	}
-	if n := interrupted.Load(); n > sweeps+1 { // one more where its answer was not yet told of as written
-		t.Errorf("%d sweeps interrupt the reader %d times", sweeps, n)
+	if n := interrupted.Load(); n > sweeps+1 { // one more if the response was not yet recorded as written
+		t.Errorf("%d sweeps interrupted the reader %d times", sweeps, n)
 	}
 	near.Write(append(begin(2)[3:], whole(2, "/healthz", "2")...))
 	cl.wait(t, 2)
--- a/front/fastcgi/fastcgi.go
+++ b/front/fastcgi/fastcgi.go
@@ -1,5 +1,5 @@
-// Package fastcgi is the platform's front: FastCGI 1.0 in the Responder role, many requests on one
-// connection, answers in any order.
+// Package fastcgi is the platform's frontend: FastCGI 1.0 in the Responder role, with multiplexed requests on a connection and
+// responses in any order.
 package fastcgi
 
 import (
@@ -25,44 +25,44 @@
 	"turnfork.dev/turnfork/front"
 )
 
-// Options are what a front is made of.
+// Options configures a frontend.
 type Options struct {
-	Post       func(core.Event) // to the core
+	Post       func(core.Event) // passes an event to the core
 	Clock      *clock.Clock
 	Log        zerolog.Logger
-	MaxConns   int                          // connections at once; 0: 300
-	MaxBytes   int64                        // answers that wait to be written, on all connections; 0: 48 MB
-	RetryAfter float64                      // ms that clients should stay away which a drain refuses; 0: no advice
-	MaxTaken   int64                        // parameters and bodies of requests without an answer; 0: 16 MB
+	MaxConns   int                          // simultaneous connections; 0: 300
+	MaxBytes   int64                        // bytes of responses queued for writing, over all connections; 0: 48 MB
+	RetryAfter float64                      // X-Throttle-Ms of responses that a drain or overload rejects; 0: no header
+	MaxTaken   int64                        // bytes of parameters and bodies of open requests, over all connections; 0: 16 MB
 	Tap        func(conn net.Conn) net.Conn // wraps each connection, for recording; nil: none
 }
 
 const (
-	writeLimit = 3 * time.Second // a client that takes nothing for so long loses its connection
-	writePiece = 64 << 10        // bytes, each with that limit: a client may take little at a time
-	firstMost  = 2500.0          // ms that a new connection may say nothing
-	stallMost  = 2000.0          // ms that a request under way may bring no byte
-	wholeMost  = 8000.0          // ms until any request must be whole that has begun, however it goes on
+	writeLimit = 3 * time.Second // for each chunk; after that the connection is closed
+	writePiece = 64 << 10        // bytes; each chunk has its own timeout, as a client may read slowly
+	firstMost  = 2500.0          // ms within which a new connection must send its first byte
+	stallMost  = 2000.0          // ms without a new byte after which a partial request times out
+	wholeMost  = 8000.0          // ms within which any request must be complete, even if its bytes keep arriving
 	idleMost   = 4500.0          // ms; clients close idle connections after 4 s
 
-	smallAnswer = 1 << 10            // bytes that are queued whatever waits to be written already
-	unreadMost  = 4 * requestsAtOnce // answers that one client may leave unread while too much waits
+	smallAnswer = 1 << 10            // bytes; up to this size a response is queued even if the response budget is exhausted
+	unreadMost  = 4 * requestsAtOnce // responses that one client may leave unread while the response budget is exhausted
 
-	maxReadAhead = 10.0 // ms that a whole request waits for what its client has sent behind it to be read
+	maxReadAhead = 10.0 // ms for which a complete request is held back until the bytes received after it are read
 )
 
-// Front serves one listener.
+// Front accepts FastCGI connections at one listener.
 type Front struct {
 	opt       Options
 	server    front.Server
-	budget    front.Budget
-	intake    front.Budget
+	budget    front.Budget              // for responses queued for writing
+	intake    front.Budget              // for parameters and bodies of open requests
 	box       front.Mailbox[core.Event] // to the core
 	successor atomic.Pointer[func() (*net.UnixConn, error)]
-	open      atomic.Int64 // requests without an answer, and answers not yet written
+	open      atomic.Int64 // unanswered requests plus unwritten responses
 }
 
-// New returns a front that hands its requests to opt.Post.
+// New returns a frontend that passes its requests to opt.Post.
 func New(opt Options) *Front {
 	if opt.MaxConns <= 0 {
 		opt.MaxConns = 300
@@ -84,8 +84,8 @@
 	}
 }
 
-// Serve accepts until the listener closes or ctx ends, and returns once all its connections have
-// ended. The end of ctx closes them at once.
+// Serve accepts connections until the listener is closed or ctx is done, and returns once all its connections have ended.
+// When ctx is done, they are closed at once.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
 	return f.server.Serve(ctx, l, f.handle)
 }
@@ -93,17 +93,17 @@
 // Handle serves one connection until it ends.
 func (f *Front) Handle(nc net.Conn) { f.server.Handle(nc, f.handle) }
 
-// Open counts the requests that are not answered, or whose answer is not yet written.
+// Open returns the number of requests that are not answered or whose response is not yet written.
 func (f *Front) Open() int { return int(f.open.Load()) }
 
-// Drain begins to empty the front of connections, or with on false ends that.
+// Drain starts a drain, in which the frontend closes its connections, or with on false ends it.
 func (f *Front) Drain(on bool) { f.server.Drain(on) }
 
-// Stop has each connection closed once what was read on it is answered; whatever comes is refused.
+// Stop closes each connection once the requests that were read from it are answered, and rejects new requests.
 func (f *Front) Stop() { f.server.Stop() }
 
-// HandOver hands the connections to the process that successor reaches; where that can't be, or successor is nil, each is closed
-// once nothing is open on it.
+// HandOver hands the connections over to the process that successor dials. A connection whose handover fails is closed once
+// no request is open on it, and so are all of them if successor is nil.
 func (f *Front) HandOver(successor func() (*net.UnixConn, error)) {
 	if successor != nil {
 		f.successor.Store(&successor)
@@ -111,32 +111,33 @@
 	f.server.Leave(successor != nil)
 }
 
-// Conns counts the connections.
+// Conns returns the number of open connections.
 func (f *Front) Conns() int { return f.server.Conns() }
 
-// SetProcessShare leaves the front its part of the memory, which so many processes share, and so many connections.
+// SetProcessShare divides the limits on buffered bytes by the number of processes that share the memory, and sets the
+// connection limit.
 func (f *Front) SetProcessShare(processes, conns int) {
 	f.server.Limit(conns)
 	f.budget.Limit(f.opt.MaxBytes / int64(processes))
 	f.intake.Limit(f.opt.MaxTaken / int64(processes))
 }
 
-func (f *Front) handle(nc net.Conn, place *front.Conn) { f.serve(nc, place, nil) }
+func (f *Front) handle(nc net.Conn, serverConn *front.Conn) { f.serve(nc, serverConn, nil) }
 
-// serve serves a connection; from is what came with one that was handed over, else nil.
-func (f *Front) serve(nc net.Conn, place *front.Conn, from *estate) {
+// serve serves a connection. state is that of a connection that was handed over, else nil.
+func (f *Front) serve(nc net.Conn, serverConn *front.Conn, state *estate) {
 	c := &conn{
-		front: f, net: nc, place: place, open: map[uint16]*request{}, wake: make(chan struct{}, 1), ended: make(chan struct{}),
+		front: f, net: nc, place: serverConn, open: map[uint16]*request{}, wake: make(chan struct{}, 1), ended: make(chan struct{}),
 	}
-	place.OnShedPartial(c.yield) // before the place is told of anything open or not
-	place.CloseWhenIdle()
-	place.OnHandOver(c.interrupt)
-	in := place.CountReads(nc)
+	serverConn.OnShedPartial(c.yield) // before the first Update
+	serverConn.CloseWhenIdle()
+	serverConn.OnHandOver(c.interrupt)
+	in := serverConn.CountReads(nc)
 	var g errgroup.Group
-	if from != nil {
-		c.elder, c.theirs, c.asked = from.elder, from.theirs, true
+	if state != nil {
+		c.elder, c.theirs, c.asked = state.elder, state.theirs, true
 		f.open.Add(int64(len(c.theirs)))
-		in = io.MultiReader(bytes.NewReader(from.begun), in)
+		in = io.MultiReader(bytes.NewReader(state.begun), in)
 		c.mu.Lock()
 		c.report()
 		c.mu.Unlock()
@@ -147,43 +148,43 @@
 	g.Wait()
 }
 
-// request is one request being read or waiting for its answer.
+// request is an open request: it is being received or waits for its response.
 type request struct {
 	params []byte
 	body   []byte
-	ready  bool          // its parameters are whole
-	asked  bool          // it is whole
-	over   *atomic.Bool  // of one that is: true once nobody waits for it
-	way    *list.Element // and its place on the way to the core; nil: it is not handed on yet
-	ask    core.Request  // until it is
-	keep   bool
-	held   int // bytes booked with the front's intake
+	ready  bool          // the parameters are complete
+	asked  bool          // the request is complete and not answered by the frontend itself
+	over   *atomic.Bool  // set if asked; true once the client has canceled the request
+	way    *list.Element // its element in the queue to the core; nil: not put there yet
+	ask    core.Request  // until it is put into that queue
+	keep   bool          // FCGI_KEEP_CONN
+	held   int           // bytes reserved in the frontend's request budget
 	tag    uint64
-	begun  float64
-	taken  float64 // when it was read complete
+	begun  float64 // time of BEGIN_REQUEST
+	taken  float64 // when it was read completely
 }
 
 type conn struct {
 	front *Front
-	net   net.Conn
+	net   net.Conn // the client; after a handover, the process that took the connection over
 	place *front.Conn
 	ended chan struct{} // closed when the reader ends
 
 	mu      sync.Mutex
 	open    map[uint16]*request
-	tags    uint64
+	tags    uint64 // number of tags assigned
 	out     [][]byte
-	pending int        // answers queued and not yet written
-	whole   []*request // in the order in which they came; not handed on yet
-	asked   bool       // a whole request has come
-	closing bool       // once all is written
-	dead    bool
-	writing bool // the writer has something in hand
-	held    bool // it takes nothing more, as the connection is handed over
+	pending int        // responses queued and not yet written
+	whole   []*request // complete, in order of arrival; not yet put into the queue to the core
+	asked   bool       // a complete request was received
+	closing bool       // close the connection once all responses are written
+	dead    bool       // the connection is closed
+	writing bool       // a write is in progress
+	held    bool       // the writer starts no write, as the connection is being handed over
 	wake    chan struct{}
 
-	elder  net.Conn        // the process that the connection came from, which still answers
-	theirs map[uint16]bool // these requests; true: an answer has begun
+	elder  net.Conn        // the process that handed the connection over and still answers the requests in theirs
+	theirs map[uint16]bool // by request id; true: part of the response was sent
 }
 
 // read is the reader goroutine.
@@ -196,11 +197,11 @@
 		if err == nil {
 			err = c.take(rec)
 		}
-		if errors.Is(err, os.ErrDeadlineExceeded) { // nothing else sets one
+		if errors.Is(err, os.ErrDeadlineExceeded) { // read deadlines are only set to interrupt the reader
 			c.handOn(0)
-			next, passed := c.pass(r, buffered)
-			if passed {
-				buffered = bufio.NewReaderSize(next, 4<<10) // nothing that is not whole comes from there
+			next, handedOver := c.pass(r, buffered)
+			if handedOver {
+				buffered = bufio.NewReaderSize(next, 4<<10) // the new process continues the partial record
 				r = &records{r: buffered}
 			} else if buffered.Buffered() == 0 && c.shouldClose(r.idle()) {
 				return
@@ -209,7 +210,7 @@
 		}
 		if err != nil {
 			if errors.Is(err, errRecord) {
-				c.front.opt.Log.Warn().Err(err).Stringer("from", c.place.RemoteAddr()).Msg("connection dropped")
+				c.front.opt.Log.Warn().Err(err).Stringer("from", c.place.RemoteAddr()).Msg("malformed FastCGI record; closing connection")
 			} else if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 				c.front.opt.Log.Debug().Err(err).Msg("connection ended")
 			}
@@ -218,15 +219,15 @@
 	}
 }
 
-// shouldClose tells whether the reader, which holds nothing or part of a record, is to close the connection.
-func (c *conn) shouldClose(holdsNothing bool) bool {
-	if holdsNothing {
+// shouldClose reports whether the reader must close the connection. atBoundary is false if it holds part of a record.
+func (c *conn) shouldClose(atBoundary bool) bool {
+	if atBoundary {
 		return c.place.ShouldClose()
 	}
 	return c.place.ShouldClosePartial()
 }
 
-// end closes the connection and withdraws what is open on it.
+// end closes the connection and cancels its open requests.
 func (c *conn) end() {
 	f := c.front
 	c.mu.Lock()
@@ -251,7 +252,7 @@
 	close(c.ended)
 }
 
-// withdraw tells that nobody waits for a request any more. It is not sent on from this moment, wherever it waits.
+// withdraw marks a request as canceled by its client. From then on it is not sent to an endpoint, wherever it is queued.
 func (c *conn) withdraw(q *request) {
 	if !q.asked {
 		return
@@ -276,11 +277,11 @@
 		if len(rec.data) < 8 {
 			return fmt.Errorf("%w: BEGIN_REQUEST of %d bytes", errRecord, len(rec.data))
 		}
-		_, theirs := c.theirs[rec.id]
+		_, atOldProcess := c.theirs[rec.id]
 		role, keep := uint16(rec.data[0])<<8|uint16(rec.data[1]), rec.data[2]&flagKeepConn != 0
 		switch {
-		case q != nil || theirs:
-			return fmt.Errorf("%w: request %d begun twice", errRecord, rec.id)
+		case q != nil || atOldProcess:
+			return fmt.Errorf("%w: second BEGIN_REQUEST for open request %d", errRecord, rec.id)
 		case role != roleResponder:
 			c.send(appendEnd(nil, rec.id, 0, protoRole))
 		case len(c.open)+len(c.theirs) >= requestsAtOnce:
@@ -291,7 +292,7 @@
 			c.front.open.Add(1)
 		}
 	case typeAbort:
-		if _, theirs := c.theirs[rec.id]; theirs {
+		if _, atOldProcess := c.theirs[rec.id]; atOldProcess {
 			c.elder.SetWriteDeadline(time.Now().Add(abortMost))
 			c.elder.Write(appendRecord(nil, typeAbort, rec.id, nil))
 		}
@@ -302,7 +303,7 @@
 		}
 	case typeParams:
 		switch {
-		case q == nil || q.ready: // of a request that has ended, or was not taken
+		case q == nil || q.ready: // the request has ended or was rejected
 		case len(rec.data) == 0:
 			q.ready = true
 		case len(q.params)+len(rec.data) > paramsMost:
@@ -316,7 +317,7 @@
 		case q == nil || q.asked:
 		case len(rec.data) == 0:
 			if !q.ready {
-				return fmt.Errorf("%w: body ends before the parameters", errRecord)
+				return fmt.Errorf("%w: end of STDIN before the end of PARAMS", errRecord)
 			}
 			return c.ask(rec.id, q)
 		case len(q.body)+len(rec.data) > bodyMost:
@@ -327,28 +328,28 @@
 		}
 	case typeData:
 	default:
-		return fmt.Errorf("%w: type %d", errRecord, rec.kind)
+		return fmt.Errorf("%w: unexpected type %d", errRecord, rec.kind)
 	}
 	return nil
 }
 
-// report tells the connection's place what is open here: an answer that is not yet written counts, so that
-// no connection is taken for idle and closed before it.
+// report updates the server's state of the connection. A response that is not yet written counts as an open request, so that
+// the connection does not count as idle and get closed before it is written.
 func (c *conn) report() {
-	until, halves := 0.0, 0
+	deadline, partial := 0.0, 0
 	for _, q := range c.open {
 		if q.asked {
 			continue
 		}
-		halves++
-		if until == 0 || q.begun+wholeMost < until {
-			until = q.begun + wholeMost
+		partial++
+		if deadline == 0 || q.begun+wholeMost < deadline {
+			deadline = q.begun + wholeMost
 		}
 	}
-	c.place.Update(len(c.open)-halves+len(c.theirs)+c.pending, c.asked, until)
+	c.place.Update(len(c.open)-partial+len(c.theirs)+c.pending, c.asked, deadline)
 }
 
-// manage answers a management record.
+// manage responds to a management record.
 func (c *conn) manage(rec record) error {
 	if rec.kind != typeGetValues {
 		c.mu.Lock()
@@ -373,7 +374,7 @@
 	return err
 }
 
-// ask hands a whole request to the core, or answers it here. It holds the lock on entry and return.
+// ask parses a complete request. It answers the request itself or adds it to those for the core. The caller holds mu.
 func (c *conn) ask(id uint16, q *request) error {
 	q.taken = c.front.opt.Clock.Now()
 	a := core.Request{Frontend: c, RequestTag: q.tag, ReceivedAt: min(c.place.Arrived(), q.taken), Body: q.body}
@@ -427,7 +428,7 @@
 	c.asked = true
 	var ok bool
 	a.Class, ok = strings.CutPrefix(script, "/v1/")
-	draining, refuse := c.front.server.Draining()
+	draining, reject := c.front.server.Draining()
 	switch {
 	case script == "/healthz" && draining:
 		c.reply(id, "503 Service Unavailable", "", []byte("draining\n"))
@@ -436,9 +437,9 @@
 	case !ok:
 		c.reply(id, "404 Not Found", "", nil)
 	case bad != "" || a.Txn == "" || a.Name == "" || a.Remaining <= 0:
-		c.front.opt.Log.Warn().Str("field", bad).Str("txn", a.Txn).Msg("request with unusable fields")
+		c.front.opt.Log.Warn().Str("field", bad).Str("txn", a.Txn).Msg("request with a missing or invalid parameter; responding 400")
 		c.reply(id, "400 Bad Request", "", nil)
-	case refuse:
+	case reject:
 		c.reply(id, "503 Service Unavailable", throttle(c.front.opt.RetryAfter), nil)
 	default:
 		q.asked, q.body, q.over = true, nil, new(atomic.Bool)
@@ -449,30 +450,30 @@
 	return nil
 }
 
-// readAhead has whole requests handed on before a read that may wait.
+// readAhead passes complete requests to the core before each read that may block.
 type readAhead struct {
 	c  *conn
 	in io.Reader
 }
 
-// Read hands the complete requests to the core, then reads.
+// Read passes the complete requests to the core, then reads.
 func (r readAhead) Read(b []byte) (int, error) {
 	r.c.handOn(maxReadAhead)
 	return r.in.Read(b)
 }
 
-// handOn gives the core the whole requests, once what their client has sent behind them is read, for which they wait some
-// ms. Guards against a request that is sent on though its client has withdrawn it or has closed the connection: either may
-// have waited here, unread, for as long as the request did.
-func (c *conn) handOn(wait float64) {
+// handOn passes the complete requests to the core once the bytes received after them are read, or after maxDelay ms. Such
+// bytes may cancel the request, or the client may have closed the connection; either may have been unread here for as long as
+// the request was, and the request would be sent to an endpoint in vain.
+func (c *conn) handOn(maxDelay float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.whole) == 0 {
 		return
 	}
-	readable, gone := front.Pending(c.net)
-	if gone || readable && c.front.opt.Clock.Now() < c.whole[0].taken+wait {
-		return // the end of the connection withdraws them
+	readable, hungUp := front.Pending(c.net)
+	if hungUp || readable && c.front.opt.Clock.Now() < c.whole[0].taken+maxDelay {
+		return // if hungUp, the requests are canceled at the end of the connection
 	}
 	for _, q := range c.whole {
 		if !q.over.Load() {
@@ -483,11 +484,11 @@
 	c.whole = nil
 }
 
-// keyMost bounds an idempotency key, in bytes; the protocol's example has 32.
+// keyMost is the maximum length of an idempotency key in bytes; that of the protocol's example is 32.
 const keyMost = 128
 
-// isKey tells whether a key can go on to a store as it is: it stands in a list name=value,name=value there, so what
-// separates these is refused, and so is what is no visible ASCII. No key is altered.
+// isKey reports whether an idempotency key can be sent to an endpoint unchanged. There it is part of a list
+// name=value,name=value, so the separators are rejected, and so are all characters but visible ASCII. Keys are never altered.
 func isKey(v string) bool {
 	for i := range len(v) {
 		if b := v[i]; b <= ' ' || b >= 0x7f || b == ',' || b == '=' {
@@ -497,7 +498,7 @@
 	return v != "" && len(v) <= keyMost
 }
 
-// cleanTag takes the quotes off a tag and passes on none that a store could not read.
+// cleanTag returns an ETag without its quotes, or "" if it is not a hexadecimal number as an endpoint requires.
 func cleanTag(v string) string {
 	v = strings.Trim(strings.TrimPrefix(v, "W/"), `"`)
 	if _, err := strconv.ParseUint(v, 16, 64); err != nil {
@@ -506,14 +507,14 @@
 	return v
 }
 
-// Answer is the core's final answer to a request.
+// Answer sends the core's final answer to a request.
 func (c *conn) Answer(tag uint64, a core.Answer) {
 	id := uint16(tag)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q := c.open[id]
 	if q == nil || q.tag != tag {
-		return // withdrawn
+		return // canceled
 	}
 	defer c.report()
 	head := throttle(a.RetryAfter)
@@ -538,7 +539,7 @@
 	}
 }
 
-// throttle words how long a client should stay away.
+// throttle returns the header that asks a client to send no request for a time.
 func throttle(ms float64) string {
 	if ms <= 0 {
 		return ""
@@ -546,7 +547,7 @@
 	return "X-Throttle-Ms: " + strconv.FormatInt(max(1, int64(ms)), 10) + "\r\n"
 }
 
-// yield refuses the requests that have begun and are not whole, as their connection has to go.
+// yield rejects the partial requests, as their connection is to be closed.
 func (c *conn) yield() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -559,7 +560,7 @@
 	}
 }
 
-// reply writes the one answer of a request and forgets it.
+// reply queues the response to a request and removes the request.
 func (c *conn) reply(id uint16, status, head string, body []byte) {
 	q := c.open[id]
 	c.forget(id)
@@ -567,31 +568,32 @@
 		strconv.Itoa(len(body)) + "\r\n" + head + "\r\n"
 	c.closing = c.closing || q != nil && !q.keep
 	if !c.trySend(appendStdout(make([]byte, 0, len(text)+len(body)+64+len(body)/8000), id, []byte(text), body)) {
-		c.front.opt.Log.Warn().Msg("too much waits to be written: an answer is replaced by a failure")
+		c.front.opt.Log.Warn().Msg("response budget exhausted; responding 502 instead")
 		c.send(c.crowded(id))
 	}
 }
 
-// crowded words what a request is answered with while too much waits to be written. It promises nothing, as the request may
-// have run.
+// crowded returns the response for a request whose actual response exceeds the response budget. The status is 502, as the
+// request may have been executed.
 func (c *conn) crowded(id uint16) []byte {
 	text := "Status: 502 Bad Gateway\r\nContent-Length: 0\r\n" + throttle(c.front.opt.RetryAfter) + "\r\n"
 	return appendStdout(nil, id, []byte(text), nil)
 }
 
-// hold books bytes of a request. Where there is no room the request is refused and the rest of it is
-// passed over: many clients sending large requests slowly must not fill the memory.
+// hold reserves n bytes of a request in the request budget. If that is exhausted, the request is rejected and the rest of it
+// is ignored: many clients that send large requests slowly must not exhaust the memory.
 func (c *conn) hold(id uint16, q *request, n int) bool {
 	if c.front.intake.Take(n) {
 		q.held += n
 		return true
 	}
-	c.front.opt.Log.Warn().Msg("too many bytes of requests in hand: one refused")
+	c.front.opt.Log.Warn().Msg("request budget exhausted; request rejected")
 	c.forget(id)
 	c.send(appendEnd(nil, id, 0, protoOverload))
 	return false
 }
 
+// forget removes a request and releases its bytes.
 func (c *conn) forget(id uint16) {
 	if q := c.open[id]; q != nil {
 		c.front.intake.Give(q.held)
@@ -600,14 +602,15 @@
 	}
 }
 
-// send queues bytes for the writer. Guards against a client that loses its connection, and what is open there, as others
-// leave too much unread: what is small is queued in any case. A client that leaves many answers unread itself is dropped.
+// send queues bytes for the writer. Small ones are queued even if the response budget is exhausted: other clients that do not
+// read their responses must not cost a client its connection and its open requests. A client that itself leaves many
+// responses unread is disconnected.
 func (c *conn) send(b []byte) {
 	if c.trySend(b) {
 		return
 	}
 	if len(b) > smallAnswer || c.pending >= unreadMost {
-		c.front.opt.Log.Warn().Msg("too much waits to be written: slow client dropped")
+		c.front.opt.Log.Warn().Msg("response budget exhausted; closing connection of slow client")
 		c.dead = true
 		c.net.Close()
 		return
@@ -616,7 +619,7 @@
 	c.queue(b)
 }
 
-// trySend queues bytes for the writer, unless too much waits to be written.
+// trySend queues bytes for the writer. It returns false if the response budget is exhausted.
 func (c *conn) trySend(b []byte) bool {
 	if c.dead {
 		return true
@@ -649,10 +652,10 @@
 		c.mu.Lock()
 		if c.held {
 			c.mu.Unlock()
-			continue // woken again once the connection is handed over
+			continue // woken again at the end of the handover
 		}
 		out, last, nc := c.out, c.closing && len(c.open)+len(c.theirs) == 0, c.net
-		if len(out) == 0 && !last { // a handover has come to nothing: there is nothing to tell, either
+		if len(out) == 0 && !last { // woken at the end of a handover with nothing to write; report would interrupt the reader again
 			c.mu.Unlock()
 			continue
 		}
@@ -677,7 +680,7 @@
 	}
 }
 
-// writeAll writes buffers, each piece within the limit. What is small goes in one call.
+// writeAll writes buffers in chunks of up to writePiece bytes, each within writeLimit. Small buffers are written in one call.
 func writeAll(nc net.Conn, out [][]byte) (err error) {
 	var next net.Buffers
 	size := 0
--- a/front/fastcgi/fastcgi_test.go
+++ b/front/fastcgi/fastcgi_test.go
@@ -19,7 +19,7 @@
 	return appendRecord(nil, typeBegin, id, []byte{0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0})
 }
 
-// whole is a request's records after its beginning.
+// whole returns a request's records after BEGIN_REQUEST.
 func whole(id uint16, script, txn string, more ...[2]string) []byte {
 	p := appendPair(nil, "SCRIPT_NAME", script)
 	for _, kv := range append(more, [][2]string{
@@ -33,19 +33,20 @@
 	return appendRecord(b, typeStdin, id, nil)
 }
 
+// ends is the response to one request.
 type ends struct {
 	stdout bytes.Buffer
-	ended  int
-	proto  byte
+	ended  int  // number of END_REQUEST records
+	proto  byte // protocol status of the last one
 }
 
-// client reads a front's answers over a pipe.
+// client sends requests to a frontend and collects the responses.
 type client struct {
 	net.Conn
 	mu   sync.Mutex
-	got  map[uint16]*ends
-	news chan struct{}
-	done chan struct{}
+	got  map[uint16]*ends // by request id
+	news chan struct{}    // one element for each record received
+	done chan struct{}    // closed at the end of the connection
 }
 
 func dial(f *Front) *client {
@@ -85,7 +86,7 @@
 }
 
 func (c *client) wait(t testing.TB, id uint16) *ends {
-	limit := time.After(30 * time.Second)
+	timeout := time.After(30 * time.Second)
 	for {
 		c.mu.Lock()
 		e := c.got[id]
@@ -96,8 +97,8 @@
 		}
 		select {
 		case <-c.news:
-		case <-limit:
-			t.Fatalf("request %d never ended", id)
+		case <-timeout:
+			t.Fatalf("timed out waiting for the end of request %d", id)
 		}
 	}
 }
@@ -106,28 +107,28 @@
 	return New(Options{Post: post, Clock: clock.Manual(1e12), Log: zerolog.Nop()})
 }
 
-// asking gives a client and what its front asks of the core.
+// asking returns a client of a new frontend, and the requests that the frontend passes to the core.
 func asking() (*client, <-chan core.Request) {
-	asks := make(chan core.Request, 1)
+	requests := make(chan core.Request, 1)
 	return dial(newFront(func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
-			asks <- a
+			requests <- a
 		}
-	})), asks
+	})), requests
 }
 
-func TestRequestAndAnswer(t *testing.T) {
-	c, asks := asking()
+func TestRequestAndResponse(t *testing.T) {
+	c, requests := asking()
 	defer c.Close()
 	c.Write(append(begin(1), whole(1, "/v1/firmware", "9b1f03aa5c7e2d41")...))
-	a := <-asks
+	a := <-requests
 	if a.Class != "firmware" || a.Object != 0x7f3a9c21e0b4d655 || a.Part != 3 || a.Group != 17 || a.SizeKB != 412.5 ||
 		a.Remaining != 1500 || a.ClientETag != "4be0c1927d55a6f3" || a.Txn != "9b1f03aa5c7e2d41" || a.ReceivedAt != 1e12 {
 		t.Errorf("%+v", a)
 	}
 	body := bytes.Repeat([]byte{7}, 240000)
 	a.Frontend.Answer(a.RequestTag, core.Answer{Verdict: core.Served, Body: body})
-	a.Frontend.Answer(a.RequestTag, core.Answer{Verdict: core.Failed}) // a second answer goes nowhere
+	a.Frontend.Answer(a.RequestTag, core.Answer{Verdict: core.Failed}) // a second answer is ignored
 	e := c.wait(t, 1)
 	head, got, _ := strings.Cut(e.stdout.String(), "\r\n\r\n")
 	if !strings.HasPrefix(head, "Status: 200 OK\r\n") || got != string(body) || e.ended != 1 {
@@ -144,7 +145,7 @@
 	} {
 		id := uint16(i + 2)
 		c.Write(append(begin(id), whole(id, "/v1/firmware", "9b1f03aa5c7e2d41")...))
-		a := <-asks
+		a := <-requests
 		a.Frontend.Answer(a.RequestTag, x.a)
 		if got := c.wait(t, id).stdout.String(); !strings.HasPrefix(got, "Status: "+x.want) ||
 			x.a.Verdict == core.Rejected && !strings.Contains(got, "X-Throttle-Ms: 120\r\n") {
@@ -157,9 +158,9 @@
 	}
 }
 
-// A key goes on as it came or is refused; so does the mark of a later try.
-func TestKeysAreNotAltered(t *testing.T) {
-	c, asks := asking()
+// An idempotency key is passed to the core unchanged, or the request is rejected. The mark of a retry is passed on, too.
+func TestIdempotencyKeysAreNotAltered(t *testing.T) {
+	c, requests := asking()
 	defer c.Close()
 	for i, x := range []struct {
 		key string
@@ -171,9 +172,9 @@
 		id := uint16(i + 1)
 		c.Write(append(begin(id), whole(id, "/v1/ride-end", "9b1f03aa5c7e2d41", [2]string{"HTTP_X_TXN_KEY", x.key}, [2]string{"HTTP_X_SECOND_TRY", "1"})...))
 		if x.ok {
-			a := <-asks
+			a := <-requests
 			if a.IdempotencyKey != x.key || !a.Retry {
-				t.Errorf("%q came on as %q, later try %v", x.key, a.IdempotencyKey, a.Retry)
+				t.Errorf("key %q was passed on as %q, retry %v", x.key, a.IdempotencyKey, a.Retry)
 			}
 			a.Frontend.Answer(a.RequestTag, core.Answer{Verdict: core.Failed, Reason: core.MissingIdempotencyKey})
 		}
@@ -183,9 +184,9 @@
 	}
 }
 
-// Many requests that never end must not fill the memory: past the bound they are refused, and what they
-// held comes back.
-func TestIntakeIsBounded(t *testing.T) {
+// Many requests that are never completed must not exhaust the memory: beyond the request budget they are rejected, and the
+// bytes of ended requests are released.
+func TestRequestBudget(t *testing.T) {
 	f := newFront(func(core.Event) {})
 	f.intake.Most = 20000
 	c := dial(f)
@@ -203,40 +204,40 @@
 		time.Sleep(time.Millisecond)
 	}
 	if !f.intake.Take(20000) {
-		t.Error("bytes of ended requests are still booked")
+		t.Error("the bytes of ended requests are still reserved")
 	}
 }
 
-// A connection on which half a request came is closed in time, one that waits for an answer is not, and one
-// without a request only after a while.
-func TestLateRequestsLoseTheirConnection(t *testing.T) {
-	asks := make(chan core.Request, 1)
+// A connection with a partial request is closed at the read timeout, one that waits for a response is not, and an idle one only
+// at the idle timeout.
+func TestTimeouts(t *testing.T) {
+	requests := make(chan core.Request, 1)
 	clk := clock.Manual(1e12)
 	f := New(Options{Clock: clk, Log: zerolog.Nop(), Post: func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
-			asks <- a
+			requests <- a
 		}
 	}})
-	c, half := dial(f), dial(f)
+	c, partial := dial(f), dial(f)
 	defer c.Close()
-	half.Write(append(begin(1), appendRecord(nil, typeParams, 1, nil)...))
-	for f.Open() == 0 { // what is read only after the clock has moved on does not stall
+	partial.Write(append(begin(1), appendRecord(nil, typeParams, 1, nil)...))
+	for f.Open() == 0 { // the bytes must be read before the clock advances, or they count as progress
 		time.Sleep(time.Millisecond)
 	}
 	c.Write(append(begin(1), whole(1, "/v1/firmware", "9b1f03aa5c7e2d41")...))
-	a := <-asks
+	a := <-requests
 	clk.Advance(stallMost + 1)
 	for done := false; !done; {
 		f.server.Sweep()
 		select {
-		case <-half.done:
+		case <-partial.done:
 			done = true
 		case <-time.After(time.Millisecond):
 		}
 	}
 	a.Frontend.Answer(a.RequestTag, core.Answer{Verdict: core.Rejected})
 	c.wait(t, 1)
-	for f.Open() > 0 { // the answer is told as written after it has come
+	for f.Open() > 0 { // the client may receive the response before it is recorded as written
 		time.Sleep(time.Millisecond)
 	}
 	clk.Advance(idleMost - 1)
@@ -257,8 +258,8 @@
 	}
 }
 
-// FuzzConnection checks a connection against a model of its requests: each that was whole is asked
-// once; it ends once, by its answer or its abort; a client that leaves withdraws the rest.
+// FuzzConnection checks a connection against a model of its requests: each complete one is passed to the core once; it ends
+// once, by its response or by ABORT_REQUEST; the remaining ones are canceled when the client closes the connection.
 func FuzzConnection(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 0, 1, 2})
 	f.Add([]byte{0, 10, 20, 1, 11, 21, 3, 2, 12})
@@ -269,24 +270,24 @@
 			t.Skip()
 		}
 		var mu sync.Mutex
-		asked, left := map[uint64]core.Request{}, map[uint64]bool{}
-		news := make(chan struct{}, 4096)
-		front := newFront(func(ev core.Event) {
+		requested, canceled := map[uint64]core.Request{}, map[uint64]bool{}
+		posted := make(chan struct{}, 4096)
+		frontend := newFront(func(ev core.Event) {
 			mu.Lock()
 			defer mu.Unlock()
 			switch ev := ev.(type) {
 			case core.Request:
-				asked[ev.RequestTag] = ev
+				requested[ev.RequestTag] = ev
 			case core.CancelRequest:
-				left[ev.RequestTag] = true
+				canceled[ev.RequestTag] = true
 			}
-			news <- struct{}{}
+			posted <- struct{}{}
 		})
-		c := dial(front)
-		const idle, begun, waiting = 0, 1, 2
+		c := dial(frontend)
+		const idle, partial, waiting = 0, 1, 2
 		state := map[uint16]int{}
 		open := map[uint16]core.Request{}
-		wantLeft, answered := 0, map[uint16]int{}
+		wantCanceled, answered := 0, map[uint16]int{}
 		for _, step := range steps {
 			id := uint16(step/4)%40 + 1
 			switch step % 4 {
@@ -300,29 +301,29 @@
 					}
 					c.Write(begin(id))
 					if live < requestsAtOnce {
-						state[id] = begun
+						state[id] = partial
 					} else {
-						answered[id]++ // overloaded
+						answered[id]++ // END_REQUEST with FCGI_OVERLOADED
 					}
 				}
 			case 1:
-				if state[id] == begun {
+				if state[id] == partial {
 					mu.Lock()
-					before := len(asked)
+					before := len(requested)
 					mu.Unlock()
 					c.Write(whole(id, "/v1/firmware", fmt.Sprintf("%016x", id)))
 					for {
-						<-news
+						<-posted
 						mu.Lock()
-						n := len(asked)
+						n := len(requested)
 						mu.Unlock()
 						if n > before {
 							break
 						}
 					}
 					mu.Lock()
-					for tag, a := range asked {
-						if uint16(tag) == id && !left[tag] {
+					for tag, a := range requested {
+						if uint16(tag) == id && !canceled[tag] {
 							if old, ok := open[id]; !ok || tag > old.RequestTag {
 								open[id] = a
 							}
@@ -339,7 +340,7 @@
 				}
 			case 3:
 				if state[id] == waiting {
-					wantLeft++
+					wantCanceled++
 				}
 				if state[id] != idle {
 					answered[id]++
@@ -365,22 +366,22 @@
 		}
 		for _, s := range state {
 			if s == waiting {
-				wantLeft++
+				wantCanceled++
 			}
 		}
 		c.Close()
 		<-c.done
 		for {
 			mu.Lock()
-			n := len(left)
+			n := len(canceled)
 			mu.Unlock()
-			if n == wantLeft {
+			if n == wantCanceled {
 				break
 			}
-			<-news
+			<-posted
 		}
 		if n := count(); n != total {
-			t.Errorf("%d ends, the model has %d", n, total)
+			t.Errorf("%d END_REQUEST records, the model has %d", n, total)
 		}
 	})
 }
@@ -390,13 +391,13 @@
 	f.Add(appendRecord(nil, typeGetValues, 0, appendPair(nil, "FCGI_MPXS_CONNS", "")))
 	f.Add([]byte{1, 4, 0, 1, 255, 255, 255, 0, 1})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		front := newFront(func(ev core.Event) {
+		frontend := newFront(func(ev core.Event) {
 			if a, ok := ev.(core.Request); ok {
 				go a.Frontend.Answer(a.RequestTag, core.Answer{Verdict: core.Rejected})
 			}
 		})
-		c := dial(front)
-		c.Write(b) // whatever it is, the connection ends in order or goes on
+		c := dial(frontend)
+		c.Write(b) // any input is either accepted or ends the connection without a panic
 		c.Close()
 		<-c.done
 	})
--- a/front/fastcgi/owed_test.go
+++ b/front/fastcgi/handover_failure_test.go
@@ -15,7 +15,7 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// unixPair gives both ends of a Unix connection.
+// unixPair returns both ends of a Unix connection.
 func unixPair(t *testing.T) (near, far *net.UnixConn) {
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "h"), Net: "unix"})
 	if err != nil {
@@ -33,13 +33,13 @@
 	return near, far
 }
 
-// A connection that the other process does not get whole stays, and what was read on it is answered here: the other process
-// may end before anything has gone over, or in the middle of it.
-func TestFailedHandoverLosesNothing(t *testing.T) {
-	large := append(begin(2), appendRecord(nil, typeParams, 2, nil)...) // a body that no socket buffers, not whole
+// If the new process ends before it has received the complete state of a connection, before the first byte or in the middle, the
+// connection stays at the old process, and the requests that were read from it are answered there.
+func TestFailedHandoverLosesNoRequest(t *testing.T) {
+	large := append(begin(2), appendRecord(nil, typeParams, 2, nil)...) // a partial body, too large for a socket buffer
 	large = append(large, appendRecord(nil, typeStdin, 2, make([]byte, 60000))...)
 	for name, end := range map[string]func(t *testing.T, far *net.UnixConn){
-		"before anything": nil,
+		"before the first byte": nil,
 		"in the middle": func(t *testing.T, far *net.UnixConn) {
 			oob := make([]byte, syscall.CmsgSpace(4))
 			_, n, _, _, err := far.ReadMsgUnix(make([]byte, 1), oob)
@@ -61,10 +61,10 @@
 			}
 			far.Close()
 		},
-		"with all of it unread": func(t *testing.T, far *net.UnixConn) {
-			for limit := time.Now().Add(20 * time.Second); waiting(t, far) < len(large); time.Sleep(time.Millisecond) {
-				if time.Now().After(limit) {
-					t.Error("it never came")
+		"with the state unread": func(t *testing.T, far *net.UnixConn) {
+			for deadline := time.Now().Add(20 * time.Second); waiting(t, far) < len(large); time.Sleep(time.Millisecond) {
+				if time.Now().After(deadline) {
+					t.Error("timed out waiting for the state")
 					return
 				}
 			}
@@ -72,10 +72,10 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			asks := make(chan core.Request, 1)
+			requests := make(chan core.Request, 1)
 			f := newFront(func(ev core.Event) {
 				if a, ok := ev.(core.Request); ok {
-					asks <- a
+					requests <- a
 				}
 			})
 			near, far := accepted(t)
@@ -85,10 +85,10 @@
 			defer near.Close()
 			cl := listen(near)
 			near.Write(append(append(begin(1), whole(1, "/v1/firmware", "1")...), large...))
-			ask := <-asks
-			for limit := time.Now().Add(20 * time.Second); f.Open() < 2; time.Sleep(time.Millisecond) {
-				if time.Now().After(limit) {
-					t.Fatal("the second one is never begun")
+			first := <-requests
+			for deadline := time.Now().Add(20 * time.Second); f.Open() < 2; time.Sleep(time.Millisecond) {
+				if time.Now().After(deadline) {
+					t.Fatal("timed out waiting for the second request to be read")
 				}
 			}
 			to, from := unixPair(t)
@@ -105,7 +105,7 @@
 			f.HandOver(func() (*net.UnixConn, error) {
 				select {
 				case <-called:
-					return nil, net.ErrClosed // the other process has ended
+					return nil, net.ErrClosed // the new process has ended
 				default:
 					close(called)
 					return to, nil
@@ -113,52 +113,52 @@
 			})
 			<-called
 			<-ended
-			near.Write(append(begin(3), whole(3, "/v1/firmware", "3")...)) // it is read once the handover has failed
+			near.Write(append(begin(3), whole(3, "/v1/firmware", "3")...)) // read after the handover has failed
 			select {
-			case last := <-asks:
+			case last := <-requests:
 				last.Frontend.Answer(last.RequestTag, core.Answer{Verdict: core.Served, Body: []byte("c")})
 			case <-cl.done:
-				t.Fatal("the connection is lost")
+				t.Fatal("the connection was closed")
 			}
 			cl.wait(t, 3)
-			ask.Frontend.Answer(ask.RequestTag, core.Answer{Verdict: core.Served, Body: []byte("a")})
+			first.Frontend.Answer(first.RequestTag, core.Answer{Verdict: core.Served, Body: []byte("a")})
 			if e := cl.wait(t, 1); !strings.HasPrefix(e.stdout.String(), "Status: 200 OK") {
 				t.Errorf("%q", e.stdout.String())
 			}
 			f.server.Stop()
-			cl.wait(t, 2) // refused, as it is not whole
+			cl.wait(t, 2) // rejected, as it is partial
 			<-cl.done
 		})
 	}
 }
 
-// withinTenth has a request's withdrawal timed, from its client's leaving to the mark, and wants the median of several within
-// 0.1 s, as the machine may have other work.
-func withinTenth(t *testing.T, once func() time.Duration) {
+// checkCancelDelay measures several times how long it takes until a request is canceled after its client has disconnected. The
+// median must be at most 0.1 s; single values may be higher on a busy machine.
+func checkCancelDelay(t *testing.T, measure func() time.Duration) {
 	const times = 5
 	var took []time.Duration
 	for range times {
-		took = append(took, once())
+		took = append(took, measure())
 	}
 	slices.Sort(took)
 	if median := took[times/2]; median > 100*time.Millisecond {
-		t.Errorf("marked %v after the client left in the median", median)
+		t.Errorf("canceled %v (median) after the client disconnected", median)
 	}
 }
 
-// untilWithdrawn gives how long it takes until a request is marked as one for which nobody waits.
-func untilWithdrawn(t *testing.T, ask core.Request) time.Duration {
-	left := time.Now()
-	for !ask.Canceled.Load() {
-		if time.Since(left) > 5*time.Second {
-			t.Fatal("never marked")
+// timeUntilCanceled waits until a request is marked as canceled, and returns how long that took.
+func timeUntilCanceled(t *testing.T, request core.Request) time.Duration {
+	start := time.Now()
+	for !request.Canceled.Load() {
+		if time.Since(start) > 5*time.Second {
+			t.Fatal("timed out waiting for the request to be canceled")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	return time.Since(left)
+	return time.Since(start)
 }
 
-// waiting is how many bytes wait to be read.
+// waiting returns the number of bytes in the socket's receive buffer.
 func waiting(t *testing.T, c *net.UnixConn) (bytes int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -171,20 +171,20 @@
 	return bytes
 }
 
-// A client that leaves while its connection is on its way to another process, which has yet to take it, has its requests
-// withdrawn at once.
-func TestClientLeavesBeforeItsConnectionIsTaken(t *testing.T) {
+// If the client disconnects during the handover, before the new process has received the connection, its requests are canceled
+// at once.
+func TestClientDisconnectsBeforeConnectionIsReceived(t *testing.T) {
 	ways := map[string]func(c *net.TCPConn){
 		"close": func(c *net.TCPConn) { c.Close() },
 		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	}
-	for way, leave := range ways {
+	for way, disconnect := range ways {
 		t.Run(way, func(t *testing.T) {
-			withinTenth(t, func() time.Duration {
-				asks := make(chan core.Request, 1)
+			checkCancelDelay(t, func() time.Duration {
+				requests := make(chan core.Request, 1)
 				f := newFront(func(ev core.Event) {
 					if a, ok := ev.(core.Request); ok {
-						asks <- a
+						requests <- a
 					}
 				})
 				near, far := accepted(t)
@@ -192,28 +192,28 @@
 				serving.Go(func() { f.Handle(far) })
 				defer serving.Wait()
 				near.Write(append(begin(1), whole(1, "/v1/firmware", "1")...))
-				ask := <-asks
+				request := <-requests
 				to, from := unixPair(t)
 				defer from.Close()
 				f.HandOver(func() (*net.UnixConn, error) { return to, nil })
-				for limit := time.Now().Add(20 * time.Second); waiting(t, from) == 0; time.Sleep(time.Millisecond) {
-					if time.Now().After(limit) {
-						t.Fatal("never handed over")
+				for deadline := time.Now().Add(20 * time.Second); waiting(t, from) == 0; time.Sleep(time.Millisecond) {
+					if time.Now().After(deadline) {
+						t.Fatal("timed out waiting for the handover")
 					}
 				}
-				leave(near)
-				return untilWithdrawn(t, ask)
+				disconnect(near)
+				return timeUntilCanceled(t, request)
 			})
 		})
 	}
 }
 
-// A connection with requests that the process which handed it over still answers is served also where all places are taken.
-func TestAdoptedAmidFullPlaces(t *testing.T) {
-	asks := make(chan core.Request, 1)
+// A connection that is handed over while the old process still answers its requests is served even at the connection limit.
+func TestAdoptAtConnectionLimit(t *testing.T) {
+	requests := make(chan core.Request, 1)
 	f := newFront(func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
-			asks <- a
+			requests <- a
 		}
 	})
 	f.server.Limit(1)
@@ -223,62 +223,61 @@
 	defer busy.Close()
 	serving.Go(func() { f.Handle(farBusy) })
 	busy.Write(append(begin(1), whole(1, "/v1/firmware", "1")...))
-	<-asks
+	<-requests
 	near, far := accepted(t)
 	defer near.Close()
 	cl := listen(near)
-	elder, from := unixPair(t)
-	defer elder.Close()
+	oldProcess, from := unixPair(t)
+	defer oldProcess.Close()
 	serving.Go(func() { f.Adopt(from) })
-	if err := sendEstate(elder, far, []byte{0, 7}, nil); err != nil {
+	if err := sendEstate(oldProcess, far, []byte{0, 7}, nil); err != nil {
 		t.Fatal(err)
 	}
 	far.Close()
 	select {
 	case <-cl.done:
-		t.Fatal("closed with a request open")
-	case <-time.After(2 * time.Second): // beyond the time that a new connection waits for a place
+		t.Fatal("closed with an open request")
+	case <-time.After(2 * time.Second): // longer than a new connection waits for a slot
 	}
-	elder.Write(appendStdout(nil, 7, []byte("Status: 200 OK\r\n\r\n"), nil))
+	oldProcess.Write(appendStdout(nil, 7, []byte("Status: 200 OK\r\n\r\n"), nil))
 	if e := cl.wait(t, 7); !strings.HasPrefix(e.stdout.String(), "Status: 200") {
 		t.Errorf("%q", e.stdout.String())
 	}
 }
 
-// A client that leaves, or withdraws its request, once its connection is another process's has that seen by the one which took
-// the request.
-func TestWithdrawalAfterHandover(t *testing.T) {
+// If the client disconnects or aborts a request after the handover, the old process, which still has the request, is notified.
+func TestCancelAfterHandover(t *testing.T) {
 	ways := map[string]func(c *net.TCPConn){
-		"close":  func(c *net.TCPConn) { c.Close() },
-		"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-		"aborts": func(c *net.TCPConn) { c.Write(appendRecord(nil, typeAbort, 1, nil)) },
+		"close": func(c *net.TCPConn) { c.Close() },
+		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+		"abort": func(c *net.TCPConn) { c.Write(appendRecord(nil, typeAbort, 1, nil)) },
 	}
-	for way, leave := range ways {
+	for way, cancel := range ways {
 		t.Run(way, func(t *testing.T) {
-			withinTenth(t, func() time.Duration {
-				asks := make(chan core.Request, 2)
+			checkCancelDelay(t, func() time.Duration {
+				requests := make(chan core.Request, 2)
 				post := func(ev core.Event) {
 					if a, ok := ev.(core.Request); ok {
-						asks <- a
+						requests <- a
 					}
 				}
-				older, newer := newFront(post), newFront(post)
+				oldFrontend, newFrontend := newFront(post), newFront(post)
 				near, far := accepted(t)
 				var serving sync.WaitGroup
-				serving.Go(func() { older.Handle(far) })
+				serving.Go(func() { oldFrontend.Handle(far) })
 				defer serving.Wait()
 				defer near.Close()
 				near.Write(append(begin(1), whole(1, "/v1/firmware", "1")...))
-				ask := <-asks
+				first := <-requests
 				to, from := unixPair(t)
-				serving.Go(func() { newer.Adopt(from) })
-				older.HandOver(func() (*net.UnixConn, error) { return to, nil })
+				serving.Go(func() { newFrontend.Adopt(from) })
+				oldFrontend.HandOver(func() (*net.UnixConn, error) { return to, nil })
 				near.Write(append(begin(2), whole(2, "/v1/firmware", "2")...))
-				second := <-asks // it was read by the new process, and nothing else reads the connection
-				leave(near)
-				took := untilWithdrawn(t, ask)
-				if way == "aborts" && second.Canceled.Load() {
-					t.Error("another request is withdrawn with it")
+				second := <-requests // read by the new process, the only one that now reads the connection
+				cancel(near)
+				took := timeUntilCanceled(t, first)
+				if way == "abort" && second.Canceled.Load() {
+					t.Error("another request was canceled, too")
 				}
 				return took
 			})
--- a/front/fastcgi/send_failure_test.go
+++ b/front/fastcgi/handover_send_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A connection whose descriptor can't be sent to the other process stays here: what is open on it is answered, and so is
-// what still comes.
-func TestFailedSendOfADescriptorCostsNothing(t *testing.T) {
+// If the descriptor of a connection cannot be sent to the new process, the connection stays at the old one, where its open
+// requests and new ones are answered.
+func TestFailedDescriptorSendLosesNoRequest(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	u, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -16,8 +16,8 @@
 	}
 	defer u.Close()
 	tried := make(chan struct{}, 1)
-	heir := func() (*net.UnixConn, error) {
-		defer func() { // it is tried again later
+	successor := func() (*net.UnixConn, error) {
+		defer func() { // the handover is retried later
 			select {
 			case tried <- struct{}{}:
 			default:
@@ -31,15 +31,15 @@
 		if err != nil {
 			return nil, err
 		}
-		return to, from.Close() // sendmsg meets EPIPE
+		return to, from.Close() // sendmsg fails with EPIPE
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	gate, asked := make(chan struct{}), make(chan string, 4)
-	f := gated("a", asked, gate)
+	gate, received := make(chan struct{}), make(chan string, 4)
+	f := gated("a", received, gate)
 	near, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -52,14 +52,14 @@
 	go func() { defer close(ended); f.Handle(far) }()
 	client := listen(near)
 	near.Write(append(begin(1), whole(1, "/v1/firmware", "1")...))
-	<-asked
-	f.HandOver(heir)
+	<-received
+	f.HandOver(successor)
 	<-tried
 	near.Write(append(begin(2), whole(2, "/v1/firmware", "2")...))
 	select {
-	case <-asked:
+	case <-received:
 	case <-client.done:
-		t.Fatal("the connection was closed with a request open")
+		t.Fatal("the connection was closed with an open request")
 	}
 	close(gate)
 	for id := uint16(1); id <= 2; id++ {
--- a/front/fastcgi/pass_test.go
+++ b/front/fastcgi/handover_test.go
@@ -13,11 +13,11 @@
 	"turnfork.dev/turnfork/front"
 )
 
-// gated is a front whose requests are answered with the front's name once the gate is open.
-func gated(name string, asked chan<- string, gate <-chan struct{}) *Front {
+// gated returns a frontend whose requests are answered with its name and their transaction once gate is closed.
+func gated(name string, received chan<- string, gate <-chan struct{}) *Front {
 	return newFront(func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
-			asked <- a.Txn
+			received <- a.Txn
 			go func() {
 				<-gate
 				a.Frontend.Answer(a.RequestTag, core.Answer{Verdict: core.Served, Body: []byte(name + a.Txn)})
@@ -26,8 +26,9 @@
 	})
 }
 
-// Wherever in the stream of requests a connection is handed over, each one is answered once and whole: by the old
-// process what it had taken, by the new one the rest, also what was cut in the middle. Handed over again, all goes on.
+// A connection may be handed over at any position in its stream of requests. Each request must be answered once and
+// completely: by the old process if it had received all of it, else by the new one, even if the old one had received a part.
+// The same holds after a second handover.
 func TestHandOver(t *testing.T) {
 	var stream []byte
 	for id := uint16(1); id <= 3; id++ {
@@ -44,12 +45,12 @@
 		t.Fatal(err)
 	}
 	defer u.Close()
-	heir := func() (*net.UnixConn, error) {
+	successor := func() (*net.UnixConn, error) {
 		return net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	}
 	for cut := 0; cut <= len(stream); cut += 5 {
-		gate, asked := make(chan struct{}), make(chan string, 16)
-		fronts := []*Front{gated("a", asked, gate), gated("b", asked, gate), gated("c", asked, gate)}
+		gate, received := make(chan struct{}), make(chan string, 16)
+		frontends := []*Front{gated("a", received, gate), gated("b", received, gate), gated("c", received, gate)}
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -60,30 +61,30 @@
 		}
 		var wg sync.WaitGroup
 		wg.Add(1)
-		go func() { defer wg.Done(); fronts[0].Handle(far) }()
-		cl, taken := listen(c), map[string]int{}
+		go func() { defer wg.Done(); frontends[0].Handle(far) }()
+		cl, counts := listen(c), map[string]int{}
 		c.Write(stream[:cut])
-		for range cut / (len(stream) / 3) { // what is whole is taken by the old process
-			taken[<-asked]++
+		for range cut / (len(stream) / 3) { // the old process receives the complete requests
+			counts[<-received]++
 		}
-		for _, f := range fronts[:2] {
-			next := fronts[1]
+		for _, f := range frontends[:2] {
+			next := frontends[1]
 			if f == next {
-				next = fronts[2]
+				next = frontends[2]
 			}
-			handed := make(chan struct{})
+			adopted := make(chan struct{})
 			go func() {
 				from, err := u.AcceptUnix()
 				if err != nil {
 					t.Error(err)
 				}
 				wg.Add(1)
-				close(handed)
+				close(adopted)
 				go func() { defer wg.Done(); next.Adopt(from) }()
 			}()
-			f.HandOver(heir)
-			<-handed
-			if f == fronts[0] {
+			f.HandOver(successor)
+			<-adopted
+			if f == frontends[0] {
 				close(gate)
 				for n := range cut / (len(stream) / 3) {
 					cl.wait(t, uint16(n+1))
@@ -100,41 +101,41 @@
 		c.Close()
 		<-cl.done
 		wg.Wait()
-		for len(asked) > 0 {
-			taken[<-asked]++
+		for len(received) > 0 {
+			counts[<-received]++
 		}
-		for _, txn := range []string{"1", "2", "3"} { // a second taking would be a second copy at a store
-			if taken[txn] != 1 || len(taken) != 3 {
-				t.Errorf("cut at %d: taken %v", cut, taken)
+		for _, txn := range []string{"1", "2", "3"} { // a request received twice would be sent to an endpoint twice
+			if counts[txn] != 1 || len(counts) != 3 {
+				t.Errorf("cut at %d: requests received by the core: %v", cut, counts)
 			}
 		}
-		for i, f := range fronts {
+		for i, f := range frontends {
 			if f.Open() != 0 || f.Conns() != 0 {
-				t.Errorf("cut at %d: front %d keeps %d open on %d connections", cut, i, f.Open(), f.Conns())
+				t.Errorf("cut at %d: frontend %d has %d open requests on %d connections", cut, i, f.Open(), f.Conns())
 			}
 		}
 	}
 }
 
-// What the old process took and did not answer before it ended has failed: its client is told, or, where an answer had
-// begun, sees the connection end.
+// If the old process ends before it has answered its requests, these have failed: the client receives 502, or, if part of a
+// response was sent, the connection is closed.
 func TestOldProcessEnds(t *testing.T) {
-	for _, begun := range []bool{false, true} {
+	for _, partlySent := range []bool{false, true} {
 		c, far := accepted(t)
-		old, elder := net.Pipe()
+		old, oldProcess := net.Pipe()
 		cl, ended := listen(c), make(chan struct{})
 		f := newFront(func(core.Event) {})
 		go func() {
 			defer close(ended)
-			f.server.Handle(far, func(nc net.Conn, place *front.Conn) {
-				f.serve(nc, place, &estate{elder: elder, theirs: map[uint16]bool{7: false}})
+			f.server.Handle(far, func(nc net.Conn, serverConn *front.Conn) {
+				f.serve(nc, serverConn, &estate{elder: oldProcess, theirs: map[uint16]bool{7: false}})
 			})
 		}()
-		if begun {
+		if partlySent {
 			old.Write(appendRecord(nil, typeStdout, 7, []byte("Status: 200 OK\r\n\r\nhalf")))
 		}
 		old.Close()
-		if begun {
+		if partlySent {
 			<-cl.done
 		} else if e := cl.wait(t, 7); !strings.HasPrefix(e.stdout.String(), "Status: 502") {
 			t.Errorf("%q", e.stdout.String())
@@ -142,18 +143,18 @@
 		c.Close()
 		<-ended
 		if f.Open() != 0 {
-			t.Errorf("begun %t: %d stay open", begun, f.Open())
+			t.Errorf("partly sent %t: %d requests stay open", partlySent, f.Open())
 		}
 	}
 }
 
-// A client that leaves while its connection is on its way to another process, and the writer is still held up by an answer that
-// the client does not take, is seen at once, and not when the writer's time is up.
-func TestWithdrawalDuringHandover(t *testing.T) {
-	asks := make(chan core.Request, 2)
+// If the client disconnects during the handover, while the writer is blocked by a response that the client does not read, its
+// requests are canceled at once and not after the writer's timeout.
+func TestCancelDuringHandover(t *testing.T) {
+	requests := make(chan core.Request, 2)
 	f := newFront(func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
-			asks <- a
+			requests <- a
 		}
 	})
 	near, far := accepted(t)
@@ -162,11 +163,11 @@
 	defer serving.Wait()
 	defer near.Close()
 	near.Write(append(append(begin(1), whole(1, "/v1/firmware", "1")...), append(begin(2), whole(2, "/v1/firmware", "2")...)...))
-	first, second := <-asks, <-asks
-	const size = 32 << 20 // more than both ends of a connection buffer
+	first, second := <-requests, <-requests
+	const size = 32 << 20 // exceeds the socket buffers at both ends of a connection
 	first.Frontend.Answer(first.RequestTag, core.Answer{Verdict: core.Served, Body: make([]byte, size)})
 	var head [1]byte
-	if _, err := near.Read(head[:]); err != nil { // the answer is being written
+	if _, err := near.Read(head[:]); err != nil { // the response is being written
 		t.Fatal(err)
 	}
 
@@ -176,24 +177,24 @@
 		t.Fatal(err)
 	}
 	defer u.Close()
-	underWay := make(chan struct{})
+	started := make(chan struct{})
 	f.HandOver(func() (*net.UnixConn, error) {
-		defer close(underWay)
+		defer close(started)
 		return net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	})
-	<-underWay
+	<-started
 	if err := near.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	left := time.Now()
+	disconnected := time.Now()
 	for !second.Canceled.Load() {
-		if time.Since(left) > 20*time.Second {
-			t.Fatal("never marked")
+		if time.Since(disconnected) > 20*time.Second {
+			t.Fatal("timed out waiting for the request to be canceled")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if took := time.Since(left); took > parkMost/2 {
-		t.Errorf("marked %v after the client left", took)
+	if took := time.Since(disconnected); took > parkMost/2 {
+		t.Errorf("canceled %v after the client disconnected", took)
 	}
 	second.Frontend.Answer(second.RequestTag, core.Answer{Verdict: core.Failed, Reason: core.ClientGone}) // as the core does
 }
--- a/front/fastcgi/record.go
+++ b/front/fastcgi/record.go
@@ -32,10 +32,10 @@
 	headerLen      = 8
 	contentMost    = 65535
 	paramsMost     = 16 << 10 // bytes of one request's parameters
-	bodyMost       = 64 << 10 // a write carries up to 48,000
-	requestsAtOnce = 32
-	bufferFirst    = 512
-	bufferKept     = 4 << 10
+	bodyMost       = 64 << 10 // bytes of one request's body; that of a write has up to 48,000
+	requestsAtOnce = 32       // open requests on one connection
+	bufferFirst    = 512      // minimum size of a record buffer
+	bufferKept     = 4 << 10  // a larger record buffer is replaced once records are small again
 )
 
 var errRecord = errors.New("malformed record")
@@ -46,18 +46,18 @@
 	data []byte // valid until the next record is read
 }
 
-// records reads records, in pieces of any size. A read that fails, as by a deadline, loses nothing: the next one goes
-// on where it stopped.
+// records reads records from a stream. If a read fails, such as by a deadline, no bytes are lost: the next call continues
+// where it stopped.
 type records struct {
 	r    io.Reader
 	head [headerLen]byte
-	got  int    // bytes of the header
-	buf  []byte // of the content and its padding; it grows as records need it
-	have int    // bytes of those
-	done bool   // the record was handed out
+	got  int    // bytes in head
+	buf  []byte // the record's content and padding; it grows as needed
+	have int    // bytes in buf
+	done bool   // the record was returned
 }
 
-// next reads one record, which is valid until the next call.
+// next reads one record. The record is valid until the next call.
 func (x *records) next() (record, error) {
 	if x.done {
 		x.got, x.have, x.done = 0, 0, false
@@ -66,26 +66,26 @@
 		n, err := x.r.Read(x.head[x.got:])
 		if x.got += n; err != nil && x.got < headerLen {
 			if err == io.EOF && x.got > 0 {
-				err = fmt.Errorf("%w: cut inside a header", errRecord)
+				err = fmt.Errorf("%w: connection ended inside a header", errRecord)
 			}
 			return record{}, err
 		}
 	}
 	if x.head[0] != version {
-		return record{}, fmt.Errorf("%w: version %d", errRecord, x.head[0])
+		return record{}, fmt.Errorf("%w: unsupported version %d", errRecord, x.head[0])
 	}
 	n := int(binary.BigEndian.Uint16(x.head[4:]))
-	whole := n + int(x.head[6])
-	// Guards against a connection that sent one large record holding its buffer for good: most records are
-	// small, and there are many connections.
-	if x.have == 0 && (whole > cap(x.buf) || cap(x.buf) > bufferKept && whole <= bufferKept) {
-		x.buf = make([]byte, max(whole, bufferFirst))
+	size := n + int(x.head[6])
+	// Do not keep the buffer of a large record for the lifetime of the connection: most records are small, and there are
+	// many connections.
+	if x.have == 0 && (size > cap(x.buf) || cap(x.buf) > bufferKept && size <= bufferKept) {
+		x.buf = make([]byte, max(size, bufferFirst))
 	}
-	for b := x.buf[:whole]; x.have < whole; {
+	for b := x.buf[:size]; x.have < size; {
 		n, err := x.r.Read(b[x.have:])
-		if x.have += n; err != nil && x.have < whole {
+		if x.have += n; err != nil && x.have < size {
 			if err == io.EOF {
-				err = fmt.Errorf("%w: cut inside the content", errRecord)
+				err = fmt.Errorf("%w: connection ended inside the content", errRecord)
 			}
 			return record{}, err
 		}
@@ -94,10 +94,10 @@
 	return record{x.head[1], binary.BigEndian.Uint16(x.head[2:]), x.buf[:n]}, nil
 }
 
-// idle tells whether no byte of a record is in hand.
+// idle reports whether no byte of the next record has been read.
 func (x *records) idle() bool { return x.done || x.got == 0 }
 
-// rest gives the bytes of a record that is not whole.
+// rest returns the bytes that were read of a partial record.
 func (x *records) rest() []byte {
 	if x.done {
 		return nil
@@ -110,7 +110,7 @@
 	return append(b, data...)
 }
 
-// appendStdout appends an answer's stream, its end and the request's end.
+// appendStdout appends a response: its STDOUT stream, the end of the stream and END_REQUEST.
 func appendStdout(b []byte, id uint16, head, body []byte) []byte {
 	b = appendRecord(b, typeStdout, id, head)
 	for len(body) > 0 {
@@ -129,25 +129,25 @@
 	return appendRecord(b, typeEnd, id, body[:])
 }
 
-// pairs calls fn for each name-value pair.
+// pairs parses name-value pairs and calls fn for each of them.
 func pairs(b []byte, fn func(name, value string)) error {
 	for len(b) > 0 {
 		var n [2]int
 		for i := range n {
 			if len(b) == 0 {
-				return fmt.Errorf("%w: cut inside a length", errRecord)
+				return fmt.Errorf("%w: name-value pair ends inside a length", errRecord)
 			}
 			if b[0] < 128 {
 				n[i], b = int(b[0]), b[1:]
 				continue
 			}
 			if len(b) < 4 {
-				return fmt.Errorf("%w: cut inside a length", errRecord)
+				return fmt.Errorf("%w: name-value pair ends inside a length", errRecord)
 			}
 			n[i], b = int(binary.BigEndian.Uint32(b)&0x7fffffff), b[4:]
 		}
 		if n[0] > len(b) || n[1] > len(b)-n[0] {
-			return fmt.Errorf("%w: a pair of %d and %d bytes in %d", errRecord, n[0], n[1], len(b))
+			return fmt.Errorf("%w: name-value pair of %d and %d bytes in %d remaining bytes", errRecord, n[0], n[1], len(b))
 		}
 		fn(string(b[:n[0]]), string(b[n[0]:n[0]+n[1]]))
 		b = b[n[0]+n[1]:]
--- a/front/front.go
+++ b/front/front.go
@@ -1,5 +1,5 @@
-// Package front has what the fronts share: accepting, the places for connections and the bound on
-// what waits to be written.
+// Package front has the code that the frontends share: accepting connections, the connection limit and the limits on
+// buffered bytes.
 package front
 
 import (
@@ -14,31 +14,31 @@
 	"turnfork.dev/turnfork/clock"
 )
 
-// Server accepts connections, no more than Max at once, and keeps track of them. Where all places are taken a new connection
-// gets the place of one without an open request, so that idle and misbehaving clients keep nobody out.
+// Server accepts up to Max simultaneous connections and tracks them. At the limit it closes a connection without an open
+// request for each new one, so that idle and misbehaving clients cannot lock others out.
 type Server struct {
 	Max              int
-	FirstByteTimeout float64 // ms that a new connection may say nothing; 0: no limit
-	IdleTimeout      float64 // ms that a connection may stay without a request after its first; 0: no limit
-	ReadTimeout      float64 // ms that a request under way may bring no byte; 0: no limit
-	RequestTimeout   float64 // ms until a connection's first request must be whole, whatever it brings; 0: no limit
+	FirstByteTimeout float64 // ms within which a new connection must send its first byte; 0: no limit
+	IdleTimeout      float64 // ms that a connection may stay open without a request after its first; 0: no limit
+	ReadTimeout      float64 // ms without a new byte after which a partial request times out; 0: no limit
+	RequestTimeout   float64 // ms within which a connection's first request must be complete; 0: no limit
 	Clock            *clock.Clock
 	Log              zerolog.Logger
 	Tap              func(net.Conn) net.Conn // wraps each connection, for recording; nil: none
 
 	mu             sync.Mutex
 	conns          map[*Conn]struct{}
-	fullLogged     bool // told already
+	fullLogged     bool // the warning that the limit is reached has been logged
 	draining       bool
-	drainStartedAt float64 // when the drain was asked for
-	leaving        bool    // another process takes what is new
-	leftAt         float64 // since when
-	handsOver      bool    // connections are handed to it
-	stopping       bool    // the process is about to end
-	max            int     // in place of Max, where set later
-	closing        int     // connections whose readers are about to close them
-	stuck          int     // those whose readers should have
-	checking       bool    // a check of the former is due
+	drainStartedAt float64
+	leaving        bool // another process accepts the new connections
+	leftAt         float64
+	handsOver      bool // open connections are handed over to that process
+	stopping       bool // the process is about to end
+	max            int  // replaces Max if > 0
+	closing        int  // connections whose readers were asked to close them less than evictionTimeout ago
+	stuck          int  // connections whose readers have not closed them within evictionTimeout
+	checking       bool // checkClosing is scheduled
 	waiters        []*waiter
 	stalls         stalls
 }
@@ -49,21 +49,21 @@
 	sweepInterval  = 100 * time.Millisecond
 )
 
-// Limit sets the number of places anew. Connections beyond it stay until they end.
-func (s *Server) Limit(most int) {
+// Limit changes the maximum number of connections. Open connections in excess of it are not closed.
+func (s *Server) Limit(maxConns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.max = max(1, most)
+	s.max = max(1, maxConns)
 }
 
-// Conns counts the connections.
+// Conns returns the number of open connections.
 func (s *Server) Conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// limit is the number of places; mu is held.
+// limit returns the maximum number of connections. The caller holds mu.
 func (s *Server) limit() int {
 	if s.max > 0 {
 		return s.max
@@ -71,25 +71,26 @@
 	return s.Max
 }
 
-// Serve accepts until the listener closes or ctx ends, and returns once every connection has ended.
-// The end of ctx closes them at once, whatever is open on them: Stop comes before it. Handle owns a connection until it returns.
+// Serve accepts connections until the listener is closed or ctx is done, and returns once every connection has ended.
+// When ctx is done, all connections are closed at once, even with requests open; call Stop before that. A connection belongs
+// to handle until handle returns.
 func (s *Server) Serve(ctx context.Context, l net.Listener, handle func(net.Conn, *Conn)) error {
-	// Guards against closing connections that came another way than by this listener: the end of ctx closes all,
-	// the end of those accepted here nothing.
+	// CloseAll also closes connections that came from Handle or Adopt. It therefore runs only when ctx is done, not when
+	// Serve returns because the listener was closed.
 	stop := context.AfterFunc(ctx, func() {
 		l.Close()
 		s.CloseAll()
 	})
 	var g errgroup.Group
 	defer stop()
-	swept := make(chan struct{})
-	defer close(swept)
+	stopSweep := make(chan struct{})
+	defer close(stopSweep)
 	go func() {
 		t := time.NewTicker(sweepInterval)
 		defer t.Stop()
 		for {
 			select {
-			case <-swept:
+			case <-stopSweep:
 				return
 			case <-t.C:
 				s.stalls.heartbeat(s.Clock.Now())
@@ -100,21 +101,21 @@
 	s.mu.Lock()
 	waiting := s.maxWaiting()
 	s.mu.Unlock()
-	unplaced := make(chan struct{}, waiting) // a slot for each accepted connection without a place
+	unadmitted := make(chan struct{}, waiting) // a token for each accepted connection that has no slot yet
 	var pause time.Duration
 	for {
 		select {
-		case unplaced <- struct{}{}:
+		case unadmitted <- struct{}{}:
 		case <-ctx.Done():
 			return g.Wait()
 		}
 		nc, err := l.Accept()
 		if err != nil {
-			<-unplaced
+			<-unadmitted
 			if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 				return g.Wait()
 			}
-			// Guards against a full table of descriptors ending the front: it waits for room.
+			// Errors such as EMFILE are temporary: back off until descriptors are free again.
 			s.Log.Warn().Err(err).Msg("accept failed")
 			pause = min(max(2*pause, minAcceptPause), maxAcceptPause)
 			select {
@@ -126,20 +127,20 @@
 		pause = 0
 		conn, w := s.admitOrWait(nc)
 		if conn != nil {
-			<-unplaced
+			<-unadmitted
 			g.Go(func() error { s.serveAdmitted(ctx, conn, handle); return nil })
 			continue
 		}
 		g.Go(func() error {
 			conn := s.await(ctx, w)
-			<-unplaced
+			<-unadmitted
 			s.serveAdmitted(ctx, conn, handle)
 			return nil
 		})
 	}
 }
 
-// Handle serves one connection, unless no place becomes free for it.
+// Handle serves one connection. It is closed if no slot becomes free for it within admissionTimeout.
 func (s *Server) Handle(nc net.Conn, handle func(net.Conn, *Conn)) {
 	ctx := context.Background()
 	conn, w := s.admitOrWait(nc)
@@ -149,8 +150,8 @@
 	s.serveAdmitted(ctx, conn, handle)
 }
 
-// Adopt serves a connection that another process hands over. It has a place in any case, beyond the bound where all are
-// taken: requests that were read on it may be without an answer. Until its front tells otherwise it counts as having one.
+// Adopt serves a connection that another process hands over. It is admitted even beyond the connection limit, as requests
+// that were read from it may be unanswered. It counts as having one open request until its frontend calls Update.
 func (s *Server) Adopt(nc net.Conn, handle func(net.Conn, *Conn)) {
 	s.mu.Lock()
 	conn := s.add(nc)
@@ -160,13 +161,13 @@
 	s.serve(conn, handle)
 }
 
-// serveAdmitted serves a connection that has a place; nil: none became free for it in time.
+// serveAdmitted serves a connection that has a slot. A nil conn means that no slot became free in time.
 func (s *Server) serveAdmitted(ctx context.Context, conn *Conn, handle func(net.Conn, *Conn)) {
 	if conn == nil {
-		s.Log.Warn().Int("connections", s.Conns()).Msg("too many connections, all with requests open")
+		s.Log.Warn().Int("connections", s.Conns()).Msg("connection limit reached and every connection has open requests; new connection closed")
 		return
 	}
-	if ctx.Err() != nil { // it may have come after all were closed
+	if ctx.Err() != nil { // it may have been admitted after CloseAll
 		conn.conn.Close()
 	}
 	s.serve(conn, handle)
@@ -182,7 +183,7 @@
 	handle(conn.conn, conn)
 }
 
-// CloseAll closes every connection, whatever is open on it.
+// CloseAll closes every connection, even those with open requests.
 func (s *Server) CloseAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -15,25 +15,26 @@
 	"turnfork.dev/turnfork/clock"
 )
 
-// FuzzPlaces checks the places of a front against a model: there are never more than the bound; a connection
-// with a request open keeps its place until that is late; whoever is new gets the place of one without, of the
-// silent ones first where they hold many; and each limit of time holds.
-func FuzzPlaces(f *testing.F) {
+// FuzzAdmission checks the server against a model: the connection limit is never exceeded; a connection with an open request
+// is never evicted; a new connection is admitted if another one without an open request can be evicted; and each timeout
+// holds.
+func FuzzAdmission(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 0, 3, 0, 0})
 	f.Add([]byte{0, 1, 0, 1, 0, 1, 0, 1, 0, 2, 0, 0, 7, 3, 11, 19})
 	f.Add([]byte("0100010y020"))
 	f.Add([]byte{0, 0, 0, 255, 0, 1, 9, 0, 0, 67, 0, 4, 12, 255, 255})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		const most, first, idle, whole, stall = 6, 2500.0, 4500.0, 8000.0, 2000.0
+		const maxConns, firstByteTimeout, idleTimeout, requestTimeout, readTimeout = 6, 2500.0, 4500.0, 8000.0, 2000.0
 		clk := clock.Manual(1e6)
 		s := &Server{
-			Max: most, FirstByteTimeout: first, IdleTimeout: idle, ReadTimeout: stall, RequestTimeout: whole, Clock: clk, Log: zerolog.Nop(),
+			Max: maxConns, FirstByteTimeout: firstByteTimeout, IdleTimeout: idleTimeout, ReadTimeout: readTimeout,
+			RequestTimeout: requestTimeout, Clock: clk, Log: zerolog.Nop(),
 		}
 		type model struct {
 			*Conn
-			came, since, until, moved float64
-			open                      int
-			asked                     bool
+			accepted, idleSince, deadline, lastRead float64
+			open                                    int
+			hadRequest                              bool
 		}
 		var live []*model
 		ended := func(m *model) bool { return m.conn.(*testConn).closed }
@@ -46,45 +47,46 @@
 			}
 			switch {
 			case step%4 == 0:
-				idles := 0
+				evictableConns := 0
 				for _, x := range live {
-					half := x.until > 0
-					if x.open == 0 && (half && now-x.moved >= partialGrace || !half && (x.asked || now-x.since >= silentGrace)) {
-						idles++
+					partial := x.deadline > 0
+					if x.open == 0 && (partial && now-x.lastRead >= partialGrace || !partial && (x.hadRequest || now-x.idleSince >= silentGrace)) {
+						evictableConns++
 					}
 				}
 				conn := s.tryAdmit(&testConn{})
-				if full := len(live) >= most; (conn == nil) != (full && idles == 0) {
-					t.Fatalf("place %v with %d of %d, %d idle", conn, len(live), most, idles)
+				if full := len(live) >= maxConns; (conn == nil) != (full && evictableConns == 0) {
+					t.Fatalf("admitted %v with %d of %d connections, %d of them evictable", conn, len(live), maxConns, evictableConns)
 				}
 				if conn != nil {
-					live = append(live, &model{Conn: conn, came: now, since: now})
+					live = append(live, &model{Conn: conn, accepted: now, idleSince: now})
 				}
-			case step%4 == 1 && m != nil: // a request begins, or becomes whole
-				if m.until > 0 {
-					m.until, m.asked = 0, true
+			case step%4 == 1 && m != nil: // a request begins or becomes complete
+				if m.deadline > 0 {
+					m.deadline, m.hadRequest = 0, true
 					m.open++
 				} else {
-					m.until = now + whole
+					m.deadline = now + requestTimeout
 				}
 				m.CountReads(strings.NewReader("x")).Read(make([]byte, 1))
-				m.moved = now
-				m.Update(m.open, m.asked, m.until)
-			case step%4 == 2 && m != nil && m.open > 0: // its answer is written
+				m.lastRead = now
+				m.Update(m.open, m.hadRequest, m.deadline)
+			case step%4 == 2 && m != nil && m.open > 0: // its response is written
 				if m.open--; m.open == 0 {
-					m.since = now
+					m.idleSince = now
 				}
-				m.Update(m.open, true, m.until) // one that has begun meanwhile goes on
+				m.Update(m.open, true, m.deadline) // a partial request continues
 			case step%4 == 3:
 				clk.Advance(float64(pick * 20))
 				s.Sweep()
 				for _, x := range live {
 					now := clk.Now()
-					late := x.until > 0 && (now > x.until || now > x.moved+stall) ||
-						!x.asked && x.until == 0 && now > x.came+first || !x.asked && x.until > 0 && now > x.came+whole ||
-						x.asked && x.open == 0 && x.until == 0 && now > x.since+idle
-					if late != x.conn.(*testConn).closed {
-						t.Fatalf("late %t, closed %t: %+v at %v", late, !late, *x, now)
+					timedOut := x.deadline > 0 && (now > x.deadline || now > x.lastRead+readTimeout) ||
+						!x.hadRequest && x.deadline == 0 && now > x.accepted+firstByteTimeout ||
+						!x.hadRequest && x.deadline > 0 && now > x.accepted+requestTimeout ||
+						x.hadRequest && x.open == 0 && x.deadline == 0 && now > x.idleSince+idleTimeout
+					if timedOut != x.conn.(*testConn).closed {
+						t.Fatalf("timed out %t, closed %t: %+v at %v", timedOut, !timedOut, *x, now)
 					}
 				}
 			}
@@ -93,11 +95,11 @@
 				if !ended(x) {
 					kept = append(kept, x)
 				} else if x.open > 0 && step%4 == 0 {
-					t.Fatalf("a connection with a request open lost its place: %+v", *x)
+					t.Fatalf("a connection with an open request was evicted: %+v", *x)
 				}
 			}
-			if live = kept; len(live) != len(s.conns) || len(live) > most {
-				t.Fatalf("%d live, %d places", len(live), len(s.conns))
+			if live = kept; len(live) != len(s.conns) || len(live) > maxConns {
+				t.Fatalf("%d connections in the model, %d in the server", len(live), len(s.conns))
 			}
 		}
 	})
@@ -111,129 +113,129 @@
 func (c *testConn) Close() error                    { c.closed = true; return nil }
 func (c *testConn) SetReadDeadline(time.Time) error { return nil }
 
-// Strangers who connect by the hundred and say nothing don't cost the clients their connections.
-func TestStrangersGoFirst(t *testing.T) {
+// Hundreds of connections that never send a request must not cause the eviction of connections that did.
+func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
 	clk := clock.Manual(1e6)
 	s := &Server{Max: 40, FirstByteTimeout: 2500, IdleTimeout: 4500, Clock: clk, Log: zerolog.Nop()}
-	usual := make([]*Conn, 20)
-	for i := range usual {
-		usual[i] = s.tryAdmit(&testConn{})
-		usual[i].Update(1, true, 0)
-		usual[i].Update(0, true, 0)
+	idle := make([]*Conn, 20)
+	for i := range idle {
+		idle[i] = s.tryAdmit(&testConn{})
+		idle[i].Update(1, true, 0)
+		idle[i].Update(0, true, 0)
 	}
 	for range 300 {
 		clk.Advance(10)
 		if s.tryAdmit(&testConn{}) == nil {
-			t.Fatal("no place")
+			t.Fatal("not admitted")
 		}
 	}
-	for _, x := range usual {
+	for _, x := range idle {
 		if x.conn.(*testConn).closed {
-			t.Fatal("a usual client's connection was closed for a stranger's")
+			t.Fatal("a connection that sent a request was evicted before a silent one")
 		}
 	}
 }
 
-// A drain closes nothing before the platform can have noticed, then what is quiet, and a busy connection with its
-// last answer; what is not whole late in the drain is refused, new requests from before that. Ended, it closes
-// nothing more.
+// A drain closes no connection before the platform can have noticed the drain, then the idle ones, and a busy one after its
+// last response. Later it rejects new requests, and after that partial ones. Once it is ended, it closes no connection.
 func TestDrain(t *testing.T) {
 	clk := clock.Manual(1e6)
 	s := &Server{Max: 40, FirstByteTimeout: 60000, IdleTimeout: 60000, Clock: clk, Log: zerolog.Nop()}
 	closed := func(x *Conn) bool { return x.conn.(*testConn).closed }
-	conn := func(open int, until float64) *Conn {
+	conn := func(open int, deadline float64) *Conn {
 		x := s.tryAdmit(&testConn{})
-		x.Update(open, true, until)
+		x.Update(open, true, deadline)
 		return x
 	}
-	idle, busy, half := conn(0, 0), conn(1, 0), conn(0, 1e9)
-	yielded := 0
-	half.OnShedPartial(func() { yielded++; half.Update(0, true, 0) })
+	idle, busy, partial := conn(0, 0), conn(1, 0), conn(0, 1e9)
+	shed := 0
+	partial.OnShedPartial(func() { shed++; partial.Update(0, true, 0) })
 	s.Drain(true)
 	step := func(ms float64) {
 		clk.Advance(ms)
-		s.Drain(true) // again changes nothing
+		s.Drain(true) // has no effect in a drain
 		s.Sweep()
 	}
 	step(drainNotice - 1)
 	if closed(idle) || closed(busy) {
-		t.Error("closed before the platform can have noticed")
+		t.Error("closed before the platform can have noticed the drain")
 	}
 	step(1)
 	fresh := s.tryAdmit(&testConn{})
 	if !closed(idle) || closed(busy) || closed(fresh) {
-		t.Error("what is quiet is closed then, and nothing else")
+		t.Error("the idle connection is not closed, or another one is")
 	}
-	if _, refuse := s.Draining(); refuse {
-		t.Error("requests are refused too early")
+	if _, reject := s.Draining(); reject {
+		t.Error("requests are rejected too early")
 	}
 	if busy.Update(0, true, 0); !closed(busy) {
-		t.Error("a busy connection outlives its last answer")
+		t.Error("a busy connection is not closed after its last response")
 	}
 	step(drainRefuse - drainNotice)
-	if _, refuse := s.Draining(); !refuse || !closed(fresh) {
-		t.Error("requests are not refused, or a new silent connection is kept")
+	if _, reject := s.Draining(); !reject || !closed(fresh) {
+		t.Error("requests are not rejected, or a new silent connection is not closed")
 	}
-	if step(drainHalf - drainRefuse); yielded != 1 || !closed(half) {
-		t.Errorf("half a request was told to yield %d times", yielded)
+	if step(drainHalf - drainRefuse); shed != 1 || !closed(partial) {
+		t.Errorf("the partial request was rejected %d times, or its connection was not closed", shed)
 	}
 	last := s.tryAdmit(&testConn{})
 	s.Drain(false)
 	clk.Advance(5000)
 	s.Sweep()
-	if draining, refuse := s.Draining(); draining || refuse || closed(last) {
+	if draining, reject := s.Draining(); draining || reject || closed(last) {
 		t.Error("the drain does not end")
 	}
 }
 
-// Half a request keeps its place as long as it goes on, however slowly, up to a bound; one that stalls yields its place
-// to a new connection, and loses its connection soon. Where answers are owed beside it, it alone is refused.
-func TestHalfRequests(t *testing.T) {
+// A connection whose partial request is in progress, however slowly, stays open until RequestTimeout. One whose partial
+// request has stalled is evicted for a new connection, or closed at ReadTimeout. If it has other open requests, only the
+// partial one is rejected.
+func TestPartialRequests(t *testing.T) {
 	clk := clock.Manual(1e6)
 	s := &Server{Max: 2, FirstByteTimeout: 2500, IdleTimeout: 4500, ReadTimeout: 2000, RequestTimeout: 8000, Clock: clk, Log: zerolog.Nop()}
-	slow, stuck := s.tryAdmit(&testConn{}), s.tryAdmit(&testConn{})
-	yielded := 0
-	slow.OnShedPartial(func() { yielded++ })
-	move := func(x *Conn) { x.CountReads(strings.NewReader("x")).Read(make([]byte, 1)) }
-	for _, x := range []*Conn{slow, stuck} {
-		move(x)
+	slow, stalled := s.tryAdmit(&testConn{}), s.tryAdmit(&testConn{})
+	shed := 0
+	slow.OnShedPartial(func() { shed++ })
+	readByte := func(x *Conn) { x.CountReads(strings.NewReader("x")).Read(make([]byte, 1)) }
+	for _, x := range []*Conn{slow, stalled} {
+		readByte(x)
 		x.Update(0, false, clk.Now()+8000)
 	}
 	closed := func(x *Conn) bool { return x.conn.(*testConn).closed }
 	for range 39 { // over 3 s, a byte at a time
 		clk.Advance(100)
-		move(slow)
+		readByte(slow)
 		s.Sweep()
 		if clk.Now() == 1e6+partialGrace {
-			if s.tryAdmit(&testConn{}) == nil || !closed(stuck) {
-				t.Fatal("a stalled half keeps its place")
+			if s.tryAdmit(&testConn{}) == nil || !closed(stalled) {
+				t.Fatal("a connection with a stalled partial request was not evicted")
 			}
 		}
 	}
 	if closed(slow) {
-		t.Error("a slow request lost its connection")
+		t.Error("the connection with a slow partial request was closed")
 	}
-	slow.Update(1, true, clk.Now()+4000) // whole; now half of another one, and it stalls
+	slow.Update(1, true, clk.Now()+4000) // it is complete; another partial request follows and stalls
 	clk.Advance(2001)
-	if s.Sweep(); closed(slow) || yielded != 1 {
-		t.Errorf("closed %t, yielded %d times", closed(slow), yielded)
+	if s.Sweep(); closed(slow) || shed != 1 {
+		t.Errorf("closed %t, partial request rejected %d times", closed(slow), shed)
 	}
 	slow.Update(0, true, clk.Now()+4000)
 	if s.Sweep(); !closed(slow) {
-		t.Error("a stalled half alone keeps its connection")
+		t.Error("a connection with only a stalled partial request was not closed")
 	}
 }
 
-// A connection that rested for too long with a few bytes in hand, of which its reader alone knows, is closed once they stall,
-// and no sooner.
-func TestBytesThatStallKeepNoRest(t *testing.T) {
+// A connection that has been idle for too long, but whose reader holds a few bytes, is closed once these have stalled for
+// ReadTimeout, and not before. Only the reader knows of such bytes.
+func TestIdleConnectionWithStalledBytesTimesOut(t *testing.T) {
 	clk := clock.Manual(1e6)
 	s := &Server{Max: 1, IdleTimeout: 4500, ReadTimeout: 2000, Clock: clk, Log: zerolog.Nop()}
 	near, far := connected(t)
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	defer near.Close()
-	asked, looked, ended := make(chan struct{}), make(chan bool), make(chan struct{})
+	received, checked, ended := make(chan struct{}), make(chan bool), make(chan struct{})
 	serving.Go(func() {
 		defer close(ended)
 		s.Handle(far, func(nc net.Conn, conn *Conn) {
@@ -244,14 +246,14 @@
 			if _, err := in.Read(b); err != nil {
 				t.Error(err)
 			}
-			close(asked)
+			close(received)
 			for {
 				if _, err := in.Read(b); !errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Error(err)
 				}
-				shut := conn.ShouldClosePartial()
+				shouldClose := conn.ShouldClosePartial()
 				nc.SetReadDeadline(time.Time{})
-				if looked <- shut; shut {
+				if checked <- shouldClose; shouldClose {
 					return
 				}
 			}
@@ -263,24 +265,24 @@
 	}
 	clk.Advance(5000)
 	near.Write([]byte("x"))
-	<-asked
+	<-received
 	for _, x := range []struct {
 		ms     float64
 		closed bool
 	}{{0, false}, {1900, false}, {200, true}} {
 		clk.Advance(x.ms)
 		s.Sweep()
-		if shut := <-looked; shut != x.closed {
-			t.Fatalf("%v ms later: closed %t", x.ms, shut)
+		if shouldClose := <-checked; shouldClose != x.closed {
+			t.Fatalf("%v ms later: closed %t", x.ms, shouldClose)
 		}
 	}
 	<-ended
 	if _, err := near.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("%v in place of the close", err)
+		t.Errorf("read returned %v, want EOF", err)
 	}
 }
 
-// connected gives both ends of a connection.
+// connected returns both ends of a TCP connection.
 func connected(t *testing.T) (near, far net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -296,13 +298,13 @@
 	return near, far
 }
 
-// A connection that came from another process keeps its place until its front tells what is open on it, and has one also
-// where all are taken: what was read on it before is owed an answer.
-func TestAdoptedConnectionKeepsItsPlace(t *testing.T) {
+// A connection that was handed over by another process is admitted even beyond the limit, and is not closed before its
+// frontend has reported its open requests: requests that were read from it may be unanswered.
+func TestAdoptedConnectionIsNotClosed(t *testing.T) {
 	clk := clock.Manual(1e6)
 	s := &Server{Max: 1, FirstByteTimeout: 2500, IdleTimeout: 4500, ReadTimeout: 2000, RequestTimeout: 8000, Clock: clk, Log: zerolog.Nop()}
 	if conn := s.tryAdmit(&testConn{}); conn == nil {
-		t.Fatal("no place")
+		t.Fatal("not admitted")
 	} else {
 		conn.Update(1, true, 0)
 	}
@@ -310,39 +312,39 @@
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	defer near.Close()
-	begun, goOn := make(chan struct{}), make(chan struct{})
+	started, resume := make(chan struct{}), make(chan struct{})
 	serving.Go(func() {
 		s.Adopt(far, func(nc net.Conn, conn *Conn) {
-			close(begun)
-			<-goOn
+			close(started)
+			<-resume
 			conn.CloseWhenIdle()
 			conn.Update(1, true, 0)
 			nc.Write([]byte("a"))
 		})
 	})
-	<-begun
+	<-started
 	clk.Advance(10000)
 	s.Sweep()
 	s.Leave(false)
 	s.Stop()
 	if s.tryAdmit(&testConn{}) != nil {
-		t.Error("its place was given away")
+		t.Error("its slot was assigned to another connection")
 	}
-	close(goOn)
+	close(resume)
 	near.SetDeadline(time.Now().Add(20 * time.Second))
 	if _, err := near.Read(make([]byte, 1)); err != nil {
-		t.Errorf("%v in place of what is owed", err)
+		t.Errorf("read returned %v instead of the response", err)
 	}
 }
 
-// A request that the reader has in hand in the moment in which its connection would be closed, as it rested for too long
-// or for another one, has its answer there. The close comes once nothing is in hand.
-func TestRequestThatCrossesTheClose(t *testing.T) {
-	for how, shut := range map[string]func(s *Server){
-		"it rested for too long": (*Server).Sweep,
-		"its place is wanted": func(s *Server) {
+// A request that the reader has read, but not yet reported, at the time at which its connection is to be closed by the idle
+// timeout or an eviction must be answered. The connection is closed after that.
+func TestRequestReadBeforeIdleClose(t *testing.T) {
+	for reason, closeIdle := range map[string]func(s *Server){
+		"idle timeout": (*Server).Sweep,
+		"eviction": func(s *Server) {
 			if conn := s.tryAdmit(&testConn{}); conn != nil {
-				t.Error("a place was given away with a request in hand")
+				t.Error("a connection with an open request was evicted")
 			}
 		},
 	} {
@@ -352,8 +354,8 @@
 		}
 		clk := clock.Manual(1e6)
 		s := &Server{Max: 1, IdleTimeout: 4500, Clock: clk, Log: zerolog.Nop()}
-		read, goOn := make(chan struct{}), make(chan struct{})
-		ctx, end := context.WithCancel(context.Background())
+		read, resume := make(chan struct{}), make(chan struct{})
+		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		wg.Go(func() {
 			s.Serve(ctx, l, func(nc net.Conn, conn *Conn) {
@@ -367,11 +369,11 @@
 						return
 					}
 					read <- struct{}{}
-					<-goOn
+					<-resume
 					conn.Update(1, true, 0)
 					nc.Write([]byte("a"))
 					conn.Update(0, true, 0)
-					<-goOn
+					<-resume
 				}
 			})
 		})
@@ -383,20 +385,20 @@
 		c.Write([]byte("r"))
 		<-read
 		clk.Advance(5000)
-		shut(s)
-		goOn <- struct{}{}
+		closeIdle(s)
+		resume <- struct{}{}
 		var b [1]byte
 		if _, err := c.Read(b[:]); err != nil || b[0] != 'a' {
-			t.Errorf("%s: %q, %v in place of the answer", how, b, err)
+			t.Errorf("%s: read returned %q, %v instead of the response", reason, b, err)
 		}
-		goOn <- struct{}{}
+		resume <- struct{}{}
 		clk.Advance(5000)
-		shut(s) // where this comes before the reader has taken back the first one's mark, the next sweep does it
+		closeIdle(s) // if the reader has not handled the first interruption yet, the next sweep closes the connection
 		if _, err := c.Read(b[:]); err != io.EOF {
-			t.Errorf("%s: %v in place of the close", how, err)
+			t.Errorf("%s: read returned %v, want EOF", reason, err)
 		}
 		c.Close()
-		end()
+		cancel()
 		wg.Wait()
 	}
 }
--- a/front/mailbox.go
+++ b/front/mailbox.go
@@ -5,18 +5,18 @@
 	"sync"
 )
 
-// Mailbox hands events on in order without ever making who puts them in wait: a reader that waited for room would not
-// see that its client withdraws. It holds no more than its users leave in it: each connection's open requests, and the
-// withdrawals of those that were handed on.
+// Mailbox is a queue that passes events to Post in order. Put never blocks: a reader that blocked would not notice that its
+// client cancels a request. The queue has no limit of its own; its users put no more in than each connection's open requests
+// and the cancellations of those that were passed on.
 type Mailbox[T any] struct {
-	Post func(T) // may wait
+	Post func(T) // may block
 
 	mu      sync.Mutex
 	waiting list.List
 	posting bool
 }
 
-// Put has an event handed on, and gives what Take takes it back by.
+// Put appends an event. It returns the element to pass to Take.
 func (m *Mailbox[T]) Put(ev T) *list.Element {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -28,7 +28,7 @@
 	return e
 }
 
-// Take takes an event back, and tells whether it had not been handed on yet.
+// Take removes an event, and reports whether it had not been passed to Post yet.
 func (m *Mailbox[T]) Take(e *list.Element) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,7 +40,7 @@
 	return true
 }
 
-// hand hands on what waits until nothing does.
+// hand passes events to Post until the queue is empty.
 func (m *Mailbox[T]) hand() {
 	for {
 		m.mu.Lock()
--- a/front/stall.go
+++ b/front/stall.go
@@ -3,19 +3,19 @@
 import "sync"
 
 const (
-	stallLeast  = 50.0 // ms beyond the interval of the heartbeats for which the process has stood still, or nearly
-	stallRecent = 50.0 // ms after such a time in which a reader may take up what came then
+	stallLeast  = 50.0 // ms by which a heartbeat must be late for the process to count as stalled
+	stallRecent = 50.0 // ms after a stall in which a read may return bytes that arrived during the stall
 )
 
-// stalls tells for which times the process stood still, as its heartbeats came late. Guards against a request that came
-// early in such a time and counts as come at its end: a reader sees only when the last of what it reads came.
+// stalls detects when the process was stalled, by heartbeats that are late. A reader learns only when the last of the bytes
+// that it reads arrived; a request that arrived early in a stall would therefore count as having arrived at its end.
 type stalls struct {
 	mu       sync.Mutex
-	last     float64 // heartbeat
-	from, to float64 // of the last time without one
+	last     float64 // time of the last heartbeat
+	from, to float64 // start and end of the last stall
 }
 
-// heartbeat is called once every sweepInterval.
+// heartbeat must be called once every sweepInterval.
 func (s *stalls) heartbeat(now float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,12 +25,13 @@
 	s.last = now
 }
 
-// late tells whether a heartbeat is missing. The lock is held.
+// late reports whether the next heartbeat is late. The caller holds the lock.
 func (s *stalls) late(now float64) bool {
 	return s.last > 0 && now-s.last > float64(sweepInterval.Milliseconds())+stallLeast
 }
 
-// during gives the earliest time in a read at which the process may have stood still, where it did just before its end.
+// during reports whether the process was stalled just before the end of a read, and returns the earliest time during the read
+// at which it may have been stalled.
 func (s *stalls) during(began, ended float64) (from float64, stalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/front/sweep.go
+++ b/front/sweep.go
@@ -1,12 +1,12 @@
 package front
 
-// Sweep has the connections closed whose time is up, each by its reader.
+// Sweep makes the readers of the connections that have timed out, or can be closed in a drain, close them.
 func (s *Server) Sweep() {
 	now := s.Clock.Now()
-	var yields []func()
+	var sheds []func()
 	defer func() {
-		for _, yield := range yields {
-			yield()
+		for _, shed := range sheds {
+			shed()
 		}
 	}()
 	s.mu.Lock()
@@ -20,14 +20,14 @@
 		late := x.late(now)
 		switch {
 		case late && x.openRequests > 0 && x.shedPartial != nil:
-			// Guards against losing what is open on a connection to half a request there: that one alone is refused.
-			yields = append(yields, x.shedPartial)
-		case late && x.openRequests > 0 && x.closeWhenIdle: // closed once all is answered
+			// Only the partial requests are rejected, so that the connection's open requests are not lost.
+			sheds = append(sheds, x.shedPartial)
+		case late && x.openRequests > 0 && x.closeWhenIdle: // closed once all requests are answered
 		case late || x.shouldClose(now):
 			s.interruptRead(x)
 		}
 		if !late && x.requestDeadline > 0 && x.shedPartial != nil && s.shedsPartial(now) {
-			yields = append(yields, x.shedPartial)
+			sheds = append(sheds, x.shedPartial)
 		}
 	}
 	s.makeRoom(0)
--- a/front/unread.go
+++ b/front/unread.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// control calls f with a connection's descriptor, or tells that it has none, such as a stand-in or one that is recorded.
+// control calls f with a connection's descriptor. It returns false if the connection does not provide one, such as a test
+// double or a connection that is recorded.
 func control(c net.Conn, f func(fd int)) (ok bool) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -21,7 +22,7 @@
 	return raw.Control(func(fd uintptr) { f(int(fd)) }) == nil
 }
 
-// uninterrupted repeats a call as long as a signal ends it.
+// uninterrupted repeats a system call while it fails with EINTR.
 func uninterrupted(call func() (int, error)) (n int, err error) {
 	for {
 		if n, err = call(); !errors.Is(err, syscall.EINTR) {
@@ -30,28 +31,29 @@
 	}
 }
 
-// unread tells whether bytes wait in the machine for this side to read them. A connection that can't tell counts as read.
-func unread(c net.Conn) (waits bool) {
+// unread reports whether there are bytes in the socket's receive buffer. It returns false if the connection provides no
+// descriptor.
+func unread(c net.Conn) (found bool) {
 	control(c, func(fd int) {
 		var b [1]byte
 		n, err := uninterrupted(func() (int, error) {
 			n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return n, err
 		})
-		waits = err == nil && n > 0
+		found = err == nil && n > 0
 	})
-	return waits
+	return found
 }
 
-// HungUp tells whether the other side has closed or reset a connection, also behind bytes that are not read yet. A
-// connection that can't tell counts as open.
+// HungUp reports whether the peer has closed or reset the connection, even if unread bytes precede that. It returns false if
+// the connection provides no descriptor.
 func HungUp(c net.Conn) bool {
 	_, gone := Pending(c)
 	return gone
 }
 
-// Pending tells whether a read would not wait, and whether the other side has closed or reset the connection, also behind
-// bytes that are not read yet. A connection that can't tell has nothing to read and counts as open.
+// Pending reports whether a read would not block, and whether the peer has closed or reset the connection, even if unread
+// bytes precede that. Both are false if the connection provides no descriptor.
 func Pending(c net.Conn) (readable, gone bool) {
 	control(c, func(fd int) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
--- a/front/unread_test.go
+++ b/front/unread_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A signal ends no look at a connection: taken for "nothing to read", the connection could be closed with a request unread.
-func TestSignalsEndNoLook(t *testing.T) {
+// A system call that fails with EINTR must be repeated: if that counted as "nothing to read", a connection with an unread
+// request could be closed.
+func TestSystemCallsAreRepeatedAfterSignals(t *testing.T) {
 	calls := 0
 	n, err := uninterrupted(func() (int, error) {
 		if calls++; calls < 4 {
@@ -18,6 +19,6 @@
 		t.Errorf("%d, %v after %d calls", n, err, calls)
 	}
 	if _, err := uninterrupted(func() (int, error) { return -1, syscall.EAGAIN }); err != syscall.EAGAIN {
-		t.Errorf("another error came back as %v", err)
+		t.Errorf("EAGAIN was returned as %v", err)
 	}
 }
