--- a/front/admission.go
+++ b/front/admission.go
@@ -14,9 +14,9 @@
 // ones stay in the kernel's accept queue. There is no polling: a freed slot is assigned to the first waiting connection.
 
 const (
-	reservedShare    = 16                     // 1/reservedShare of the slots are kept free; as many connections may wait
+	reserveDivisor   = 16                     // 1/reserveDivisor of the slots are kept free; as many connections may wait
 	admissionTimeout = 500 * time.Millisecond // maximum wait of a connection for a slot
-	silentShare      = 4                      // connections without a complete request are evicted first beyond 1/silentShare of the slots
+	silentDivisor    = 4                      // above 1/silentDivisor of the slots, connections without a complete request are evicted first
 	silentGrace      = 50.0                   // ms for which a new connection is not evicted
 	partialGrace     = 300.0                  // ms without a new byte after which a connection with a partial request may be evicted
 	evictionTimeout  = 20 * time.Millisecond  // if a reader has not closed its connection by then, others are evicted instead
@@ -24,19 +24,19 @@
 
 // waiter is an accepted connection that waits for a slot.
 type waiter struct {
-	conn     net.Conn
-	came     float64    // time of the accept
-	admitted chan *Conn // buffered, for one element
+	conn       net.Conn
+	acceptedAt float64    // time of the accept
+	admitted   chan *Conn // buffered, for one element
 }
 
 // maxWaiting returns how many accepted connections may wait for a slot.
-func (s *Server) maxWaiting() int { return s.limit()/reservedShare + 1 }
+func (s *Server) maxWaiting() int { return s.limit()/reserveDivisor + 1 }
 
 // capacity returns the number of slots. It is lower than the limit, as the waiting connections hold descriptors, too.
 func (s *Server) capacity() int { return s.limit() + 1 - s.maxWaiting() }
 
 // reserve returns the number of slots that are kept free for new connections.
-func (s *Server) reserve() int { return s.limit() / reservedShare }
+func (s *Server) reserve() int { return s.limit() / reserveDivisor }
 
 // tryAdmit assigns a slot to a connection. It returns nil if none is free.
 func (s *Server) tryAdmit(nc net.Conn) *Conn {
@@ -52,14 +52,14 @@
 	if conn := s.admit(nc); conn != nil {
 		return conn, nil
 	}
-	w := &waiter{conn: nc, came: s.Clock.Now(), admitted: make(chan *Conn, 1)}
+	w := &waiter{conn: nc, acceptedAt: s.Clock.Now(), admitted: make(chan *Conn, 1)}
 	s.waiters = append(s.waiters, w)
 	return nil, w
 }
 
-// await waits until a connection has a slot. After admissionTimeout, or when ctx is done, it closes the connection and returns
+// waitForSlot waits until a connection has a slot. After admissionTimeout, or when ctx is done, it closes the connection and returns
 // nil.
-func (s *Server) await(ctx context.Context, w *waiter) *Conn {
+func (s *Server) waitForSlot(ctx context.Context, w *waiter) *Conn {
 	timeout := time.NewTimer(admissionTimeout)
 	defer timeout.Stop()
 	select {
@@ -68,15 +68,15 @@
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
-	if s.withdraw(w) {
+	if s.removeWaiter(w) {
 		w.conn.Close()
 		return nil
 	}
 	return <-w.admitted
 }
 
-// withdraw removes a connection from the waiting ones and reports whether it was still among them.
-func (s *Server) withdraw(w *waiter) bool {
+// removeWaiter removes a connection from the waiting ones and reports whether it was still among them.
+func (s *Server) removeWaiter(w *waiter) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i := slices.Index(s.waiters, w)
@@ -89,7 +89,7 @@
 
 // admit assigns a free slot to a connection, unless others wait for one. The caller holds mu, here and below.
 func (s *Server) admit(nc net.Conn) *Conn {
-	s.makeRoom(1)
+	s.evictIfNeeded(1)
 	if len(s.waiters) > 0 || len(s.conns) >= s.capacity() {
 		return nil
 	}
@@ -103,7 +103,7 @@
 	now := s.Clock.Now()
 	conn := &Conn{server: s, conn: nc, acceptedAt: now, idleSince: now}
 	conn.arrivals = arrivals{conn: nc, clock: s.Clock, stalls: &s.stalls}
-	conn.arrivals.acceptedAt(now)
+	conn.arrivals.setAcceptedAt(now)
 	if s.conns == nil {
 		s.conns = map[*Conn]struct{}{}
 	}
@@ -117,25 +117,25 @@
 		w := s.waiters[0]
 		s.waiters = slices.Delete(s.waiters, 0, 1)
 		conn := s.add(w.conn)
-		conn.arrivals.acceptedAt(w.came)
+		conn.arrivals.setAcceptedAt(w.acceptedAt)
 		w.admitted <- conn
 	}
 }
 
-// makeRoom evicts idle connections if too few slots are free, or about to be, for the waiting connections, the arriving ones
+// evictIfNeeded evicts idle connections if too few slots are free, or about to be, for the waiting connections, the arriving ones
 // and the reserve. It evicts in batches, so that not every new connection causes a scan of all connections.
-func (s *Server) makeRoom(arriving int) {
+func (s *Server) evictIfNeeded(arriving int) {
 	wanted := len(s.waiters) + arriving
-	free := s.capacity() - len(s.conns) + s.closing
+	free := s.capacity() - len(s.conns) + s.closingCount
 	if free >= wanted+s.reserve()/2 {
 		return
 	}
-	if !s.fullLogged && free < wanted {
-		s.fullLogged = true
+	if !s.limitLogged && free < wanted {
+		s.limitLogged = true
 		s.Log.Warn().Int("connections", len(s.conns)).Msg("connection limit reached; closing idle connections to admit new ones")
 	}
 	// The batch grows by the number of stuck readers, so that a series of them soon ends.
-	for _, x := range s.evictionCandidates(wanted + s.reserve() + s.stuck - free) {
+	for _, x := range s.evictionCandidates(wanted + s.reserve() + s.stuckCount - free) {
 		s.evict(x)
 	}
 }
@@ -150,48 +150,48 @@
 
 // requestClose marks a connection to be closed by its reader as soon as that holds no part of a request.
 func (s *Server) requestClose(x *Conn) {
-	x.closing, x.stuck, x.closeAskedAt = true, false, time.Now()
-	s.closing++
-	s.checkClosingLater()
+	x.closing, x.stuck, x.closeRequestedAt = true, false, time.Now()
+	s.closingCount++
+	s.scheduleCloseCheck()
 }
 
-// checkClosingLater schedules checkClosing if readers have been asked to close connections.
-func (s *Server) checkClosingLater() {
-	if s.closing > 0 && !s.checking {
-		s.checking = true
-		time.AfterFunc(evictionTimeout, s.checkClosing)
+// scheduleCloseCheck schedules checkPendingCloses if readers have been asked to close connections.
+func (s *Server) scheduleCloseCheck() {
+	if s.closingCount > 0 && !s.closeCheckScheduled {
+		s.closeCheckScheduled = true
+		time.AfterFunc(evictionTimeout, s.checkPendingCloses)
 	}
 }
 
-// keep cancels requestClose, because a request was received or the connection has ended.
-func (s *Server) keep(x *Conn) {
+// cancelClose cancels requestClose, because a request was received or the connection has ended.
+func (s *Server) cancelClose(x *Conn) {
 	switch {
 	case !x.closing:
 		return
 	case x.stuck:
-		s.stuck--
+		s.stuckCount--
 	default:
-		s.closing--
+		s.closingCount--
 	}
 	x.closing, x.stuck = false, false
 }
 
-// checkClosing marks the connections that were not closed within evictionTimeout as stuck, evicts others in their stead, and
+// checkPendingCloses marks the connections that were not closed within evictionTimeout as stuck, evicts others in their stead, and
 // schedules itself again while readers are still to close connections.
-func (s *Server) checkClosing() {
+func (s *Server) checkPendingCloses() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.checking = false
+	s.closeCheckScheduled = false
 	due := time.Now().Add(-evictionTimeout)
 	for x := range s.conns {
-		if x.closing && !x.stuck && !x.closeAskedAt.After(due) {
+		if x.closing && !x.stuck && !x.closeRequestedAt.After(due) {
 			x.stuck = true
-			s.stuck++
-			s.closing--
+			s.stuckCount++
+			s.closingCount--
 		}
 	}
-	s.makeRoom(0)
-	s.checkClosingLater()
+	s.evictIfNeeded(0)
+	s.scheduleCloseCheck()
 }
 
 // remove frees a connection's slot and assigns it to a waiting connection.
@@ -199,49 +199,49 @@
 	if _, admitted := s.conns[x]; !admitted {
 		return
 	}
-	s.keep(x)
+	s.cancelClose(x)
 	delete(s.conns, x)
 	s.admitWaiting()
 }
 
-// evictable is a connection that may be evicted.
-type evictable struct {
+// candidate is a connection that may be evicted.
+type candidate struct {
 	conn  *Conn
 	since float64 // time of its last activity
 }
 
 // evictionCandidates returns up to count connections to evict. Connections that have never sent a complete request or have
-// stalled in one go first, longest silent first, while they hold more than 1/silentShare of the slots; otherwise the connection
+// stalled in one go first, longest silent first, while they hold more than 1/silentDivisor of the slots; otherwise the connection
 // with the oldest activity goes first. A connection with a partial request is a candidate only after partialGrace without a
 // new byte.
 func (s *Server) evictionCandidates(count int) []*Conn {
 	now := s.Clock.Now()
-	var silent, idle []evictable
+	var silent, idle []candidate
 	silentCount := 0
 	for x := range s.conns {
 		since, grace := x.idleSince, 0.0
 		switch {
 		case x.openRequests > 0 || x.closing: // if closing, its reader is about to close it or holds part of a request
 			continue
-		case x.partial():
-			since, grace = x.last(), partialGrace
+		case x.hasPartialRequest():
+			since, grace = x.lastActivity(), partialGrace
 		case !x.hadRequest:
 			grace = silentGrace
 		}
 		if x.hadRequest && x.requestDeadline == 0 {
-			idle = append(idle, evictable{x, since})
+			idle = append(idle, candidate{x, since})
 			continue
 		}
 		if silentCount++; now-since >= grace {
-			silent = append(silent, evictable{x, since})
+			silent = append(silent, candidate{x, since})
 		}
 	}
-	oldestFirst := func(a, b evictable) int { return cmp.Compare(a.since, b.since) }
+	oldestFirst := func(a, b candidate) int { return cmp.Compare(a.since, b.since) }
 	slices.SortFunc(silent, oldestFirst)
 	slices.SortFunc(idle, oldestFirst)
 	var chosen []*Conn
 	for len(chosen) < count && len(silent)+len(idle) > 0 {
-		manySilent := silentShare*silentCount > s.limit()
+		manySilent := silentDivisor*silentCount > s.limit()
 		if len(silent) > 0 && (manySilent || len(idle) == 0 || silent[0].since <= idle[0].since) {
 			chosen, silent = append(chosen, silent[0].conn), silent[1:]
 			silentCount--
--- a/front/arrival_test.go
+++ b/front/arrival_test.go
@@ -44,11 +44,11 @@
 func write(t *testing.T, near, far net.Conn, segments ...string) {
 	t.Helper()
 	for _, s := range segments {
-		_, before := lastData(far)
+		_, before := lastDataReceived(far)
 		if _, err := near.Write([]byte(s)); err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, "arrival of the segment", func() bool { _, now := lastData(far); return now > before })
+		eventually(t, "arrival of the segment", func() bool { _, now := lastDataReceived(far); return now > before })
 	}
 }
 
@@ -71,7 +71,7 @@
 	t.Run("one segment, as reported by the kernel", func(t *testing.T) {
 		near, far := pair(t)
 		write(t, near, far, "a")
-		eventually(t, "a wait of 60 ms", func() bool { age, _ := lastData(far); return age >= 60 })
+		eventually(t, "a wait of 60 ms", func() bool { age, _ := lastDataReceived(far); return age >= 60 })
 		clk := clock.Manual(1e12)
 		conn, r := trackReads(clk, far) // accepted after the bytes arrived
 		read(t, r, "a")
@@ -211,10 +211,10 @@
 	}{
 		{"the reader resumes first", []string{"a", "b"}, 300, false, 0, true},
 		{"the heartbeat resumes first", []string{"a", "b"}, 300, true, 0, true},
-		{"the reader resumes late", []string{"a", "b"}, 300, true, stallRecent, true},
-		{"the reader resumes too late to attribute the bytes to the stall", []string{"a", "b"}, 300, true, stallRecent + 1, false},
+		{"the reader resumes late", []string{"a", "b"}, 300, true, maxStallReadDelay, true},
+		{"the reader resumes too late to attribute the bytes to the stall", []string{"a", "b"}, 300, true, maxStallReadDelay + 1, false},
 		{"one segment", []string{"ab"}, 300, true, 0, false},
-		{"no stall", []string{"a", "b"}, interval + stallLeast, true, 0, false},
+		{"no stall", []string{"a", "b"}, interval + minStall, true, 0, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			near, far := pair(t)
--- a/front/conn.go
+++ b/front/conn.go
@@ -19,8 +19,8 @@
 	requestDeadline float64       // by when a partial request must be complete; 0: there is none
 	lastReadAt      atomic.Uint64 // math.Float64bits of the time of the last read that returned bytes; 0: none did
 	reads           atomic.Uint64 // number of reads that returned bytes
-	spared          bool          // it timed out with unread bytes, and its reader may read once more before it closes it
-	sparedAfter     uint64        // value of reads at that time
+	closeDeferred   bool          // it timed out with unread bytes, and its reader may read once more before it closes it
+	readsAtDeferral uint64        // value of reads at that time
 	closeWhenIdle   bool          // the server interrupts its reads, and its reader closes it
 	closing         bool          // its reader was asked to close it, as it was idle for too long or its slot is needed
 	stuck           bool          // its reader has not closed it within evictionTimeout
@@ -28,7 +28,7 @@
 	handingOver     bool          // a handover has been requested and is not finished
 	shedPartial     func()        // makes the frontend reject the partial requests; nil: the connection is closed instead
 
-	closeAskedAt time.Time // when its reader was asked to close it
+	closeRequestedAt time.Time // when its reader was asked to close it
 
 	arrivals arrivals // for the reader's goroutine only
 }
@@ -46,7 +46,7 @@
 func (s *Conn) OnHandOver(f func()) {
 	s.server.mu.Lock()
 	s.handOver = f
-	now := s.server.handsOver
+	now := s.server.handOverConns
 	s.handingOver = now
 	s.server.mu.Unlock()
 	if now {
@@ -91,8 +91,8 @@
 // exceed ReadTimeout; one that sends nothing does.
 func (s *Conn) CountReads(r io.Reader) io.Reader { return countedReader{s, s.arrivals.timed(r)} }
 
-// last returns when bytes were last read, or the time of the accept if none were.
-func (s *Conn) last() float64 {
+// lastActivity returns when bytes were last read, or the time of the accept if none were.
+func (s *Conn) lastActivity() float64 {
 	if at := math.Float64frombits(s.lastReadAt.Load()); at > 0 {
 		return at
 	}
@@ -110,18 +110,18 @@
 	}
 	s.openRequests, s.hadRequest, s.requestDeadline = open, s.hadRequest || hadRequest, deadline
 	if open > 0 {
-		s.spared = false
+		s.closeDeferred = false
 	}
 	now := s.server.Clock.Now()
-	if s.closing && (open > 0 || deadline > 0 && !s.stalled(now)) {
-		s.server.keep(s)
-		s.server.makeRoom(0)
+	if s.closing && (open > 0 || deadline > 0 && !s.requestStalled(now)) {
+		s.server.cancelClose(s)
+		s.server.evictIfNeeded(0)
 	}
-	if s.server.emptying() && s.drained(now) {
+	if s.server.closesIdleConns() && s.closableInDrain(now) {
 		s.server.interruptRead(s)
 	}
 	if becameIdle && len(s.server.waiters) > 0 { // this connection may be evicted for one of them
-		s.server.makeRoom(0)
+		s.server.evictIfNeeded(0)
 	}
 }
 
@@ -139,7 +139,7 @@
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
 	now := s.server.Clock.Now()
-	return s.mustEnd(now) || s.shouldClose(now)
+	return s.mustClose(now) || s.shouldClose(now)
 }
 
 // ShouldClosePartial is ShouldClose for a reader that holds part of a request that it has not reported by Update. Such a
@@ -148,41 +148,41 @@
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
 	now := s.server.Clock.Now()
-	return s.mustEnd(now) || !s.hadRequest && s.closing && s.shouldClose(now)
+	return s.mustClose(now) || !s.hadRequest && s.closing && s.shouldClose(now)
 }
 
 // shouldClose reports whether the connection is to be closed by an eviction or a drain: it is idle, or its partial request has
 // stalled, and it has no unread bytes. The caller holds the server's lock, here and below.
 func (s *Conn) shouldClose(now float64) bool {
-	evicted := s.closing && s.openRequests == 0 && (!s.partial() || s.stalled(now))
-	return evicted && !unread(s.conn) || s.server.emptying() && s.drained(now)
+	evicted := s.closing && s.openRequests == 0 && (!s.hasPartialRequest() || s.requestStalled(now))
+	return evicted && !hasUnread(s.conn) || s.server.closesIdleConns() && s.closableInDrain(now)
 }
 
-// mustEnd reports whether the reader must close the connection because of a timeout. If there are unread bytes, such as a
+// mustClose reports whether the reader must close the connection because of a timeout. If there are unread bytes, such as a
 // request that arrived at the last moment, the reader may read once more before that.
-func (s *Conn) mustEnd(now float64) bool {
-	if s.openRequests > 0 || !s.late(now) {
+func (s *Conn) mustClose(now float64) bool {
+	if s.openRequests > 0 || !s.timedOut(now) {
 		return false
 	}
-	if !unread(s.conn) || s.spared && s.reads.Load() != s.sparedAfter {
+	if !hasUnread(s.conn) || s.closeDeferred && s.reads.Load() != s.readsAtDeferral {
 		return true
 	}
-	s.spared, s.sparedAfter = true, s.reads.Load()
+	s.closeDeferred, s.readsAtDeferral = true, s.reads.Load()
 	return false
 }
 
-// partial reports whether part of a request was received.
-func (s *Conn) partial() bool {
+// hasPartialRequest reports whether part of a request was received.
+func (s *Conn) hasPartialRequest() bool {
 	return s.requestDeadline > 0 || !s.hadRequest && s.lastReadAt.Load() > 0
 }
 
-// stalled reports whether a partial request has stalled, so that its connection may be evicted.
-func (s *Conn) stalled(now float64) bool { return now-s.last() >= partialGrace }
+// requestStalled reports whether a partial request has stalled, so that its connection may be evicted.
+func (s *Conn) requestStalled(now float64) bool { return now-s.lastActivity() >= partialGrace }
 
-// late reports whether the connection has exceeded one of its timeouts, or holds a partial request late in a drain.
-func (s *Conn) late(now float64) bool {
+// timedOut reports whether the connection has exceeded one of its timeouts, or holds a partial request late in a drain.
+func (s *Conn) timedOut(now float64) bool {
 	server := s.server
-	if s.requestDeadline > 0 && (now > s.requestDeadline || server.ReadTimeout > 0 && now > s.last()+server.ReadTimeout) {
+	if s.requestDeadline > 0 && (now > s.requestDeadline || server.ReadTimeout > 0 && now > s.lastActivity()+server.ReadTimeout) {
 		return true
 	}
 	if s.requestDeadline > 0 && s.shedPartial == nil && server.shedsPartial(now) {
@@ -192,7 +192,7 @@
 	case s.hadRequest && (s.openRequests > 0 || s.requestDeadline > 0):
 		return false
 	case !s.hadRequest && s.lastReadAt.Load() > 0: // bytes were read, but no request has been reported yet
-		return server.ReadTimeout > 0 && now > s.last()+server.ReadTimeout ||
+		return server.ReadTimeout > 0 && now > s.lastActivity()+server.ReadTimeout ||
 			server.RequestTimeout > 0 && now > s.acceptedAt+server.RequestTimeout
 	case !s.hadRequest:
 		return server.FirstByteTimeout > 0 && now > s.acceptedAt+server.FirstByteTimeout
@@ -200,7 +200,7 @@
 	// The reader does not close the connection while it holds a few bytes. If these never become a request, the connection
 	// times out here.
 	return s.closing && server.ReadTimeout > 0 && now > s.idleSince+server.IdleTimeout+server.ReadTimeout &&
-		now > s.last()+server.ReadTimeout
+		now > s.lastActivity()+server.ReadTimeout
 }
 
 // interruptRead interrupts the reads of a connection, so that its reader closes it unless it has read a request in the
--- a/front/drain.go
+++ b/front/drain.go
@@ -3,40 +3,40 @@
 const (
 	// Times of a drain, in ms from its start. The platform's proxy checks the gateway's health ten times a second, sends no
 	// new requests from 0.2 s after a negative response, and requires every connection to be closed by 4 s.
-	drainNotice = 500.0  // from then on idle connections are closed
-	drainRefuse = 1200.0 // from then on new requests are rejected, so that each connection becomes idle
-	drainHalf   = 2500.0 // from then on partial requests are rejected
-	drainIdle   = 200.0  // ms after its accept for which a new connection is not closed
+	drainCloseIdleAfter     = 500.0  // from then on idle connections are closed
+	drainRejectAfter        = 1200.0 // from then on new requests are rejected, so that each connection becomes idle
+	drainRejectPartialAfter = 2500.0 // from then on partial requests are rejected
+	drainNewConnGrace       = 200.0  // ms after its accept for which a new connection is not closed
 
 	// Times of a process that is replaced by another one, in ms from its signal. It is killed 0.7 s after the longest deadline
 	// that a request can have.
-	leaveRefuse = 600.0  // from then on new requests are rejected, so that busy connections become idle
-	leaveHalf   = 1500.0 // from then on partial requests are rejected
+	retireRejectAfter        = 600.0  // from then on new requests are rejected, so that busy connections become idle
+	retireRejectPartialAfter = 1500.0 // from then on partial requests are rejected
 )
 
-// drained reports whether the connection can be closed in a drain: the platform has had time to notice the drain, no request
+// closableInDrain reports whether the connection can be closed in a drain: the platform has had time to notice the drain, no request
 // is open, and there are no unread bytes, as a request that crosses the close is lost to its client. If another process
-// accepts the new connections, there is no need to wait for the platform. A new connection has drainIdle to send a request.
-func (s *Conn) drained(now float64) bool {
+// accepts the new connections, there is no need to wait for the platform. A new connection has drainNewConnGrace to send a request.
+func (s *Conn) closableInDrain(now float64) bool {
 	due := s.acceptedAt
 	if !s.hadRequest {
-		due += drainIdle
+		due += drainNewConnGrace
 	}
-	if !s.server.leaving {
-		due = max(due, s.server.drainStartedAt+drainNotice)
+	if !s.server.retiring {
+		due = max(due, s.server.drainStartedAt+drainCloseIdleAfter)
 	}
 	if s.server.stopping {
 		due = now
 	}
-	return s.openRequests == 0 && s.requestDeadline == 0 && !s.handingOver && now >= due && !unread(s.conn)
+	return s.openRequests == 0 && s.requestDeadline == 0 && !s.handingOver && now >= due && !hasUnread(s.conn)
 }
 
-// emptying reports whether connections are closed as soon as they are idle. The caller holds the lock, here and below.
-func (s *Server) emptying() bool { return s.draining || s.leaving || s.stopping }
+// closesIdleConns reports whether connections are closed as soon as they are idle. The caller holds the lock, here and below.
+func (s *Server) closesIdleConns() bool { return s.draining || s.retiring || s.stopping }
 
 // shedsPartial reports whether partial requests are rejected at this time.
 func (s *Server) shedsPartial(now float64) bool {
-	return s.stopping || s.draining && now >= s.drainStartedAt+drainHalf || s.leaving && now >= s.leftAt+leaveHalf
+	return s.stopping || s.draining && now >= s.drainStartedAt+drainRejectPartialAfter || s.retiring && now >= s.retireStartedAt+retireRejectPartialAfter
 }
 
 // Stop is called before the end of Serve's context: each connection is closed by its reader once the requests that were read
@@ -63,7 +63,7 @@
 func (s *Server) Leave(handOver bool) {
 	var handovers []func()
 	s.mu.Lock()
-	s.leaving, s.leftAt, s.handsOver = true, s.Clock.Now(), handOver
+	s.retiring, s.retireStartedAt, s.handOverConns = true, s.Clock.Now(), handOver
 	for x := range s.conns {
 		if x.handOver != nil && handOver {
 			x.handingOver = true
@@ -82,6 +82,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
-	reject = s.stopping || s.draining && now >= s.drainStartedAt+drainRefuse || s.leaving && now >= s.leftAt+leaveRefuse
+	reject = s.stopping || s.draining && now >= s.drainStartedAt+drainRejectAfter || s.retiring && now >= s.retireStartedAt+retireRejectAfter
 	return s.draining, reject
 }
--- a/front/fastcgi/cancel_test.go
+++ b/front/fastcgi/cancel_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"abort", func(c *client) { c.Write(appendRecord(nil, typeAbort, 2, nil)) }, false},
 		{"close behind a partial request", func(c *client) {
-			c.Write(append(append(begin(3), whole(3, "/v1/tile", "0c")[:40]...), 0))
+			c.Write(append(append(beginRecord(3), paramsAndStdin(3, "/v1/tile", "0c")[:40]...), 0))
 			c.Close()
 		}, true},
 		{"close", func(c *client) { c.Close() }, true},
@@ -30,7 +30,7 @@
 			var mu sync.Mutex
 			var posted []core.Event
 			called, resume := make(chan struct{}, 8), make(chan struct{})
-			f := newFront(func(ev core.Event) {
+			f := newTestFrontend(func(ev core.Event) {
 				mu.Lock()
 				posted = append(posted, ev)
 				mu.Unlock()
@@ -49,11 +49,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c := listen(nc)
+			c := newClient(nc)
 			t.Cleanup(func() { c.Close() })
-			c.Write(append(begin(1), whole(1, "/v1/tile", "0a")...))
+			c.Write(append(beginRecord(1), paramsAndStdin(1, "/v1/tile", "0a")...))
 			<-called // the core is blocked from here on
-			c.Write(append(begin(2), whole(2, "/v1/tile", "0b")...))
+			c.Write(append(beginRecord(2), paramsAndStdin(2, "/v1/tile", "0b")...))
 			for f.Open() < 2 {
 				time.Sleep(time.Millisecond)
 			}
@@ -74,7 +74,7 @@
 				t.Errorf("first request canceled: %t", first.Canceled.Load())
 			}
 			close(resume)
-			f.box.Put(core.GetStats{}) // the last event
+			f.events.Put(core.GetStats{}) // the last event
 			for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 				mu.Lock()
 				_, last := posted[len(posted)-1].(core.GetStats)
--- a/front/fastcgi/deadline_test.go
+++ b/front/fastcgi/deadline_test.go
@@ -56,7 +56,7 @@
 		wait  = 300.0 // ms by the frontends' clock
 		slack = 190.0 // ms; as reported by the kernel, the bytes arrived a little before they were read
 	)
-	request := append(begin(1), whole(1, "/v1/tile", "0a")...)
+	request := append(beginRecord(1), paramsAndStdin(1, "/v1/tile", "0a")...)
 	head, end := request[:len(request)-headerLen], request[len(request)-headerLen:] // the end of its body
 	expectReceivedAt := func(t *testing.T, requests <-chan core.Request, earliest, latest float64) {
 		t.Helper()
@@ -65,7 +65,7 @@
 		}
 	}
 	t.Run("unread in the socket", func(t *testing.T) {
-		near, far := accepted(t)
+		near, far := tcpPair(t)
 		near.Write(request)
 		eventually(t, "a wait of 60 ms", func() bool { return timeSinceData(t, far) >= 60 })
 		requests, clk := make(chan core.Request, 1), clock.Manual(1e12)
@@ -73,7 +73,7 @@
 		expectReceivedAt(t, requests, 1e12-20000, 1e12-60)
 	})
 	t.Run("the end of the body arrives late", func(t *testing.T) {
-		near, far := accepted(t)
+		near, far := tcpPair(t)
 		requests, clk := make(chan core.Request, 1), clock.Manual(1e12)
 		f := forwardingFront(clk, requests)
 		go f.Handle(far)
@@ -84,7 +84,7 @@
 		expectReceivedAt(t, requests, 1e12+wait-slack, 1e12+wait)
 	})
 	t.Run("handed over twice before it is complete", func(t *testing.T) {
-		near, far := accepted(t)
+		near, far := tcpPair(t)
 		path := filepath.Join(t.TempDir(), "h")
 		u, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 		if err != nil {
--- a/front/fastcgi/drain_interrupt_test.go
+++ b/front/fastcgi/drain_interrupt_test.go
@@ -30,16 +30,16 @@
 func TestPartialRecordInDrain(t *testing.T) {
 	clk := clock.Manual(1e12)
 	f := New(Options{Post: func(core.Event) {}, Clock: clk, Log: zerolog.Nop()})
-	near, far := accepted(t)
+	near, far := tcpPair(t)
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	defer near.Close()
 	var interrupted atomic.Int64
 	serving.Go(func() { f.Handle(interruptedConn{far, &interrupted}) })
-	cl := listen(near)
-	near.Write(append(begin(1), whole(1, "/healthz", "1")...))
+	cl := newClient(near)
+	near.Write(append(beginRecord(1), paramsAndStdin(1, "/healthz", "1")...))
 	cl.wait(t, 1)
-	near.Write(begin(2)[:3])
+	near.Write(beginRecord(2)[:3])
 	waitForArrival(t, far, 0, false)
 	f.Drain(true)
 	clk.Advance(600)
@@ -51,7 +51,7 @@
 	if n := interrupted.Load(); n > sweeps+1 { // one more if the response was not yet recorded as written
 		t.Errorf("%d sweeps interrupted the reader %d times", sweeps, n)
 	}
-	near.Write(append(begin(2)[3:], whole(2, "/healthz", "2")...))
+	near.Write(append(beginRecord(2)[3:], paramsAndStdin(2, "/healthz", "2")...))
 	cl.wait(t, 2)
 	<-cl.done
 }
--- a/front/fastcgi/fastcgi.go
+++ b/front/fastcgi/fastcgi.go
@@ -38,28 +38,28 @@
 }
 
 const (
-	writeLimit = 3 * time.Second // for each chunk; after that the connection is closed
-	writePiece = 64 << 10        // bytes; each chunk has its own timeout, as a client may read slowly
-	firstMost  = 2500.0          // ms within which a new connection must send its first byte
-	stallMost  = 2000.0          // ms without a new byte after which a partial request times out
-	wholeMost  = 8000.0          // ms within which any request must be complete, even if its bytes keep arriving
-	idleMost   = 4500.0          // ms; clients close idle connections after 4 s
+	writeTimeout     = 3 * time.Second // for each chunk; after that the connection is closed
+	writeChunk       = 64 << 10        // bytes; each chunk has its own timeout, as a client may read slowly
+	firstByteTimeout = 2500.0          // ms within which a new connection must send its first byte
+	readTimeout      = 2000.0          // ms without a new byte after which a partial request times out
+	requestTimeout   = 8000.0          // ms within which any request must be complete, even if its bytes keep arriving
+	idleTimeout      = 4500.0          // ms; clients close idle connections after 4 s
 
-	smallAnswer = 1 << 10            // bytes; up to this size a response is queued even if the response budget is exhausted
-	unreadMost  = 4 * requestsAtOnce // responses that one client may leave unread while the response budget is exhausted
+	smallResponse      = 1 << 10             // bytes; up to this size a response is queued even if the response budget is exhausted
+	maxUnreadResponses = 4 * maxConnRequests // responses that one client may leave unread while the response budget is exhausted
 
-	maxReadAhead = 10.0 // ms for which a complete request is held back until the bytes received after it are read
+	maxSubmitDelay = 10.0 // ms for which a complete request is held back until the bytes received after it are read
 )
 
 // Front accepts FastCGI connections at one listener.
 type Front struct {
-	opt       Options
-	server    front.Server
-	budget    front.Budget              // for responses queued for writing
-	intake    front.Budget              // for parameters and bodies of open requests
-	box       front.Mailbox[core.Event] // to the core
-	successor atomic.Pointer[func() (*net.UnixConn, error)]
-	open      atomic.Int64 // unanswered requests plus unwritten responses
+	opt            Options
+	server         front.Server
+	responseBudget front.Budget              // for responses queued for writing
+	requestBudget  front.Budget              // for parameters and bodies of open requests
+	events         front.Mailbox[core.Event] // to the core
+	successor      atomic.Pointer[func() (*net.UnixConn, error)]
+	open           atomic.Int64 // unanswered requests plus unwritten responses
 }
 
 // New returns a frontend that passes its requests to opt.Post.
@@ -76,11 +76,11 @@
 	return &Front{
 		opt: opt,
 		server: front.Server{
-			Max: opt.MaxConns, FirstByteTimeout: firstMost, IdleTimeout: idleMost, ReadTimeout: stallMost, RequestTimeout: wholeMost,
+			Max: opt.MaxConns, FirstByteTimeout: firstByteTimeout, IdleTimeout: idleTimeout, ReadTimeout: readTimeout, RequestTimeout: requestTimeout,
 			Clock: opt.Clock, Log: opt.Log, Tap: opt.Tap,
 		},
-		budget: front.Budget{Most: opt.MaxBytes}, intake: front.Budget{Most: opt.MaxTaken},
-		box: front.Mailbox[core.Event]{Post: opt.Post},
+		responseBudget: front.Budget{Most: opt.MaxBytes}, requestBudget: front.Budget{Most: opt.MaxTaken},
+		events: front.Mailbox[core.Event]{Post: opt.Post},
 	}
 }
 
@@ -118,101 +118,101 @@
 // connection limit.
 func (f *Front) SetProcessShare(processes, conns int) {
 	f.server.Limit(conns)
-	f.budget.Limit(f.opt.MaxBytes / int64(processes))
-	f.intake.Limit(f.opt.MaxTaken / int64(processes))
+	f.responseBudget.Limit(f.opt.MaxBytes / int64(processes))
+	f.requestBudget.Limit(f.opt.MaxTaken / int64(processes))
 }
 
 func (f *Front) handle(nc net.Conn, serverConn *front.Conn) { f.serve(nc, serverConn, nil) }
 
 // serve serves a connection. state is that of a connection that was handed over, else nil.
-func (f *Front) serve(nc net.Conn, serverConn *front.Conn, state *estate) {
+func (f *Front) serve(nc net.Conn, serverConn *front.Conn, state *handoverState) {
 	c := &conn{
-		front: f, net: nc, place: serverConn, open: map[uint16]*request{}, wake: make(chan struct{}, 1), ended: make(chan struct{}),
+		frontend: f, net: nc, serverConn: serverConn, open: map[uint16]*request{}, wake: make(chan struct{}, 1), ended: make(chan struct{}),
 	}
-	serverConn.OnShedPartial(c.yield) // before the first Update
+	serverConn.OnShedPartial(c.rejectPartial) // before the first Update
 	serverConn.CloseWhenIdle()
-	serverConn.OnHandOver(c.interrupt)
+	serverConn.OnHandOver(c.interruptReader)
 	in := serverConn.CountReads(nc)
 	var g errgroup.Group
 	if state != nil {
-		c.elder, c.theirs, c.asked = state.elder, state.theirs, true
-		f.open.Add(int64(len(c.theirs)))
-		in = io.MultiReader(bytes.NewReader(state.begun), in)
+		c.oldProcess, c.relayed, c.hadRequest = state.oldProcess, state.relayed, true
+		f.open.Add(int64(len(c.relayed)))
+		in = io.MultiReader(bytes.NewReader(state.unprocessed), in)
 		c.mu.Lock()
-		c.report()
+		c.updateServer()
 		c.mu.Unlock()
-		g.Go(func() error { c.relay(); return nil })
+		g.Go(func() error { c.relayResponses(); return nil })
 	}
 	g.Go(func() error { c.write(); return nil })
-	c.read(readAhead{c, in})
+	c.read(submittingReader{c, in})
 	g.Wait()
 }
 
 // request is an open request: it is being received or waits for its response.
 type request struct {
-	params []byte
-	body   []byte
-	ready  bool          // the parameters are complete
-	asked  bool          // the request is complete and not answered by the frontend itself
-	over   *atomic.Bool  // set if asked; true once the client has canceled the request
-	way    *list.Element // its element in the queue to the core; nil: not put there yet
-	ask    core.Request  // until it is put into that queue
-	keep   bool          // FCGI_KEEP_CONN
-	held   int           // bytes reserved in the frontend's request budget
-	tag    uint64
-	begun  float64 // time of BEGIN_REQUEST
-	taken  float64 // when it was read completely
+	params      []byte
+	body        []byte
+	paramsDone  bool          // the parameters are complete
+	complete    bool          // the request is complete and not answered by the frontend itself
+	canceled    *atomic.Bool  // set if complete; true once the client has canceled the request
+	queued      *list.Element // its element in the queue to the core; nil: not put there yet
+	coreRequest core.Request  // until it is put into that queue
+	keepConn    bool          // FCGI_KEEP_CONN
+	reserved    int           // bytes reserved in the frontend's request budget
+	tag         uint64
+	startedAt   float64 // time of BEGIN_REQUEST
+	completedAt float64 // when it was read completely
 }
 
 type conn struct {
-	front *Front
-	net   net.Conn // the client; after a handover, the process that took the connection over
-	place *front.Conn
-	ended chan struct{} // closed when the reader ends
-
-	mu      sync.Mutex
-	open    map[uint16]*request
-	tags    uint64 // number of tags assigned
-	out     [][]byte
-	pending int        // responses queued and not yet written
-	whole   []*request // complete, in order of arrival; not yet put into the queue to the core
-	asked   bool       // a complete request was received
-	closing bool       // close the connection once all responses are written
-	dead    bool       // the connection is closed
-	writing bool       // a write is in progress
-	held    bool       // the writer starts no write, as the connection is being handed over
-	wake    chan struct{}
-
-	elder  net.Conn        // the process that handed the connection over and still answers the requests in theirs
-	theirs map[uint16]bool // by request id; true: part of the response was sent
+	frontend   *Front
+	net        net.Conn // the client; after a handover, the process that took the connection over
+	serverConn *front.Conn
+	ended      chan struct{} // closed when the reader ends
+
+	mu               sync.Mutex
+	open             map[uint16]*request
+	lastTag          uint64 // number of tags assigned
+	out              [][]byte
+	pendingResponses int        // responses queued and not yet written
+	unsubmitted      []*request // complete, in order of arrival; not yet put into the queue to the core
+	hadRequest       bool       // a complete request was received
+	closeAfterWrite  bool       // close the connection once all responses are written
+	closed           bool       // the connection is closed
+	writing          bool       // a write is in progress
+	writesPaused     bool       // the writer starts no write, as the connection is being handed over
+	wake             chan struct{}
+
+	oldProcess net.Conn        // the process that handed the connection over; it still answers the requests in relayed
+	relayed    map[uint16]bool // by request id; true: part of the response was sent
 }
 
 // read is the reader goroutine.
 func (c *conn) read(in io.Reader) {
-	defer c.end()
+	defer c.shutdown()
 	buffered := bufio.NewReaderSize(in, 4<<10)
-	r := &records{r: buffered}
+	r := &recordReader{r: buffered}
 	for {
 		rec, err := r.next()
 		if err == nil {
-			err = c.take(rec)
+			err = c.handleRecord(rec)
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) { // read deadlines are only set to interrupt the reader
-			c.handOn(0)
-			next, handedOver := c.pass(r, buffered)
+			c.submitRequests(0)
+			next, handedOver := c.handOver(r, buffered)
 			if handedOver {
 				buffered = bufio.NewReaderSize(next, 4<<10) // the new process continues the partial record
-				r = &records{r: buffered}
-			} else if buffered.Buffered() == 0 && c.shouldClose(r.idle()) {
+				r = &recordReader{r: buffered}
+			} else if buffered.Buffered() == 0 && c.shouldClose(r.atBoundary()) {
 				return
 			}
 			continue
 		}
 		if err != nil {
 			if errors.Is(err, errRecord) {
-				c.front.opt.Log.Warn().Err(err).Stringer("from", c.place.RemoteAddr()).Msg("malformed FastCGI record; closing connection")
+				c.frontend.opt.Log.Warn().Err(err).Stringer("from", c.serverConn.RemoteAddr()).Msg("malformed FastCGI record; closing connection")
 			} else if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-				c.front.opt.Log.Debug().Err(err).Msg("connection ended")
+				c.frontend.opt.Log.Debug().Err(err).Msg("connection ended")
 			}
 			return
 		}
@@ -222,107 +222,107 @@
 // shouldClose reports whether the reader must close the connection. atBoundary is false if it holds part of a record.
 func (c *conn) shouldClose(atBoundary bool) bool {
 	if atBoundary {
-		return c.place.ShouldClose()
+		return c.serverConn.ShouldClose()
 	}
-	return c.place.ShouldClosePartial()
+	return c.serverConn.ShouldClosePartial()
 }
 
-// end closes the connection and cancels its open requests.
-func (c *conn) end() {
-	f := c.front
+// shutdown closes the connection and cancels its open requests.
+func (c *conn) shutdown() {
+	f := c.frontend
 	c.mu.Lock()
-	c.dead = true
+	c.closed = true
 	c.net.Close()
-	if c.elder != nil {
-		c.elder.Close()
+	if c.oldProcess != nil {
+		c.oldProcess.Close()
 	}
-	f.open.Add(-int64(len(c.theirs)))
-	c.theirs = nil
+	f.open.Add(-int64(len(c.relayed)))
+	c.relayed = nil
 	for _, q := range c.open {
-		f.intake.Give(q.held)
-		c.withdraw(q)
+		f.requestBudget.Give(q.reserved)
+		c.cancel(q)
 	}
 	f.open.Add(-int64(len(c.open) + len(c.out)))
 	c.open = map[uint16]*request{}
 	for _, b := range c.out {
-		f.budget.Give(len(b))
+		f.responseBudget.Give(len(b))
 	}
 	c.out = nil
 	c.mu.Unlock()
 	close(c.ended)
 }
 
-// withdraw marks a request as canceled by its client. From then on it is not sent to an endpoint, wherever it is queued.
-func (c *conn) withdraw(q *request) {
-	if !q.asked {
+// cancel marks a request as canceled by its client. From then on it is not sent to an endpoint, wherever it is queued.
+func (c *conn) cancel(q *request) {
+	if !q.complete {
 		return
 	}
-	q.over.Store(true)
-	if q.way != nil && !c.front.box.Take(q.way) {
-		c.front.box.Put(core.CancelRequest{Frontend: c, RequestTag: q.tag})
+	q.canceled.Store(true)
+	if q.queued != nil && !c.frontend.events.Take(q.queued) {
+		c.frontend.events.Put(core.CancelRequest{Frontend: c, RequestTag: q.tag})
 	}
 }
 
-// take handles one record.
-func (c *conn) take(rec record) error {
+// handleRecord handles one record.
+func (c *conn) handleRecord(rec record) error {
 	if rec.id == 0 {
-		return c.manage(rec)
+		return c.handleManagement(rec)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer c.report()
+	defer c.updateServer()
 	q := c.open[rec.id]
 	switch rec.kind {
 	case typeBegin:
 		if len(rec.data) < 8 {
 			return fmt.Errorf("%w: BEGIN_REQUEST of %d bytes", errRecord, len(rec.data))
 		}
-		_, atOldProcess := c.theirs[rec.id]
+		_, atOldProcess := c.relayed[rec.id]
 		role, keep := uint16(rec.data[0])<<8|uint16(rec.data[1]), rec.data[2]&flagKeepConn != 0
 		switch {
 		case q != nil || atOldProcess:
 			return fmt.Errorf("%w: second BEGIN_REQUEST for open request %d", errRecord, rec.id)
 		case role != roleResponder:
 			c.send(appendEnd(nil, rec.id, 0, protoRole))
-		case len(c.open)+len(c.theirs) >= requestsAtOnce:
+		case len(c.open)+len(c.relayed) >= maxConnRequests:
 			c.send(appendEnd(nil, rec.id, 0, protoOverload))
 		default:
-			c.tags++
-			c.open[rec.id] = &request{keep: keep, tag: c.tags<<16 | uint64(rec.id), begun: c.front.opt.Clock.Now()}
-			c.front.open.Add(1)
+			c.lastTag++
+			c.open[rec.id] = &request{keepConn: keep, tag: c.lastTag<<16 | uint64(rec.id), startedAt: c.frontend.opt.Clock.Now()}
+			c.frontend.open.Add(1)
 		}
 	case typeAbort:
-		if _, atOldProcess := c.theirs[rec.id]; atOldProcess {
-			c.elder.SetWriteDeadline(time.Now().Add(abortMost))
-			c.elder.Write(appendRecord(nil, typeAbort, rec.id, nil))
+		if _, atOldProcess := c.relayed[rec.id]; atOldProcess {
+			c.oldProcess.SetWriteDeadline(time.Now().Add(abortWriteTimeout))
+			c.oldProcess.Write(appendRecord(nil, typeAbort, rec.id, nil))
 		}
 		if q != nil {
-			c.forget(rec.id)
-			c.withdraw(q)
+			c.removeRequest(rec.id)
+			c.cancel(q)
 			c.send(appendEnd(nil, rec.id, 1, protoComplete))
 		}
 	case typeParams:
 		switch {
-		case q == nil || q.ready: // the request has ended or was rejected
+		case q == nil || q.paramsDone: // the request has ended or was rejected
 		case len(rec.data) == 0:
-			q.ready = true
-		case len(q.params)+len(rec.data) > paramsMost:
-			return fmt.Errorf("%w: parameters of more than %d bytes", errRecord, paramsMost)
-		case !c.hold(rec.id, q, len(rec.data)):
+			q.paramsDone = true
+		case len(q.params)+len(rec.data) > maxParams:
+			return fmt.Errorf("%w: parameters of more than %d bytes", errRecord, maxParams)
+		case !c.reserve(rec.id, q, len(rec.data)):
 		default:
 			q.params = append(q.params, rec.data...)
 		}
 	case typeStdin:
 		switch {
-		case q == nil || q.asked:
+		case q == nil || q.complete:
 		case len(rec.data) == 0:
-			if !q.ready {
+			if !q.paramsDone {
 				return fmt.Errorf("%w: end of STDIN before the end of PARAMS", errRecord)
 			}
-			return c.ask(rec.id, q)
-		case len(q.body)+len(rec.data) > bodyMost:
-			return fmt.Errorf("%w: a body of more than %d bytes", errRecord, bodyMost)
-		case !c.hold(rec.id, q, len(rec.data)):
+			return c.handleRequest(rec.id, q)
+		case len(q.body)+len(rec.data) > maxBody:
+			return fmt.Errorf("%w: a body of more than %d bytes", errRecord, maxBody)
+		case !c.reserve(rec.id, q, len(rec.data)):
 		default:
 			q.body = append(q.body, rec.data...)
 		}
@@ -333,24 +333,24 @@
 	return nil
 }
 
-// report updates the server's state of the connection. A response that is not yet written counts as an open request, so that
+// updateServer updates the server's state of the connection. A response that is not yet written counts as an open request, so that
 // the connection does not count as idle and get closed before it is written.
-func (c *conn) report() {
+func (c *conn) updateServer() {
 	deadline, partial := 0.0, 0
 	for _, q := range c.open {
-		if q.asked {
+		if q.complete {
 			continue
 		}
 		partial++
-		if deadline == 0 || q.begun+wholeMost < deadline {
-			deadline = q.begun + wholeMost
+		if deadline == 0 || q.startedAt+requestTimeout < deadline {
+			deadline = q.startedAt + requestTimeout
 		}
 	}
-	c.place.Update(len(c.open)-partial+len(c.theirs)+c.pending, c.asked, deadline)
+	c.serverConn.Update(len(c.open)-partial+len(c.relayed)+c.pendingResponses, c.hadRequest, deadline)
 }
 
-// manage responds to a management record.
-func (c *conn) manage(rec record) error {
+// handleManagement responds to a management record.
+func (c *conn) handleManagement(rec record) error {
 	if rec.kind != typeGetValues {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -358,12 +358,12 @@
 		return nil
 	}
 	var b []byte
-	err := pairs(rec.data, func(name, _ string) {
+	err := parsePairs(rec.data, func(name, _ string) {
 		switch name {
 		case "FCGI_MAX_CONNS":
-			b = appendPair(b, name, strconv.Itoa(c.front.opt.MaxConns))
+			b = appendPair(b, name, strconv.Itoa(c.frontend.opt.MaxConns))
 		case "FCGI_MAX_REQS":
-			b = appendPair(b, name, strconv.Itoa(c.front.opt.MaxConns*requestsAtOnce))
+			b = appendPair(b, name, strconv.Itoa(c.frontend.opt.MaxConns*maxConnRequests))
 		case "FCGI_MPXS_CONNS":
 			b = appendPair(b, name, "1")
 		}
@@ -374,10 +374,10 @@
 	return err
 }
 
-// ask parses a complete request. It answers the request itself or adds it to those for the core. The caller holds mu.
-func (c *conn) ask(id uint16, q *request) error {
-	q.taken = c.front.opt.Clock.Now()
-	a := core.Request{Frontend: c, RequestTag: q.tag, ReceivedAt: min(c.place.Arrived(), q.taken), Body: q.body}
+// handleRequest parses a complete request. It answers the request itself or adds it to those for the core. The caller holds mu.
+func (c *conn) handleRequest(id uint16, q *request) error {
+	q.completedAt = c.frontend.opt.Clock.Now()
+	a := core.Request{Frontend: c, RequestTag: q.tag, ReceivedAt: min(c.serverConn.Arrived(), q.completedAt), Body: q.body}
 	script, bad := "", ""
 	number := func(name, value string, bits int, base int) uint64 {
 		v, err := strconv.ParseUint(value, base, bits)
@@ -393,7 +393,7 @@
 		}
 		return v
 	}
-	err := pairs(q.params, func(name, value string) {
+	err := parsePairs(q.params, func(name, value string) {
 		switch name {
 		case "SCRIPT_NAME":
 			script = value
@@ -412,11 +412,11 @@
 		case "HTTP_X_WORKING_SET_KB":
 			a.SizeKB = float(name, value)
 		case "HTTP_X_CACHED":
-			a.ClientETag = cleanTag(value)
+			a.ClientETag = parseETag(value)
 		case "HTTP_X_SECOND_TRY":
 			a.Retry = value == "1"
 		case "HTTP_X_TXN_KEY":
-			if a.IdempotencyKey = value; !isKey(value) && bad == "" {
+			if a.IdempotencyKey = value; !isValidKey(value) && bad == "" {
 				bad = fmt.Sprintf("%s: %.40q", name, value)
 			}
 		}
@@ -425,10 +425,10 @@
 	if err != nil {
 		return err
 	}
-	c.asked = true
+	c.hadRequest = true
 	var ok bool
 	a.Class, ok = strings.CutPrefix(script, "/v1/")
-	draining, reject := c.front.server.Draining()
+	draining, reject := c.frontend.server.Draining()
 	switch {
 	case script == "/healthz" && draining:
 		c.reply(id, "503 Service Unavailable", "", []byte("draining\n"))
@@ -437,69 +437,69 @@
 	case !ok:
 		c.reply(id, "404 Not Found", "", nil)
 	case bad != "" || a.Txn == "" || a.Name == "" || a.Remaining <= 0:
-		c.front.opt.Log.Warn().Str("field", bad).Str("txn", a.Txn).Msg("request with a missing or invalid parameter; responding 400")
+		c.frontend.opt.Log.Warn().Str("field", bad).Str("txn", a.Txn).Msg("request with a missing or invalid parameter; responding 400")
 		c.reply(id, "400 Bad Request", "", nil)
 	case reject:
-		c.reply(id, "503 Service Unavailable", throttle(c.front.opt.RetryAfter), nil)
+		c.reply(id, "503 Service Unavailable", throttleHeader(c.frontend.opt.RetryAfter), nil)
 	default:
-		q.asked, q.body, q.over = true, nil, new(atomic.Bool)
-		a.Canceled = q.over
-		q.ask = a
-		c.whole = append(c.whole, q)
+		q.complete, q.body, q.canceled = true, nil, new(atomic.Bool)
+		a.Canceled = q.canceled
+		q.coreRequest = a
+		c.unsubmitted = append(c.unsubmitted, q)
 	}
 	return nil
 }
 
-// readAhead passes complete requests to the core before each read that may block.
-type readAhead struct {
+// submittingReader passes complete requests to the core before each read that may block.
+type submittingReader struct {
 	c  *conn
 	in io.Reader
 }
 
 // Read passes the complete requests to the core, then reads.
-func (r readAhead) Read(b []byte) (int, error) {
-	r.c.handOn(maxReadAhead)
+func (r submittingReader) Read(b []byte) (int, error) {
+	r.c.submitRequests(maxSubmitDelay)
 	return r.in.Read(b)
 }
 
-// handOn passes the complete requests to the core once the bytes received after them are read, or after maxDelay ms. Such
+// submitRequests passes the complete requests to the core once the bytes received after them are read, or after maxDelay ms. Such
 // bytes may cancel the request, or the client may have closed the connection; either may have been unread here for as long as
 // the request was, and the request would be sent to an endpoint in vain.
-func (c *conn) handOn(maxDelay float64) {
+func (c *conn) submitRequests(maxDelay float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.whole) == 0 {
+	if len(c.unsubmitted) == 0 {
 		return
 	}
 	readable, hungUp := front.Pending(c.net)
-	if hungUp || readable && c.front.opt.Clock.Now() < c.whole[0].taken+maxDelay {
+	if hungUp || readable && c.frontend.opt.Clock.Now() < c.unsubmitted[0].completedAt+maxDelay {
 		return // if hungUp, the requests are canceled at the end of the connection
 	}
-	for _, q := range c.whole {
-		if !q.over.Load() {
-			q.way = c.front.box.Put(q.ask)
+	for _, q := range c.unsubmitted {
+		if !q.canceled.Load() {
+			q.queued = c.frontend.events.Put(q.coreRequest)
 		}
-		q.ask = core.Request{}
+		q.coreRequest = core.Request{}
 	}
-	c.whole = nil
+	c.unsubmitted = nil
 }
 
-// keyMost is the maximum length of an idempotency key in bytes; that of the protocol's example is 32.
-const keyMost = 128
+// maxKeyLength is the maximum length of an idempotency key in bytes; that of the protocol's example is 32.
+const maxKeyLength = 128
 
-// isKey reports whether an idempotency key can be sent to an endpoint unchanged. There it is part of a list
+// isValidKey reports whether an idempotency key can be sent to an endpoint unchanged. There it is part of a list
 // name=value,name=value, so the separators are rejected, and so are all characters but visible ASCII. Keys are never altered.
-func isKey(v string) bool {
+func isValidKey(v string) bool {
 	for i := range len(v) {
 		if b := v[i]; b <= ' ' || b >= 0x7f || b == ',' || b == '=' {
 			return false
 		}
 	}
-	return v != "" && len(v) <= keyMost
+	return v != "" && len(v) <= maxKeyLength
 }
 
-// cleanTag returns an ETag without its quotes, or "" if it is not a hexadecimal number as an endpoint requires.
-func cleanTag(v string) string {
+// parseETag returns an ETag without its quotes, or "" if it is not a hexadecimal number as an endpoint requires.
+func parseETag(v string) string {
 	v = strings.Trim(strings.TrimPrefix(v, "W/"), `"`)
 	if _, err := strconv.ParseUint(v, 16, 64); err != nil {
 		return ""
@@ -516,8 +516,8 @@
 	if q == nil || q.tag != tag {
 		return // canceled
 	}
-	defer c.report()
-	head := throttle(a.RetryAfter)
+	defer c.updateServer()
+	head := throttleHeader(a.RetryAfter)
 	switch a.Verdict {
 	case core.Served:
 		c.reply(id, "200 OK", head, a.Body)
@@ -539,22 +539,22 @@
 	}
 }
 
-// throttle returns the header that asks a client to send no request for a time.
-func throttle(ms float64) string {
+// throttleHeader returns the header that asks a client to send no request for a time.
+func throttleHeader(ms float64) string {
 	if ms <= 0 {
 		return ""
 	}
 	return "X-Throttle-Ms: " + strconv.FormatInt(max(1, int64(ms)), 10) + "\r\n"
 }
 
-// yield rejects the partial requests, as their connection is to be closed.
-func (c *conn) yield() {
+// rejectPartial rejects the partial requests, as their connection is to be closed.
+func (c *conn) rejectPartial() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer c.report()
+	defer c.updateServer()
 	for id, q := range c.open {
-		if !q.asked && !c.held {
-			c.forget(id)
+		if !q.complete && !c.writesPaused {
+			c.removeRequest(id)
 			c.send(appendEnd(nil, id, 0, protoOverload))
 		}
 	}
@@ -563,42 +563,42 @@
 // reply queues the response to a request and removes the request.
 func (c *conn) reply(id uint16, status, head string, body []byte) {
 	q := c.open[id]
-	c.forget(id)
+	c.removeRequest(id)
 	text := "Status: " + status + "\r\nContent-Type: application/octet-stream\r\nContent-Length: " +
 		strconv.Itoa(len(body)) + "\r\n" + head + "\r\n"
-	c.closing = c.closing || q != nil && !q.keep
+	c.closeAfterWrite = c.closeAfterWrite || q != nil && !q.keepConn
 	if !c.trySend(appendStdout(make([]byte, 0, len(text)+len(body)+64+len(body)/8000), id, []byte(text), body)) {
-		c.front.opt.Log.Warn().Msg("response budget exhausted; responding 502 instead")
-		c.send(c.crowded(id))
+		c.frontend.opt.Log.Warn().Msg("response budget exhausted; responding 502 instead")
+		c.send(c.overBudgetResponse(id))
 	}
 }
 
-// crowded returns the response for a request whose actual response exceeds the response budget. The status is 502, as the
+// overBudgetResponse returns the response for a request whose actual response exceeds the response budget. The status is 502, as the
 // request may have been executed.
-func (c *conn) crowded(id uint16) []byte {
-	text := "Status: 502 Bad Gateway\r\nContent-Length: 0\r\n" + throttle(c.front.opt.RetryAfter) + "\r\n"
+func (c *conn) overBudgetResponse(id uint16) []byte {
+	text := "Status: 502 Bad Gateway\r\nContent-Length: 0\r\n" + throttleHeader(c.frontend.opt.RetryAfter) + "\r\n"
 	return appendStdout(nil, id, []byte(text), nil)
 }
 
-// hold reserves n bytes of a request in the request budget. If that is exhausted, the request is rejected and the rest of it
+// reserve reserves n bytes of a request in the request budget. If that is exhausted, the request is rejected and the rest of it
 // is ignored: many clients that send large requests slowly must not exhaust the memory.
-func (c *conn) hold(id uint16, q *request, n int) bool {
-	if c.front.intake.Take(n) {
-		q.held += n
+func (c *conn) reserve(id uint16, q *request, n int) bool {
+	if c.frontend.requestBudget.Take(n) {
+		q.reserved += n
 		return true
 	}
-	c.front.opt.Log.Warn().Msg("request budget exhausted; request rejected")
-	c.forget(id)
+	c.frontend.opt.Log.Warn().Msg("request budget exhausted; request rejected")
+	c.removeRequest(id)
 	c.send(appendEnd(nil, id, 0, protoOverload))
 	return false
 }
 
-// forget removes a request and releases its bytes.
-func (c *conn) forget(id uint16) {
+// removeRequest removes a request and releases its bytes.
+func (c *conn) removeRequest(id uint16) {
 	if q := c.open[id]; q != nil {
-		c.front.intake.Give(q.held)
+		c.frontend.requestBudget.Give(q.reserved)
 		delete(c.open, id)
-		c.front.open.Add(-1)
+		c.frontend.open.Add(-1)
 	}
 }
 
@@ -609,22 +609,22 @@
 	if c.trySend(b) {
 		return
 	}
-	if len(b) > smallAnswer || c.pending >= unreadMost {
-		c.front.opt.Log.Warn().Msg("response budget exhausted; closing connection of slow client")
-		c.dead = true
+	if len(b) > smallResponse || c.pendingResponses >= maxUnreadResponses {
+		c.frontend.opt.Log.Warn().Msg("response budget exhausted; closing connection of slow client")
+		c.closed = true
 		c.net.Close()
 		return
 	}
-	c.front.budget.TakeAnyway(len(b))
+	c.frontend.responseBudget.TakeAnyway(len(b))
 	c.queue(b)
 }
 
 // trySend queues bytes for the writer. It returns false if the response budget is exhausted.
 func (c *conn) trySend(b []byte) bool {
-	if c.dead {
+	if c.closed {
 		return true
 	}
-	if !c.front.budget.Take(len(b)) {
+	if !c.frontend.responseBudget.Take(len(b)) {
 		return false
 	}
 	c.queue(b)
@@ -633,8 +633,8 @@
 
 func (c *conn) queue(b []byte) {
 	c.out = append(c.out, b)
-	c.pending++
-	c.front.open.Add(1)
+	c.pendingResponses++
+	c.frontend.open.Add(1)
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -650,12 +650,12 @@
 		case <-c.wake:
 		}
 		c.mu.Lock()
-		if c.held {
+		if c.writesPaused {
 			c.mu.Unlock()
 			continue // woken again at the end of the handover
 		}
-		out, last, nc := c.out, c.closing && len(c.open)+len(c.theirs) == 0, c.net
-		if len(out) == 0 && !last { // woken at the end of a handover with nothing to write; report would interrupt the reader again
+		out, last, nc := c.out, c.closeAfterWrite && len(c.open)+len(c.relayed) == 0, c.net
+		if len(out) == 0 && !last { // woken at the end of a handover with nothing to write; updateServer would interrupt the reader again
 			c.mu.Unlock()
 			continue
 		}
@@ -666,12 +666,12 @@
 			n += len(b)
 		}
 		err := writeAll(nc, out)
-		c.front.budget.Give(n)
-		c.front.open.Add(-int64(count))
+		c.frontend.responseBudget.Give(n)
+		c.frontend.open.Add(-int64(count))
 		c.mu.Lock()
 		c.writing = false
-		c.pending -= count
-		c.report()
+		c.pendingResponses -= count
+		c.updateServer()
 		c.mu.Unlock()
 		if err != nil || last {
 			nc.Close()
@@ -680,22 +680,22 @@
 	}
 }
 
-// writeAll writes buffers in chunks of up to writePiece bytes, each within writeLimit. Small buffers are written in one call.
+// writeAll writes buffers in chunks of up to writeChunk bytes, each within writeTimeout. Small buffers are written in one call.
 func writeAll(nc net.Conn, out [][]byte) (err error) {
 	var next net.Buffers
 	size := 0
 	flush := func() {
 		if err == nil && size > 0 {
-			nc.SetWriteDeadline(time.Now().Add(writeLimit))
+			nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 			_, err = next.WriteTo(nc)
 		}
 		next, size = nil, 0
 	}
 	for _, b := range out {
 		for len(b) > 0 {
-			n := min(len(b), writePiece-size)
+			n := min(len(b), writeChunk-size)
 			next, size, b = append(next, b[:n]), size+n, b[n:]
-			if size == writePiece {
+			if size == writeChunk {
 				flush()
 			}
 		}
--- a/front/fastcgi/fastcgi_test.go
+++ b/front/fastcgi/fastcgi_test.go
@@ -15,12 +15,12 @@
 	"turnfork.dev/turnfork/core"
 )
 
-func begin(id uint16) []byte {
+func beginRecord(id uint16) []byte {
 	return appendRecord(nil, typeBegin, id, []byte{0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0})
 }
 
-// whole returns a request's records after BEGIN_REQUEST.
-func whole(id uint16, script, txn string, more ...[2]string) []byte {
+// paramsAndStdin returns a request's records after BEGIN_REQUEST.
+func paramsAndStdin(id uint16, script, txn string, more ...[2]string) []byte {
 	p := appendPair(nil, "SCRIPT_NAME", script)
 	for _, kv := range append(more, [][2]string{
 		{"HTTP_X_TXN", txn}, {"HTTP_X_TTL_MS", "1500"}, {"HTTP_X_ROW", "7f3a9c21e0b4d655"}, {"HTTP_X_BLOCK", "3"},
@@ -33,84 +33,84 @@
 	return appendRecord(b, typeStdin, id, nil)
 }
 
-// ends is the response to one request.
-type ends struct {
-	stdout bytes.Buffer
-	ended  int  // number of END_REQUEST records
-	proto  byte // protocol status of the last one
+// response is the response to one request.
+type response struct {
+	stdout         bytes.Buffer
+	endCount       int  // number of END_REQUEST records
+	protocolStatus byte // protocol status of the last one
 }
 
 // client sends requests to a frontend and collects the responses.
 type client struct {
 	net.Conn
-	mu   sync.Mutex
-	got  map[uint16]*ends // by request id
-	news chan struct{}    // one element for each record received
-	done chan struct{}    // closed at the end of the connection
+	mu        sync.Mutex
+	responses map[uint16]*response // by request id
+	received  chan struct{}        // one element for each record received
+	done      chan struct{}        // closed at the end of the connection
 }
 
 func dial(f *Front) *client {
 	near, far := net.Pipe()
 	go f.Handle(far)
-	return listen(near)
+	return newClient(near)
 }
 
-func listen(near net.Conn) *client {
-	c := &client{Conn: near, got: map[uint16]*ends{}, news: make(chan struct{}, 1024), done: make(chan struct{})}
+func newClient(near net.Conn) *client {
+	c := &client{Conn: near, responses: map[uint16]*response{}, received: make(chan struct{}, 1024), done: make(chan struct{})}
 	go func() {
 		defer close(c.done)
-		r := &records{r: bufio.NewReader(near)}
+		r := &recordReader{r: bufio.NewReader(near)}
 		for {
 			rec, err := r.next()
 			if err != nil {
 				return
 			}
 			c.mu.Lock()
-			e := c.got[rec.id]
+			e := c.responses[rec.id]
 			if e == nil {
-				e = &ends{}
-				c.got[rec.id] = e
+				e = &response{}
+				c.responses[rec.id] = e
 			}
 			switch rec.kind {
 			case typeStdout:
 				e.stdout.Write(rec.data)
 			case typeEnd:
-				e.ended++
-				e.proto = rec.data[4]
+				e.endCount++
+				e.protocolStatus = rec.data[4]
 			}
 			c.mu.Unlock()
-			c.news <- struct{}{}
+			c.received <- struct{}{}
 		}
 	}()
 	return c
 }
 
-func (c *client) wait(t testing.TB, id uint16) *ends {
+func (c *client) wait(t testing.TB, id uint16) *response {
 	timeout := time.After(30 * time.Second)
 	for {
 		c.mu.Lock()
-		e := c.got[id]
-		ok := e != nil && e.ended > 0
+		e := c.responses[id]
+		ok := e != nil && e.endCount > 0
 		c.mu.Unlock()
 		if ok {
 			return e
 		}
 		select {
-		case <-c.news:
+		case <-c.received:
 		case <-timeout:
 			t.Fatalf("timed out waiting for the end of request %d", id)
 		}
 	}
 }
 
-func newFront(post func(core.Event)) *Front {
+func newTestFrontend(post func(core.Event)) *Front {
 	return New(Options{Post: post, Clock: clock.Manual(1e12), Log: zerolog.Nop()})
 }
 
-// asking returns a client of a new frontend, and the requests that the frontend passes to the core.
-func asking() (*client, <-chan core.Request) {
+// dialCapturing returns a client of a new frontend, and the requests that the frontend passes to the core.
+func dialCapturing() (*client, <-chan core.Request) {
 	requests := make(chan core.Request, 1)
-	return dial(newFront(func(ev core.Event) {
+	return dial(newTestFrontend(func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
 			requests <- a
 		}
@@ -118,9 +118,9 @@
 }
 
 func TestRequestAndResponse(t *testing.T) {
-	c, requests := asking()
+	c, requests := dialCapturing()
 	defer c.Close()
-	c.Write(append(begin(1), whole(1, "/v1/firmware", "9b1f03aa5c7e2d41")...))
+	c.Write(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "9b1f03aa5c7e2d41")...))
 	a := <-requests
 	if a.Class != "firmware" || a.Object != 0x7f3a9c21e0b4d655 || a.Part != 3 || a.Group != 17 || a.SizeKB != 412.5 ||
 		a.Remaining != 1500 || a.ClientETag != "4be0c1927d55a6f3" || a.Txn != "9b1f03aa5c7e2d41" || a.ReceivedAt != 1e12 {
@@ -131,8 +131,8 @@
 	a.Frontend.Answer(a.RequestTag, core.Answer{Verdict: core.Failed}) // a second answer is ignored
 	e := c.wait(t, 1)
 	head, got, _ := strings.Cut(e.stdout.String(), "\r\n\r\n")
-	if !strings.HasPrefix(head, "Status: 200 OK\r\n") || got != string(body) || e.ended != 1 {
-		t.Errorf("%q, %d bytes, ended %d times", head, len(got), e.ended)
+	if !strings.HasPrefix(head, "Status: 200 OK\r\n") || got != string(body) || e.endCount != 1 {
+		t.Errorf("%q, %d bytes, ended %d times", head, len(got), e.endCount)
 	}
 	for i, x := range []struct {
 		a    core.Answer
@@ -144,7 +144,7 @@
 		{core.Answer{Verdict: core.Failed, Reason: core.UpstreamFailed}, "502 "},
 	} {
 		id := uint16(i + 2)
-		c.Write(append(begin(id), whole(id, "/v1/firmware", "9b1f03aa5c7e2d41")...))
+		c.Write(append(beginRecord(id), paramsAndStdin(id, "/v1/firmware", "9b1f03aa5c7e2d41")...))
 		a := <-requests
 		a.Frontend.Answer(a.RequestTag, x.a)
 		if got := c.wait(t, id).stdout.String(); !strings.HasPrefix(got, "Status: "+x.want) ||
@@ -152,7 +152,7 @@
 			t.Errorf("%+v: %q", x.a, got)
 		}
 	}
-	c.Write(append(begin(9), whole(9, "/healthz", "")...))
+	c.Write(append(beginRecord(9), paramsAndStdin(9, "/healthz", "")...))
 	if got := c.wait(t, 9).stdout.String(); !strings.HasPrefix(got, "Status: 200") {
 		t.Errorf("health: %q", got)
 	}
@@ -160,7 +160,7 @@
 
 // An idempotency key is passed to the core unchanged, or the request is rejected. The mark of a retry is passed on, too.
 func TestIdempotencyKeysAreNotAltered(t *testing.T) {
-	c, requests := asking()
+	c, requests := dialCapturing()
 	defer c.Close()
 	for i, x := range []struct {
 		key string
@@ -170,7 +170,7 @@
 		{strings.Repeat("k", 129), false}, {"", false}, {"a,dedupe=b", false}, {"a=b", false}, {"a b", false}, {"a\r\n", false}, {"\xc3\xa9", false},
 	} {
 		id := uint16(i + 1)
-		c.Write(append(begin(id), whole(id, "/v1/ride-end", "9b1f03aa5c7e2d41", [2]string{"HTTP_X_TXN_KEY", x.key}, [2]string{"HTTP_X_SECOND_TRY", "1"})...))
+		c.Write(append(beginRecord(id), paramsAndStdin(id, "/v1/ride-end", "9b1f03aa5c7e2d41", [2]string{"HTTP_X_TXN_KEY", x.key}, [2]string{"HTTP_X_SECOND_TRY", "1"})...))
 		if x.ok {
 			a := <-requests
 			if a.IdempotencyKey != x.key || !a.Retry {
@@ -187,23 +187,23 @@
 // Many requests that are never completed must not exhaust the memory: beyond the request budget they are rejected, and the
 // bytes of ended requests are released.
 func TestRequestBudget(t *testing.T) {
-	f := newFront(func(core.Event) {})
-	f.intake.Most = 20000
+	f := newTestFrontend(func(core.Event) {})
+	f.requestBudget.Most = 20000
 	c := dial(f)
 	big := bytes.Repeat([]byte{'x'}, 8000)
 	for id := uint16(1); id <= 3; id++ {
-		c.Write(begin(id))
+		c.Write(beginRecord(id))
 		c.Write(appendRecord(nil, typeStdin, id, big))
 	}
-	if e := c.wait(t, 3); e.proto != protoOverload {
-		t.Errorf("ended with %d", e.proto)
+	if e := c.wait(t, 3); e.protocolStatus != protoOverload {
+		t.Errorf("ended with %d", e.protocolStatus)
 	}
 	c.Close()
 	<-c.done
 	for f.Open() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if !f.intake.Take(20000) {
+	if !f.requestBudget.Take(20000) {
 		t.Error("the bytes of ended requests are still reserved")
 	}
 }
@@ -220,13 +220,13 @@
 	}})
 	c, partial := dial(f), dial(f)
 	defer c.Close()
-	partial.Write(append(begin(1), appendRecord(nil, typeParams, 1, nil)...))
+	partial.Write(append(beginRecord(1), appendRecord(nil, typeParams, 1, nil)...))
 	for f.Open() == 0 { // the bytes must be read before the clock advances, or they count as progress
 		time.Sleep(time.Millisecond)
 	}
-	c.Write(append(begin(1), whole(1, "/v1/firmware", "9b1f03aa5c7e2d41")...))
+	c.Write(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "9b1f03aa5c7e2d41")...))
 	a := <-requests
-	clk.Advance(stallMost + 1)
+	clk.Advance(readTimeout + 1)
 	for done := false; !done; {
 		f.server.Sweep()
 		select {
@@ -240,15 +240,15 @@
 	for f.Open() > 0 { // the client may receive the response before it is recorded as written
 		time.Sleep(time.Millisecond)
 	}
-	clk.Advance(idleMost - 1)
+	clk.Advance(idleTimeout - 1)
 	f.server.Sweep()
-	c.Write(append(begin(2), whole(2, "/healthz", "")...))
+	c.Write(append(beginRecord(2), paramsAndStdin(2, "/healthz", "")...))
 	c.wait(t, 2)
 	for f.Open() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for done := false; !done; {
-		clk.Advance(idleMost + 1)
+		clk.Advance(idleTimeout + 1)
 		f.server.Sweep()
 		select {
 		case <-c.done:
@@ -272,7 +272,7 @@
 		var mu sync.Mutex
 		requested, canceled := map[uint64]core.Request{}, map[uint64]bool{}
 		posted := make(chan struct{}, 4096)
-		frontend := newFront(func(ev core.Event) {
+		frontend := newTestFrontend(func(ev core.Event) {
 			mu.Lock()
 			defer mu.Unlock()
 			switch ev := ev.(type) {
@@ -299,8 +299,8 @@
 							live++
 						}
 					}
-					c.Write(begin(id))
-					if live < requestsAtOnce {
+					c.Write(beginRecord(id))
+					if live < maxConnRequests {
 						state[id] = partial
 					} else {
 						answered[id]++ // END_REQUEST with FCGI_OVERLOADED
@@ -311,7 +311,7 @@
 					mu.Lock()
 					before := len(requested)
 					mu.Unlock()
-					c.Write(whole(id, "/v1/firmware", fmt.Sprintf("%016x", id)))
+					c.Write(paramsAndStdin(id, "/v1/firmware", fmt.Sprintf("%016x", id)))
 					for {
 						<-posted
 						mu.Lock()
@@ -356,13 +356,13 @@
 		count := func() (n int) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			for _, e := range c.got {
-				n += e.ended
+			for _, e := range c.responses {
+				n += e.endCount
 			}
 			return n
 		}
 		for count() < total {
-			<-c.news
+			<-c.received
 		}
 		for _, s := range state {
 			if s == waiting {
@@ -387,11 +387,11 @@
 }
 
 func FuzzRecords(f *testing.F) {
-	f.Add(append(begin(1), whole(1, "/v1/firmware", "1")...))
+	f.Add(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "1")...))
 	f.Add(appendRecord(nil, typeGetValues, 0, appendPair(nil, "FCGI_MPXS_CONNS", "")))
 	f.Add([]byte{1, 4, 0, 1, 255, 255, 255, 0, 1})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		frontend := newFront(func(ev core.Event) {
+		frontend := newTestFrontend(func(ev core.Event) {
 			if a, ok := ev.(core.Request); ok {
 				go a.Frontend.Answer(a.RequestTag, core.Answer{Verdict: core.Rejected})
 			}
--- a/front/fastcgi/handover.go
+++ b/front/fastcgi/handover.go
@@ -23,50 +23,50 @@
 // more records follow.
 
 const (
-	passMost  = time.Second            // to send or receive the state of a connection
-	parkMost  = 500 * time.Millisecond // for the writer to finish before a handover
-	parkLook  = 2 * time.Millisecond   // between two polls of the writer, the receipt or the response budget
-	abortMost = 100 * time.Millisecond // to write ABORT_REQUEST to the old process
-	leftLook  = 10 * time.Millisecond  // between two polls for the end of a client connection during its handover
-	begunMost = 4 << 20                // bytes of partial requests in a handover
+	handoverTimeout      = time.Second            // to send or receive the state of a connection
+	writerWaitTimeout    = 500 * time.Millisecond // for the writer to finish before a handover
+	handoverPollInterval = 2 * time.Millisecond   // between two polls of the writer, the receipt or the response budget
+	abortWriteTimeout    = 100 * time.Millisecond // to write ABORT_REQUEST to the old process
+	clientPollInterval   = 10 * time.Millisecond  // between two polls for the end of a client connection during its handover
+	maxUnprocessed       = 4 << 20                // bytes of partial requests in a handover
 )
 
-var errPassed = errors.New("malformed handover")
+var errHandover = errors.New("malformed handover")
 
-// estate is the state of a connection that was handed over.
-type estate struct {
-	elder  net.Conn        // the old process
-	theirs map[uint16]bool // the requests that it still answers
-	begun  []byte          // bytes of partial requests
+// handoverState is the state of a connection that was handed over.
+type handoverState struct {
+	oldProcess  net.Conn        // the old process
+	relayed     map[uint16]bool // the requests that it still answers
+	unprocessed []byte          // bytes of partial requests
 }
 
-// interrupt interrupts the reader, so that it hands the connection over.
-func (c *conn) interrupt() {
+// interruptReader interrupts the reader, so that it hands the connection over.
+func (c *conn) interruptReader() {
 	c.mu.Lock()
 	nc := c.net
 	c.mu.Unlock()
 	nc.SetReadDeadline(time.Unix(1, 0))
 }
 
-// pass hands the connection over to the new process. It is called by the reader, so nothing is read from the client meanwhile.
+// handOver hands the connection over to the new process. It is called by the reader, so nothing is read from the client meanwhile.
 // The writer is paused, so that each response is written entirely to the client or entirely to the new process. On success,
-// pass returns the Unix connection, from which the reader continues.
-func (c *conn) pass(r *records, buffered *bufio.Reader) (next net.Conn, passed bool) {
+// handOver returns the Unix connection, from which the reader continues.
+func (c *conn) handOver(r *recordReader, buffered *bufio.Reader) (next net.Conn, passed bool) {
 	c.mu.Lock()
-	nc, relaying := c.net, len(c.theirs) > 0
+	nc, relaying := c.net, len(c.relayed) > 0
 	c.mu.Unlock()
 	nc.SetReadDeadline(time.Time{})
 	defer func() {
 		if passed {
-			c.place.HandedOver(next)
+			c.serverConn.HandedOver(next)
 		} else {
-			c.place.HandedOver(nil)
+			c.serverConn.HandedOver(nil)
 		}
 		c.mu.Lock()
-		c.held = false
-		// After a failed handover nothing has changed. Another report would interrupt the reader again, in an endless loop.
+		c.writesPaused = false
+		// After a failed handover nothing has changed. Another call of updateServer would interrupt the reader again, in an endless loop.
 		if passed {
-			c.report()
+			c.updateServer()
 		}
 		c.mu.Unlock()
 		select {
@@ -75,58 +75,58 @@
 		}
 	}()
 	tcp, ok := nc.(*net.TCPConn)
-	successor := c.front.successor.Load()
+	successor := c.frontend.successor.Load()
 	if !ok || successor == nil || relaying { // responses that a third process still relays here can't be handed over
 		return nil, false
 	}
 	defer c.watchClient(tcp)()
 	to, err := (*successor)()
 	if err != nil {
-		c.front.opt.Log.Warn().Err(err).Msg("handover failed: cannot dial the new process; connection will be closed once idle")
+		c.frontend.opt.Log.Warn().Err(err).Msg("handover failed: cannot dial the new process; connection will be closed once idle")
 		return nil, false
 	}
 	// A response that is queued but not yet written must be written first: its request is no longer open here, so the new
 	// process would not know its id.
 	c.mu.Lock()
-	for end := time.Now().Add(parkMost); (c.writing || len(c.out) > 0) && time.Now().Before(end) && !front.HungUp(nc); c.mu.Lock() {
+	for end := time.Now().Add(writerWaitTimeout); (c.writing || len(c.out) > 0) && time.Now().Before(end) && !front.HungUp(nc); c.mu.Lock() {
 		c.mu.Unlock()
-		time.Sleep(parkLook)
+		time.Sleep(handoverPollInterval)
 	}
-	if c.writing || len(c.out) > 0 || c.dead || c.closing {
+	if c.writing || len(c.out) > 0 || c.closed || c.closeAfterWrite {
 		c.mu.Unlock()
 		to.Close()
 		return nil, false
 	}
-	c.held = true
+	c.writesPaused = true
 	var ids, unprocessed []byte
 	var partial []uint16
 	for id, q := range c.open {
-		if q.asked {
+		if q.complete {
 			ids = binary.BigEndian.AppendUint16(ids, id)
 			continue
 		}
 		partial = append(partial, id)
-		unprocessed = appendHalf(unprocessed, id, q)
+		unprocessed = appendPartial(unprocessed, id, q)
 	}
 	c.mu.Unlock()
 	// The bytes that were read after these records: a partial record and the content of the read buffer.
-	unprocessed = append(unprocessed, r.rest()...)
+	unprocessed = append(unprocessed, r.partialBytes()...)
 	ahead, _ := buffered.Peek(buffered.Buffered())
 	unprocessed = append(unprocessed, ahead...)
-	if err := sendEstate(to, tcp, ids, unprocessed); err != nil {
+	if err := sendState(to, tcp, ids, unprocessed); err != nil {
 		// The new process has not received the complete state and will not read from the client connection without it.
-		c.front.opt.Log.Warn().Err(err).Int("requests", len(ids)/2).Msg("handover failed: cannot send the connection's state; connection will be closed once idle")
+		c.frontend.opt.Log.Warn().Err(err).Int("requests", len(ids)/2).Msg("handover failed: cannot send the connection's state; connection will be closed once idle")
 		to.Close()
 		return nil, false
 	}
-	if !awaitTaken(to) {
-		c.front.opt.Log.Warn().Int("requests", len(ids)/2).Msg("handover failed: the new process closed before it read the connection's state; connection will be closed once idle")
+	if !awaitReceipt(to) {
+		c.frontend.opt.Log.Warn().Int("requests", len(ids)/2).Msg("handover failed: the new process closed before it read the connection's state; connection will be closed once idle")
 		to.Close()
 		return nil, false
 	}
 	c.mu.Lock()
 	for _, id := range partial {
-		c.forget(id)
+		c.removeRequest(id)
 	}
 	c.net = to
 	c.mu.Unlock()
@@ -139,7 +139,7 @@
 func (c *conn) watchClient(tcp *net.TCPConn) (stop func()) {
 	stopped := make(chan struct{})
 	go func() {
-		poll := time.NewTicker(leftLook)
+		poll := time.NewTicker(clientPollInterval)
 		defer poll.Stop()
 		for !front.HungUp(tcp) {
 			select {
@@ -151,21 +151,21 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for _, q := range c.open {
-			c.withdraw(q)
+			c.cancel(q)
 		}
 	}()
 	return func() { close(stopped) }
 }
 
-// awaitTaken waits until the new process has read everything that was sent to it. It returns false if that process closed the
-// Unix connection before: then it does not read from the client connection and never will. After passMost the state counts as
+// awaitReceipt waits until the new process has read everything that was sent to it. It returns false if that process closed the
+// Unix connection before: then it does not read from the client connection and never will. After handoverTimeout the state counts as
 // read.
-func awaitTaken(to *net.UnixConn) bool {
+func awaitReceipt(to *net.UnixConn) bool {
 	raw, err := to.SyscallConn()
 	if err != nil {
 		return true
 	}
-	for end := time.Now().Add(passMost); time.Now().Before(end); time.Sleep(parkLook) {
+	for end := time.Now().Add(handoverTimeout); time.Now().Before(end); time.Sleep(handoverPollInterval) {
 		unread, failure := 0, 0
 		err := raw.Control(func(fd uintptr) {
 			// The order matters: the kernel sets the error before it discards the unread bytes.
@@ -182,10 +182,10 @@
 	return true
 }
 
-// appendHalf appends the records of a partial request, as they were received from the client.
-func appendHalf(b []byte, id uint16, q *request) []byte {
+// appendPartial appends the records of a partial request, as they were received from the client.
+func appendPartial(b []byte, id uint16, q *request) []byte {
 	keep := byte(0)
-	if q.keep {
+	if q.keepConn {
 		keep = flagKeepConn
 	}
 	b = appendRecord(b, typeBegin, id, []byte{0, roleResponder, keep, 0, 0, 0, 0, 0})
@@ -194,25 +194,25 @@
 		data []byte
 	}{{typeParams, q.params}, {typeStdin, q.body}} {
 		for data := part.data; len(data) > 0; {
-			n := min(len(data), contentMost)
+			n := min(len(data), maxContent)
 			b = appendRecord(b, part.kind, id, data[:n])
 			data = data[n:]
 		}
-		if part.kind == typeParams && q.ready {
+		if part.kind == typeParams && q.paramsDone {
 			b = appendRecord(b, typeParams, id, nil)
 		}
 	}
 	return b
 }
 
-// sendEstate sends a client connection and its state to the new process. After an error, the new process has not received all
+// sendState sends a client connection and its state to the new process. After an error, the new process has not received all
 // of it, and will not once the caller has closed to.
-func sendEstate(to *net.UnixConn, tcp *net.TCPConn, ids, unprocessed []byte) error {
+func sendState(to *net.UnixConn, tcp *net.TCPConn, ids, unprocessed []byte) error {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return err
 	}
-	to.SetDeadline(time.Now().Add(passMost))
+	to.SetDeadline(time.Now().Add(handoverTimeout))
 	var sent error
 	if err := raw.Control(func(fd uintptr) {
 		_, _, sent = to.WriteMsgUnix([]byte{version}, syscall.UnixRights(int(fd)), nil)
@@ -231,7 +231,7 @@
 // Adopt receives a client connection that another process of the gateway hands over, and serves it until it ends.
 func (f *Front) Adopt(from *net.UnixConn) {
 	defer from.Close()
-	nc, state, err := readEstate(from)
+	nc, state, err := receiveState(from)
 	if err != nil {
 		f.opt.Log.Warn().Err(err).Msg("cannot receive a connection that another process hands over")
 		return
@@ -240,9 +240,9 @@
 	f.server.Adopt(nc, func(nc net.Conn, serverConn *front.Conn) { f.serve(nc, serverConn, state) })
 }
 
-// readEstate receives what sendEstate sends.
-func readEstate(from *net.UnixConn) (nc net.Conn, state *estate, err error) {
-	from.SetDeadline(time.Now().Add(passMost))
+// receiveState receives what sendState sends.
+func receiveState(from *net.UnixConn) (nc net.Conn, state *handoverState, err error) {
+	from.SetDeadline(time.Now().Add(handoverTimeout))
 	var b [1]byte
 	oob := make([]byte, syscall.CmsgSpace(4))
 	n, oobn, _, _, err := from.ReadMsgUnix(b[:], oob)
@@ -251,11 +251,11 @@
 	}
 	messages, err := syscall.ParseSocketControlMessage(oob[:oobn])
 	if err != nil || n != 1 || b[0] != version || len(messages) != 1 {
-		return nil, nil, fmt.Errorf("%w: no descriptor", errPassed)
+		return nil, nil, fmt.Errorf("%w: no descriptor", errHandover)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, nil, fmt.Errorf("%w: %d descriptors", errPassed, len(fds))
+		return nil, nil, fmt.Errorf("%w: %d descriptors", errHandover, len(fds))
 	}
 	file := os.NewFile(uintptr(fds[0]), "passed")
 	defer file.Close()
@@ -267,54 +267,54 @@
 			nc.Close()
 		}
 	}()
-	ids, err := readPart(from, 2*requestsAtOnce)
+	ids, err := readBlock(from, 2*maxConnRequests)
 	if err != nil {
 		return nil, nil, err
 	}
-	unprocessed, err := readPart(from, begunMost)
+	unprocessed, err := readBlock(from, maxUnprocessed)
 	if err != nil {
 		return nil, nil, err
 	}
 	if len(ids)%2 != 0 {
-		return nil, nil, fmt.Errorf("%w: %d bytes of request ids", errPassed, len(ids))
+		return nil, nil, fmt.Errorf("%w: %d bytes of request ids", errHandover, len(ids))
 	}
-	state = &estate{elder: from, begun: unprocessed, theirs: map[uint16]bool{}}
+	state = &handoverState{oldProcess: from, unprocessed: unprocessed, relayed: map[uint16]bool{}}
 	for ; len(ids) > 0; ids = ids[2:] {
-		state.theirs[binary.BigEndian.Uint16(ids)] = false
+		state.relayed[binary.BigEndian.Uint16(ids)] = false
 	}
 	return nc, state, from.SetDeadline(time.Time{})
 }
 
-// readPart reads a length of 4 bytes and that number of bytes, at most maxBytes.
-func readPart(from io.Reader, maxBytes uint32) ([]byte, error) {
+// readBlock reads a length of 4 bytes and that number of bytes, at most maxBytes.
+func readBlock(from io.Reader, maxBytes uint32) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(from, head[:]); err != nil {
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > maxBytes {
-		return nil, fmt.Errorf("%w: length of %d bytes", errPassed, n)
+		return nil, fmt.Errorf("%w: length of %d bytes", errHandover, n)
 	}
 	b := make([]byte, n)
 	_, err := io.ReadFull(from, b)
 	return b, err
 }
 
-// sendOnceThereIsRoom queues bytes for the writer. While the response budget is exhausted it waits, and the old process waits
+// sendWithinBudget queues bytes for the writer. While the response budget is exhausted it waits, and the old process waits
 // with the rest of its response. The caller holds mu, which is released during the wait.
-func (c *conn) sendOnceThereIsRoom(b []byte) {
+func (c *conn) sendWithinBudget(b []byte) {
 	for !c.trySend(b) {
 		c.mu.Unlock()
-		time.Sleep(parkLook)
+		time.Sleep(handoverPollInterval)
 		c.mu.Lock()
 	}
 }
 
-// relay passes the responses of the old process on to the client. Requests that it has not answered when it ends have failed.
+// relayResponses passes the responses of the old process on to the client. Requests that it has not answered when it ends have failed.
 // If one of them is answered in part, the client connection is closed, so that the client sees that the response is truncated.
-func (c *conn) relay() {
+func (c *conn) relayResponses() {
 	c.mu.Lock()
-	r := &records{r: bufio.NewReaderSize(c.elder, 4<<10)}
+	r := &recordReader{r: bufio.NewReaderSize(c.oldProcess, 4<<10)}
 	c.mu.Unlock()
 	for {
 		rec, err := r.next()
@@ -322,29 +322,29 @@
 		if err != nil {
 			break
 		}
-		if _, open := c.theirs[rec.id]; open && (rec.kind == typeStdout || rec.kind == typeEnd) {
-			c.theirs[rec.id] = true
-			c.sendOnceThereIsRoom(appendRecord(nil, rec.kind, rec.id, rec.data))
-			if _, open := c.theirs[rec.id]; open && rec.kind == typeEnd {
-				delete(c.theirs, rec.id)
-				c.front.open.Add(-1)
+		if _, open := c.relayed[rec.id]; open && (rec.kind == typeStdout || rec.kind == typeEnd) {
+			c.relayed[rec.id] = true
+			c.sendWithinBudget(appendRecord(nil, rec.kind, rec.id, rec.data))
+			if _, open := c.relayed[rec.id]; open && rec.kind == typeEnd {
+				delete(c.relayed, rec.id)
+				c.frontend.open.Add(-1)
 			}
-			c.report()
+			c.updateServer()
 		}
 		c.mu.Unlock()
 	}
 	defer c.mu.Unlock()
-	c.elder.Close()
-	for id, partlySent := range c.theirs {
-		delete(c.theirs, id)
-		c.front.open.Add(-1)
-		c.front.opt.Log.Warn().Uint16("request", id).Msg("the old process ended before it answered a request")
+	c.oldProcess.Close()
+	for id, partlySent := range c.relayed {
+		delete(c.relayed, id)
+		c.frontend.open.Add(-1)
+		c.frontend.opt.Log.Warn().Uint16("request", id).Msg("the old process ended before it answered a request")
 		if partlySent {
-			c.dead = true
+			c.closed = true
 			c.net.Close()
 			continue
 		}
 		c.send(appendStdout(nil, id, []byte("Status: 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"), nil))
 	}
-	c.report()
+	c.updateServer()
 }
--- a/front/fastcgi/handover_failure_test.go
+++ b/front/fastcgi/handover_failure_test.go
@@ -36,7 +36,7 @@
 // If the new process ends before it has received the complete state of a connection, before the first byte or in the middle, the
 // connection stays at the old process, and the requests that were read from it are answered there.
 func TestFailedHandoverLosesNoRequest(t *testing.T) {
-	large := append(begin(2), appendRecord(nil, typeParams, 2, nil)...) // a partial body, too large for a socket buffer
+	large := append(beginRecord(2), appendRecord(nil, typeParams, 2, nil)...) // a partial body, too large for a socket buffer
 	large = append(large, appendRecord(nil, typeStdin, 2, make([]byte, 60000))...)
 	for name, end := range map[string]func(t *testing.T, far *net.UnixConn){
 		"before the first byte": nil,
@@ -62,7 +62,7 @@
 			far.Close()
 		},
 		"with the state unread": func(t *testing.T, far *net.UnixConn) {
-			for deadline := time.Now().Add(20 * time.Second); waiting(t, far) < len(large); time.Sleep(time.Millisecond) {
+			for deadline := time.Now().Add(20 * time.Second); unreadBytes(t, far) < len(large); time.Sleep(time.Millisecond) {
 				if time.Now().After(deadline) {
 					t.Error("timed out waiting for the state")
 					return
@@ -73,18 +73,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			requests := make(chan core.Request, 1)
-			f := newFront(func(ev core.Event) {
+			f := newTestFrontend(func(ev core.Event) {
 				if a, ok := ev.(core.Request); ok {
 					requests <- a
 				}
 			})
-			near, far := accepted(t)
+			near, far := tcpPair(t)
 			var serving sync.WaitGroup
 			serving.Go(func() { f.Handle(far) })
 			defer serving.Wait()
 			defer near.Close()
-			cl := listen(near)
-			near.Write(append(append(begin(1), whole(1, "/v1/firmware", "1")...), large...))
+			cl := newClient(near)
+			near.Write(append(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "1")...), large...))
 			first := <-requests
 			for deadline := time.Now().Add(20 * time.Second); f.Open() < 2; time.Sleep(time.Millisecond) {
 				if time.Now().After(deadline) {
@@ -113,7 +113,7 @@
 			})
 			<-called
 			<-ended
-			near.Write(append(begin(3), whole(3, "/v1/firmware", "3")...)) // read after the handover has failed
+			near.Write(append(beginRecord(3), paramsAndStdin(3, "/v1/firmware", "3")...)) // read after the handover has failed
 			select {
 			case last := <-requests:
 				last.Frontend.Answer(last.RequestTag, core.Answer{Verdict: core.Served, Body: []byte("c")})
@@ -158,8 +158,8 @@
 	return time.Since(start)
 }
 
-// waiting returns the number of bytes in the socket's receive buffer.
-func waiting(t *testing.T, c *net.UnixConn) (bytes int) {
+// unreadBytes returns the number of bytes in the socket's receive buffer.
+func unreadBytes(t *testing.T, c *net.UnixConn) (bytes int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -182,21 +182,21 @@
 		t.Run(way, func(t *testing.T) {
 			checkCancelDelay(t, func() time.Duration {
 				requests := make(chan core.Request, 1)
-				f := newFront(func(ev core.Event) {
+				f := newTestFrontend(func(ev core.Event) {
 					if a, ok := ev.(core.Request); ok {
 						requests <- a
 					}
 				})
-				near, far := accepted(t)
+				near, far := tcpPair(t)
 				var serving sync.WaitGroup
 				serving.Go(func() { f.Handle(far) })
 				defer serving.Wait()
-				near.Write(append(begin(1), whole(1, "/v1/firmware", "1")...))
+				near.Write(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "1")...))
 				request := <-requests
 				to, from := unixPair(t)
 				defer from.Close()
 				f.HandOver(func() (*net.UnixConn, error) { return to, nil })
-				for deadline := time.Now().Add(20 * time.Second); waiting(t, from) == 0; time.Sleep(time.Millisecond) {
+				for deadline := time.Now().Add(20 * time.Second); unreadBytes(t, from) == 0; time.Sleep(time.Millisecond) {
 					if time.Now().After(deadline) {
 						t.Fatal("timed out waiting for the handover")
 					}
@@ -211,7 +211,7 @@
 // A connection that is handed over while the old process still answers its requests is served even at the connection limit.
 func TestAdoptAtConnectionLimit(t *testing.T) {
 	requests := make(chan core.Request, 1)
-	f := newFront(func(ev core.Event) {
+	f := newTestFrontend(func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
 			requests <- a
 		}
@@ -219,18 +219,18 @@
 	f.server.Limit(1)
 	var serving sync.WaitGroup
 	defer serving.Wait()
-	busy, farBusy := accepted(t)
+	busy, farBusy := tcpPair(t)
 	defer busy.Close()
 	serving.Go(func() { f.Handle(farBusy) })
-	busy.Write(append(begin(1), whole(1, "/v1/firmware", "1")...))
+	busy.Write(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "1")...))
 	<-requests
-	near, far := accepted(t)
+	near, far := tcpPair(t)
 	defer near.Close()
-	cl := listen(near)
+	cl := newClient(near)
 	oldProcess, from := unixPair(t)
 	defer oldProcess.Close()
 	serving.Go(func() { f.Adopt(from) })
-	if err := sendEstate(oldProcess, far, []byte{0, 7}, nil); err != nil {
+	if err := sendState(oldProcess, far, []byte{0, 7}, nil); err != nil {
 		t.Fatal(err)
 	}
 	far.Close()
@@ -261,18 +261,18 @@
 						requests <- a
 					}
 				}
-				oldFrontend, newFrontend := newFront(post), newFront(post)
-				near, far := accepted(t)
+				oldFrontend, newFrontend := newTestFrontend(post), newTestFrontend(post)
+				near, far := tcpPair(t)
 				var serving sync.WaitGroup
 				serving.Go(func() { oldFrontend.Handle(far) })
 				defer serving.Wait()
 				defer near.Close()
-				near.Write(append(begin(1), whole(1, "/v1/firmware", "1")...))
+				near.Write(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "1")...))
 				first := <-requests
 				to, from := unixPair(t)
 				serving.Go(func() { newFrontend.Adopt(from) })
 				oldFrontend.HandOver(func() (*net.UnixConn, error) { return to, nil })
-				near.Write(append(begin(2), whole(2, "/v1/firmware", "2")...))
+				near.Write(append(beginRecord(2), paramsAndStdin(2, "/v1/firmware", "2")...))
 				second := <-requests // read by the new process, the only one that now reads the connection
 				cancel(near)
 				took := timeUntilCanceled(t, first)
--- a/front/fastcgi/handover_send_test.go
+++ b/front/fastcgi/handover_send_test.go
@@ -39,7 +39,7 @@
 	}
 	defer l.Close()
 	gate, received := make(chan struct{}), make(chan string, 4)
-	f := gated("a", received, gate)
+	f := gatedFrontend("a", received, gate)
 	near, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -50,12 +50,12 @@
 	}
 	ended := make(chan struct{})
 	go func() { defer close(ended); f.Handle(far) }()
-	client := listen(near)
-	near.Write(append(begin(1), whole(1, "/v1/firmware", "1")...))
+	client := newClient(near)
+	near.Write(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "1")...))
 	<-received
 	f.HandOver(successor)
 	<-tried
-	near.Write(append(begin(2), whole(2, "/v1/firmware", "2")...))
+	near.Write(append(beginRecord(2), paramsAndStdin(2, "/v1/firmware", "2")...))
 	select {
 	case <-received:
 	case <-client.done:
@@ -63,8 +63,8 @@
 	}
 	close(gate)
 	for id := uint16(1); id <= 2; id++ {
-		if e := client.wait(t, id); e.ended != 1 {
-			t.Errorf("request %d ended %d times", id, e.ended)
+		if e := client.wait(t, id); e.endCount != 1 {
+			t.Errorf("request %d ended %d times", id, e.endCount)
 		}
 	}
 	near.Close()
--- a/front/fastcgi/handover_test.go
+++ b/front/fastcgi/handover_test.go
@@ -13,9 +13,9 @@
 	"turnfork.dev/turnfork/front"
 )
 
-// gated returns a frontend whose requests are answered with its name and their transaction once gate is closed.
-func gated(name string, received chan<- string, gate <-chan struct{}) *Front {
-	return newFront(func(ev core.Event) {
+// gatedFrontend returns a frontend whose requests are answered with its name and their transaction once gate is closed.
+func gatedFrontend(name string, received chan<- string, gate <-chan struct{}) *Front {
+	return newTestFrontend(func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
 			received <- a.Txn
 			go func() {
@@ -32,7 +32,7 @@
 func TestHandOver(t *testing.T) {
 	var stream []byte
 	for id := uint16(1); id <= 3; id++ {
-		stream = append(append(stream, begin(id)...), whole(id, "/v1/firmware", fmt.Sprint(id))...)
+		stream = append(append(stream, beginRecord(id)...), paramsAndStdin(id, "/v1/firmware", fmt.Sprint(id))...)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 	}
 	for cut := 0; cut <= len(stream); cut += 5 {
 		gate, received := make(chan struct{}), make(chan string, 16)
-		frontends := []*Front{gated("a", received, gate), gated("b", received, gate), gated("c", received, gate)}
+		frontends := []*Front{gatedFrontend("a", received, gate), gatedFrontend("b", received, gate), gatedFrontend("c", received, gate)}
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -62,7 +62,7 @@
 		var wg sync.WaitGroup
 		wg.Add(1)
 		go func() { defer wg.Done(); frontends[0].Handle(far) }()
-		cl, counts := listen(c), map[string]int{}
+		cl, counts := newClient(c), map[string]int{}
 		c.Write(stream[:cut])
 		for range cut / (len(stream) / 3) { // the old process receives the complete requests
 			counts[<-received]++
@@ -94,8 +94,8 @@
 		c.Write(stream[cut:])
 		for id := uint16(1); id <= 3; id++ {
 			e := cl.wait(t, id)
-			if text := e.stdout.String(); e.ended != 1 || strings.Count(text, "Status: 200 OK") != 1 || !strings.HasSuffix(text, fmt.Sprint(id)) {
-				t.Fatalf("cut at %d: request %d ended %d times: %q", cut, id, e.ended, text)
+			if text := e.stdout.String(); e.endCount != 1 || strings.Count(text, "Status: 200 OK") != 1 || !strings.HasSuffix(text, fmt.Sprint(id)) {
+				t.Fatalf("cut at %d: request %d ended %d times: %q", cut, id, e.endCount, text)
 			}
 		}
 		c.Close()
@@ -121,14 +121,14 @@
 // response was sent, the connection is closed.
 func TestOldProcessEnds(t *testing.T) {
 	for _, partlySent := range []bool{false, true} {
-		c, far := accepted(t)
+		c, far := tcpPair(t)
 		old, oldProcess := net.Pipe()
-		cl, ended := listen(c), make(chan struct{})
-		f := newFront(func(core.Event) {})
+		cl, ended := newClient(c), make(chan struct{})
+		f := newTestFrontend(func(core.Event) {})
 		go func() {
 			defer close(ended)
 			f.server.Handle(far, func(nc net.Conn, serverConn *front.Conn) {
-				f.serve(nc, serverConn, &estate{elder: oldProcess, theirs: map[uint16]bool{7: false}})
+				f.serve(nc, serverConn, &handoverState{oldProcess: oldProcess, relayed: map[uint16]bool{7: false}})
 			})
 		}()
 		if partlySent {
@@ -152,17 +152,17 @@
 // requests are canceled at once and not after the writer's timeout.
 func TestCancelDuringHandover(t *testing.T) {
 	requests := make(chan core.Request, 2)
-	f := newFront(func(ev core.Event) {
+	f := newTestFrontend(func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
 			requests <- a
 		}
 	})
-	near, far := accepted(t)
+	near, far := tcpPair(t)
 	var serving sync.WaitGroup
 	serving.Go(func() { f.Handle(far) })
 	defer serving.Wait()
 	defer near.Close()
-	near.Write(append(append(begin(1), whole(1, "/v1/firmware", "1")...), append(begin(2), whole(2, "/v1/firmware", "2")...)...))
+	near.Write(append(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "1")...), append(beginRecord(2), paramsAndStdin(2, "/v1/firmware", "2")...)...))
 	first, second := <-requests, <-requests
 	const size = 32 << 20 // exceeds the socket buffers at both ends of a connection
 	first.Frontend.Answer(first.RequestTag, core.Answer{Verdict: core.Served, Body: make([]byte, size)})
@@ -193,7 +193,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if took := time.Since(disconnected); took > parkMost/2 {
+	if took := time.Since(disconnected); took > writerWaitTimeout/2 {
 		t.Errorf("canceled %v after the client disconnected", took)
 	}
 	second.Frontend.Answer(second.RequestTag, core.Answer{Verdict: core.Failed, Reason: core.ClientGone}) // as the core does
--- a/front/fastcgi/record.go
+++ b/front/fastcgi/record.go
@@ -22,20 +22,20 @@
 )
 
 const (
-	version        = 1
-	roleResponder  = 1
-	flagKeepConn   = 1
-	protoComplete  = 0
-	protoCantMux   = 1
-	protoOverload  = 2
-	protoRole      = 3
-	headerLen      = 8
-	contentMost    = 65535
-	paramsMost     = 16 << 10 // bytes of one request's parameters
-	bodyMost       = 64 << 10 // bytes of one request's body; that of a write has up to 48,000
-	requestsAtOnce = 32       // open requests on one connection
-	bufferFirst    = 512      // minimum size of a record buffer
-	bufferKept     = 4 << 10  // a larger record buffer is replaced once records are small again
+	version         = 1
+	roleResponder   = 1
+	flagKeepConn    = 1
+	protoComplete   = 0
+	protoCantMux    = 1
+	protoOverload   = 2
+	protoRole       = 3
+	headerLen       = 8
+	maxContent      = 65535
+	maxParams       = 16 << 10 // bytes of one request's parameters
+	maxBody         = 64 << 10 // bytes of one request's body; that of a write has up to 48,000
+	maxConnRequests = 32       // open requests on one connection
+	minBuffer       = 512      // minimum size of a record buffer
+	maxKeptBuffer   = 4 << 10  // a larger record buffer is replaced once records are small again
 )
 
 var errRecord = errors.New("malformed record")
@@ -46,26 +46,26 @@
 	data []byte // valid until the next record is read
 }
 
-// records reads records from a stream. If a read fails, such as by a deadline, no bytes are lost: the next call continues
+// recordReader reads records from a stream. If a read fails, such as by a deadline, no bytes are lost: the next call continues
 // where it stopped.
-type records struct {
-	r    io.Reader
-	head [headerLen]byte
-	got  int    // bytes in head
-	buf  []byte // the record's content and padding; it grows as needed
-	have int    // bytes in buf
-	done bool   // the record was returned
+type recordReader struct {
+	r        io.Reader
+	head     [headerLen]byte
+	headRead int    // bytes in head
+	buf      []byte // the record's content and padding; it grows as needed
+	bufRead  int    // bytes in buf
+	returned bool   // the record was returned
 }
 
 // next reads one record. The record is valid until the next call.
-func (x *records) next() (record, error) {
-	if x.done {
-		x.got, x.have, x.done = 0, 0, false
+func (x *recordReader) next() (record, error) {
+	if x.returned {
+		x.headRead, x.bufRead, x.returned = 0, 0, false
 	}
-	for x.got < headerLen {
-		n, err := x.r.Read(x.head[x.got:])
-		if x.got += n; err != nil && x.got < headerLen {
-			if err == io.EOF && x.got > 0 {
+	for x.headRead < headerLen {
+		n, err := x.r.Read(x.head[x.headRead:])
+		if x.headRead += n; err != nil && x.headRead < headerLen {
+			if err == io.EOF && x.headRead > 0 {
 				err = fmt.Errorf("%w: connection ended inside a header", errRecord)
 			}
 			return record{}, err
@@ -78,31 +78,31 @@
 	size := n + int(x.head[6])
 	// Do not keep the buffer of a large record for the lifetime of the connection: most records are small, and there are
 	// many connections.
-	if x.have == 0 && (size > cap(x.buf) || cap(x.buf) > bufferKept && size <= bufferKept) {
-		x.buf = make([]byte, max(size, bufferFirst))
+	if x.bufRead == 0 && (size > cap(x.buf) || cap(x.buf) > maxKeptBuffer && size <= maxKeptBuffer) {
+		x.buf = make([]byte, max(size, minBuffer))
 	}
-	for b := x.buf[:size]; x.have < size; {
-		n, err := x.r.Read(b[x.have:])
-		if x.have += n; err != nil && x.have < size {
+	for b := x.buf[:size]; x.bufRead < size; {
+		n, err := x.r.Read(b[x.bufRead:])
+		if x.bufRead += n; err != nil && x.bufRead < size {
 			if err == io.EOF {
 				err = fmt.Errorf("%w: connection ended inside the content", errRecord)
 			}
 			return record{}, err
 		}
 	}
-	x.done = true
+	x.returned = true
 	return record{x.head[1], binary.BigEndian.Uint16(x.head[2:]), x.buf[:n]}, nil
 }
 
-// idle reports whether no byte of the next record has been read.
-func (x *records) idle() bool { return x.done || x.got == 0 }
+// atBoundary reports whether no byte of the next record has been read.
+func (x *recordReader) atBoundary() bool { return x.returned || x.headRead == 0 }
 
-// rest returns the bytes that were read of a partial record.
-func (x *records) rest() []byte {
-	if x.done {
+// partialBytes returns the bytes that were read of a partial record.
+func (x *recordReader) partialBytes() []byte {
+	if x.returned {
 		return nil
 	}
-	return append(append([]byte(nil), x.head[:x.got]...), x.buf[:x.have]...)
+	return append(append([]byte(nil), x.head[:x.headRead]...), x.buf[:x.bufRead]...)
 }
 
 func appendRecord(b []byte, kind byte, id uint16, data []byte) []byte {
@@ -114,7 +114,7 @@
 func appendStdout(b []byte, id uint16, head, body []byte) []byte {
 	b = appendRecord(b, typeStdout, id, head)
 	for len(body) > 0 {
-		n := min(len(body), contentMost&^7)
+		n := min(len(body), maxContent&^7)
 		b = appendRecord(b, typeStdout, id, body[:n])
 		body = body[n:]
 	}
@@ -129,8 +129,8 @@
 	return appendRecord(b, typeEnd, id, body[:])
 }
 
-// pairs parses name-value pairs and calls fn for each of them.
-func pairs(b []byte, fn func(name, value string)) error {
+// parsePairs parses name-value pairs and calls fn for each of them.
+func parsePairs(b []byte, fn func(name, value string)) error {
 	for len(b) > 0 {
 		var n [2]int
 		for i := range n {
--- a/front/fastcgi/slow_client_test.go
+++ b/front/fastcgi/slow_client_test.go
@@ -24,22 +24,22 @@
 	}})
 	var serving sync.WaitGroup
 	defer serving.Wait()
-	slow, far := accepted(t)
+	slow, far := tcpPair(t)
 	defer slow.Close()
 	serving.Go(func() { f.Handle(far) })
-	slow.Write(append(begin(1), whole(1, "/v1/firmware", "1")...))
+	slow.Write(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "1")...))
 	request := <-requests
 	request.Frontend.Answer(request.RequestTag, core.Answer{Verdict: core.Served, Body: make([]byte, large)})
 
-	good, far := accepted(t)
+	good, far := tcpPair(t)
 	defer good.Close()
 	serving.Go(func() { f.Handle(far) })
-	cl := listen(good)
+	cl := newClient(good)
 	for id, want := range map[uint16]struct {
 		size   int
 		status string
 	}{2: {2 << 20, "Status: 502"}, 3: {100, "Status: 200"}} {
-		good.Write(append(begin(id), whole(id, "/v1/firmware", "2")...))
+		good.Write(append(beginRecord(id), paramsAndStdin(id, "/v1/firmware", "2")...))
 		request := <-requests
 		request.Frontend.Answer(request.RequestTag, core.Answer{Verdict: core.Served, Body: make([]byte, want.size)})
 		select {
@@ -52,16 +52,16 @@
 		}
 	}
 
-	f.budget.Limit(large / 2) // exhausted until the slow client has read its response
-	near, far := accepted(t)  // a connection that another process hands over, which still answers its request
+	f.responseBudget.Limit(large / 2) // exhausted until the slow client has read its response
+	near, far := tcpPair(t)           // a connection that another process hands over, which still answers its request
 	defer near.Close()
 	oldProcess, from := unixPair(t)
 	defer oldProcess.Close()
 	serving.Go(func() { f.Adopt(from) })
-	if err := sendEstate(oldProcess, far, []byte{0, 7}, nil); err != nil {
+	if err := sendState(oldProcess, far, []byte{0, 7}, nil); err != nil {
 		t.Fatal(err)
 	}
-	adopted := listen(near)
+	adopted := newClient(near)
 	const size = 4 << 20
 	serving.Go(func() { oldProcess.Write(appendStdout(nil, 7, []byte("Status: 200 OK\r\n\r\n"), make([]byte, size))) })
 	select { // its response exceeds the budget
@@ -70,7 +70,7 @@
 	case <-time.After(100 * time.Millisecond):
 	}
 
-	if e := listen(slow).wait(t, 1); e.stdout.Len() < large {
+	if e := newClient(slow).wait(t, 1); e.stdout.Len() < large {
 		t.Errorf("the slow client received %d bytes", e.stdout.Len())
 	}
 	if e := adopted.wait(t, 7); e.stdout.Len() < size {
--- a/front/fastcgi/unread_cancel_test.go
+++ b/front/fastcgi/unread_cancel_test.go
@@ -10,8 +10,8 @@
 	"turnfork.dev/turnfork/front"
 )
 
-// accepted returns both ends of a TCP connection that is not served yet.
-func accepted(t *testing.T) (near, far *net.TCPConn) {
+// tcpPair returns both ends of a TCP connection that is not served yet.
+func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -52,9 +52,9 @@
 // A request that the client cancels before the frontend reads it must not be passed to the core: a close, a reset or
 // ABORT_REQUEST may be unread behind the request, and behind other bytes, while the connection waits to be served.
 func TestCancelReceivedBehindUnreadRequest(t *testing.T) {
-	request := append(begin(1), whole(1, "/v1/tile", "0a")...)
+	request := append(beginRecord(1), paramsAndStdin(1, "/v1/tile", "0a")...)
 	abort := appendRecord(nil, typeAbort, 1, nil)
-	large := append(begin(2), appendRecord(nil, typeParams, 2, make([]byte, 3*(4<<10)))...) // more than the reader's buffer
+	large := append(beginRecord(2), appendRecord(nil, typeParams, 2, make([]byte, 3*(4<<10)))...) // more than the reader's buffer
 	join := func(parts ...[]byte) (b []byte) {
 		for _, p := range parts {
 			b = append(b, p...)
@@ -76,14 +76,14 @@
 		"no cancel, and a partial request": {join(request, large), nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			near, far := accepted(t)
+			near, far := tcpPair(t)
 			near.Write(c.sent)
 			if c.disconnect != nil {
 				c.disconnect(near)
 			}
 			waitForArrival(t, far, len(c.sent), c.disconnect != nil)
 			requests, served, flushed := make(chan core.Request, 1), make(chan struct{}), make(chan struct{})
-			f := newFront(func(ev core.Event) {
+			f := newTestFrontend(func(ev core.Event) {
 				switch ev := ev.(type) {
 				case core.Request:
 					requests <- ev
@@ -103,7 +103,7 @@
 			}
 			near.Close()
 			<-served
-			f.box.Put(core.GetStats{})
+			f.events.Put(core.GetStats{})
 			<-flushed // the queue to the core is empty
 			if len(requests) > 0 {
 				t.Errorf("passed to the core after the client had canceled it: %+v", <-requests)
--- a/front/fastcgi/write_test.go
+++ b/front/fastcgi/write_test.go
@@ -28,7 +28,7 @@
 func TestWriteTimeoutAppliesToEachChunk(t *testing.T) {
 	var out [][]byte
 	var want []byte
-	for i, n := range []int{10, 300 << 10, 0, 7, writePiece, 5} {
+	for i, n := range []int{10, 300 << 10, 0, 7, writeChunk, 5} {
 		b := bytes.Repeat([]byte{byte('a' + i)}, n)
 		out, want = append(out, b), append(want, b...)
 	}
@@ -37,11 +37,11 @@
 		t.Fatalf("error %v, %d bytes of %d", err, c.written.Len(), len(want))
 	}
 	for _, n := range c.perDeadline {
-		if n > writePiece {
+		if n > writeChunk {
 			t.Errorf("%d bytes under one deadline", n)
 		}
 	}
-	if len(c.perDeadline) > len(want)/writePiece+1 {
+	if len(c.perDeadline) > len(want)/writeChunk+1 {
 		t.Errorf("%d writes for %d bytes", len(c.perDeadline), len(want))
 	}
 }
--- a/front/front.go
+++ b/front/front.go
@@ -26,34 +26,34 @@
 	Log              zerolog.Logger
 	Tap              func(net.Conn) net.Conn // wraps each connection, for recording; nil: none
 
-	mu             sync.Mutex
-	conns          map[*Conn]struct{}
-	fullLogged     bool // the warning that the limit is reached has been logged
-	draining       bool
-	drainStartedAt float64
-	leaving        bool // another process accepts the new connections
-	leftAt         float64
-	handsOver      bool // open connections are handed over to that process
-	stopping       bool // the process is about to end
-	max            int  // replaces Max if > 0
-	closing        int  // connections whose readers were asked to close them less than evictionTimeout ago
-	stuck          int  // connections whose readers have not closed them within evictionTimeout
-	checking       bool // checkClosing is scheduled
-	waiters        []*waiter
-	stalls         stalls
+	mu                  sync.Mutex
+	conns               map[*Conn]struct{}
+	limitLogged         bool // the warning that the limit is reached has been logged
+	draining            bool
+	drainStartedAt      float64
+	retiring            bool // another process accepts the new connections
+	retireStartedAt     float64
+	handOverConns       bool // open connections are handed over to that process
+	stopping            bool // the process is about to end
+	maxOverride         int  // replaces Max if > 0
+	closingCount        int  // connections whose readers were asked to close them less than evictionTimeout ago
+	stuckCount          int  // connections whose readers have not closed them within evictionTimeout
+	closeCheckScheduled bool // checkPendingCloses is scheduled
+	waiters             []*waiter
+	stalls              stalls
 }
 
 const (
-	minAcceptPause = 5 * time.Millisecond
-	maxAcceptPause = 500 * time.Millisecond
-	sweepInterval  = 100 * time.Millisecond
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = 500 * time.Millisecond
+	sweepInterval    = 100 * time.Millisecond
 )
 
 // Limit changes the maximum number of connections. Open connections in excess of it are not closed.
 func (s *Server) Limit(maxConns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.max = max(1, maxConns)
+	s.maxOverride = max(1, maxConns)
 }
 
 // Conns returns the number of open connections.
@@ -65,8 +65,8 @@
 
 // limit returns the maximum number of connections. The caller holds mu.
 func (s *Server) limit() int {
-	if s.max > 0 {
-		return s.max
+	if s.maxOverride > 0 {
+		return s.maxOverride
 	}
 	return s.Max
 }
@@ -117,7 +117,7 @@
 			}
 			// Errors such as EMFILE are temporary: back off until descriptors are free again.
 			s.Log.Warn().Err(err).Msg("accept failed")
-			pause = min(max(2*pause, minAcceptPause), maxAcceptPause)
+			pause = min(max(2*pause, minAcceptBackoff), maxAcceptBackoff)
 			select {
 			case <-time.After(pause):
 			case <-ctx.Done():
@@ -132,7 +132,7 @@
 			continue
 		}
 		g.Go(func() error {
-			conn := s.await(ctx, w)
+			conn := s.waitForSlot(ctx, w)
 			<-unadmitted
 			s.serveAdmitted(ctx, conn, handle)
 			return nil
@@ -145,7 +145,7 @@
 	ctx := context.Background()
 	conn, w := s.admitOrWait(nc)
 	if conn == nil {
-		conn = s.await(ctx, w)
+		conn = s.waitForSlot(ctx, w)
 	}
 	s.serveAdmitted(ctx, conn, handle)
 }
@@ -156,7 +156,7 @@
 	s.mu.Lock()
 	conn := s.add(nc)
 	conn.hadRequest, conn.openRequests = true, 1
-	s.makeRoom(0)
+	s.evictIfNeeded(0)
 	s.mu.Unlock()
 	s.serve(conn, handle)
 }
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -156,7 +156,7 @@
 		s.Drain(true) // has no effect in a drain
 		s.Sweep()
 	}
-	step(drainNotice - 1)
+	step(drainCloseIdleAfter - 1)
 	if closed(idle) || closed(busy) {
 		t.Error("closed before the platform can have noticed the drain")
 	}
@@ -171,11 +171,11 @@
 	if busy.Update(0, true, 0); !closed(busy) {
 		t.Error("a busy connection is not closed after its last response")
 	}
-	step(drainRefuse - drainNotice)
+	step(drainRejectAfter - drainCloseIdleAfter)
 	if _, reject := s.Draining(); !reject || !closed(fresh) {
 		t.Error("requests are not rejected, or a new silent connection is not closed")
 	}
-	if step(drainHalf - drainRefuse); shed != 1 || !closed(partial) {
+	if step(drainRejectPartialAfter - drainRejectAfter); shed != 1 || !closed(partial) {
 		t.Errorf("the partial request was rejected %d times, or its connection was not closed", shed)
 	}
 	last := s.tryAdmit(&testConn{})
--- a/front/mailbox.go
+++ b/front/mailbox.go
@@ -12,7 +12,7 @@
 	Post func(T) // may block
 
 	mu      sync.Mutex
-	waiting list.List
+	queue   list.List
 	posting bool
 }
 
@@ -20,10 +20,10 @@
 func (m *Mailbox[T]) Put(ev T) *list.Element {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	e := m.waiting.PushBack(ev)
+	e := m.queue.PushBack(ev)
 	if !m.posting {
 		m.posting = true
-		go m.hand()
+		go m.deliver()
 	}
 	return e
 }
@@ -35,23 +35,23 @@
 	if e.Value == nil {
 		return false
 	}
-	m.waiting.Remove(e)
+	m.queue.Remove(e)
 	e.Value = nil
 	return true
 }
 
-// hand passes events to Post until the queue is empty.
-func (m *Mailbox[T]) hand() {
+// deliver passes events to Post until the queue is empty.
+func (m *Mailbox[T]) deliver() {
 	for {
 		m.mu.Lock()
-		e := m.waiting.Front()
+		e := m.queue.Front()
 		if e == nil {
 			m.posting = false
 			m.mu.Unlock()
 			return
 		}
 		ev := e.Value.(T)
-		m.waiting.Remove(e)
+		m.queue.Remove(e)
 		e.Value = nil
 		m.mu.Unlock()
 		m.Post(ev)
--- a/front/sweep.go
+++ b/front/sweep.go
@@ -11,13 +11,13 @@
 	}()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fullLogged = s.fullLogged && len(s.conns) >= s.limit()
+	s.limitLogged = s.limitLogged && len(s.conns) >= s.limit()
 	for x := range s.conns {
 		if x.hadRequest && x.openRequests == 0 && x.requestDeadline == 0 &&
 			!x.closing && s.IdleTimeout > 0 && now > x.idleSince+s.IdleTimeout {
 			s.requestClose(x)
 		}
-		late := x.late(now)
+		late := x.timedOut(now)
 		switch {
 		case late && x.openRequests > 0 && x.shedPartial != nil:
 			// Only the partial requests are rejected, so that the connection's open requests are not lost.
@@ -30,5 +30,5 @@
 			sheds = append(sheds, x.shedPartial)
 		}
 	}
-	s.makeRoom(0)
+	s.evictIfNeeded(0)
 }
--- a/front/unread.go
+++ b/front/unread.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// control calls f with a connection's descriptor. It returns false if the connection does not provide one, such as a test
+// withDescriptor calls f with a connection's descriptor. It returns false if the connection does not provide one, such as a test
 // double or a connection that is recorded.
-func control(c net.Conn, f func(fd int)) (ok bool) {
+func withDescriptor(c net.Conn, f func(fd int)) (ok bool) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return false
@@ -22,8 +22,8 @@
 	return raw.Control(func(fd uintptr) { f(int(fd)) }) == nil
 }
 
-// uninterrupted repeats a system call while it fails with EINTR.
-func uninterrupted(call func() (int, error)) (n int, err error) {
+// retryOnEINTR repeats a system call while it fails with EINTR.
+func retryOnEINTR(call func() (int, error)) (n int, err error) {
 	for {
 		if n, err = call(); !errors.Is(err, syscall.EINTR) {
 			return n, err
@@ -31,12 +31,12 @@
 	}
 }
 
-// unread reports whether there are bytes in the socket's receive buffer. It returns false if the connection provides no
+// hasUnread reports whether there are bytes in the socket's receive buffer. It returns false if the connection provides no
 // descriptor.
-func unread(c net.Conn) (found bool) {
-	control(c, func(fd int) {
+func hasUnread(c net.Conn) (found bool) {
+	withDescriptor(c, func(fd int) {
 		var b [1]byte
-		n, err := uninterrupted(func() (int, error) {
+		n, err := retryOnEINTR(func() (int, error) {
 			n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return n, err
 		})
@@ -55,9 +55,9 @@
 // Pending reports whether a read would not block, and whether the peer has closed or reset the connection, even if unread
 // bytes precede that. Both are false if the connection provides no descriptor.
 func Pending(c net.Conn) (readable, gone bool) {
-	control(c, func(fd int) {
+	withDescriptor(c, func(fd int) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
-		if n, err := uninterrupted(func() (int, error) { return unix.Poll(p, 0) }); err != nil || n == 0 {
+		if n, err := retryOnEINTR(func() (int, error) { return unix.Poll(p, 0) }); err != nil || n == 0 {
 			return
 		}
 		readable = p[0].Revents&unix.POLLIN != 0
--- a/front/unread_test.go
+++ b/front/unread_test.go
@@ -9,7 +9,7 @@
 // request could be closed.
 func TestSystemCallsAreRepeatedAfterSignals(t *testing.T) {
 	calls := 0
-	n, err := uninterrupted(func() (int, error) {
+	n, err := retryOnEINTR(func() (int, error) {
 		if calls++; calls < 4 {
 			return -1, syscall.EINTR
 		}
@@ -18,7 +18,7 @@
 	if n != 1 || err != nil || calls != 4 {
 		t.Errorf("%d, %v after %d calls", n, err, calls)
 	}
-	if _, err := uninterrupted(func() (int, error) { return -1, syscall.EAGAIN }); err != syscall.EAGAIN {
+	if _, err := retryOnEINTR(func() (int, error) { return -1, syscall.EAGAIN }); err != syscall.EAGAIN {
 		t.Errorf("EAGAIN was returned as %v", err)
 	}
 }
