--- a/front/admission.go
+++ b/front/admission.go
@@ -57,8 +57,8 @@
 	return nil, w
 }
 
-// waitForSlot waits until a connection has a slot. After admissionTimeout, or when ctx is done, it closes the connection and returns
-// nil.
+// waitForSlot waits until a connection has a slot. After admissionTimeout, or when ctx is done, it closes the connection and
+// returns nil.
 func (s *Server) waitForSlot(ctx context.Context, w *waiter) *Conn {
 	timeout := time.NewTimer(admissionTimeout)
 	defer timeout.Stop()
@@ -122,8 +122,8 @@
 	}
 }
 
-// evictIfNeeded evicts idle connections if too few slots are free, or about to be, for the waiting connections, the arriving ones
-// and the reserve. It evicts in batches, so that not every new connection causes a scan of all connections.
+// evictIfNeeded evicts idle connections if too few slots are free, or about to be, for the waiting connections, the arriving
+// ones and the reserve. It evicts in batches, so that not every new connection causes a scan of all connections.
 func (s *Server) evictIfNeeded(arriving int) {
 	wanted := len(s.waiters) + arriving
 	free := s.capacity() - len(s.conns) + s.closingCount
@@ -176,8 +176,8 @@
 	x.closing, x.stuck = false, false
 }
 
-// checkPendingCloses marks the connections that were not closed within evictionTimeout as stuck, evicts others in their stead, and
-// schedules itself again while readers are still to close connections.
+// checkPendingCloses marks the connections that were not closed within evictionTimeout as stuck, evicts others in their
+// stead, and schedules itself again while readers are still to close connections.
 func (s *Server) checkPendingCloses() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,9 +211,9 @@
 }
 
 // evictionCandidates returns up to count connections to evict. Connections that have never sent a complete request or have
-// stalled in one go first, longest silent first, while they hold more than 1/silentDivisor of the slots; otherwise the connection
-// with the oldest activity goes first. A connection with a partial request is a candidate only after partialGrace without a
-// new byte.
+// stalled in one go first, longest silent first, while they hold more than 1/silentDivisor of the slots; otherwise the
+// connection with the oldest activity goes first. A connection with a partial request is a candidate only after partialGrace
+// without a new byte.
 func (s *Server) evictionCandidates(count int) []*Conn {
 	now := s.Clock.Now()
 	var silent, idle []candidate
--- a/front/arrival.go
+++ b/front/arrival.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// lastDataReceived returns how many ms ago data last arrived on a connection, by the kernel's monotonic clock, and how many segments
-// with data have arrived on it. Both are zero if the connection does not provide them.
+// lastDataReceived returns how many ms ago data last arrived on a connection, by the kernel's monotonic clock, and how many
+// segments with data have arrived on it. Both are zero if the connection does not provide them.
 func lastDataReceived(c net.Conn) (age float64, segments uint32) {
 	withDescriptor(c, func(fd int) {
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
--- a/front/drain.go
+++ b/front/drain.go
@@ -14,9 +14,10 @@
 	retireRejectPartialAfter = 1500.0 // from then on partial requests are rejected
 )
 
-// closableInDrain reports whether the connection can be closed in a drain: the platform has had time to notice the drain, no request
-// is open, and there are no unread bytes, as a request that crosses the close is lost to its client. If another process
-// accepts the new connections, there is no need to wait for the platform. A new connection has drainNewConnGrace to send a request.
+// closableInDrain reports whether the connection can be closed in a drain: the platform has had time to notice the drain, no
+// request is open, and there are no unread bytes, as a request that crosses the close is lost to its client. If another
+// process accepts the new connections, there is no need to wait for the platform. A new connection has drainNewConnGrace to
+// send a request.
 func (s *Conn) closableInDrain(now float64) bool {
 	due := s.acceptedAt
 	if !s.hadRequest {
--- a/front/fastcgi/fastcgi.go
+++ b/front/fastcgi/fastcgi.go
@@ -32,7 +32,7 @@
 	Log        zerolog.Logger
 	MaxConns   int                          // simultaneous connections; 0: 300
 	MaxBytes   int64                        // bytes of responses queued for writing, over all connections; 0: 48 MB
-	RetryAfter float64                      // X-Throttle-Ms of responses that a drain or overload rejects; 0: no header
+	RetryAfter float64                      // ms; X-Throttle-Ms of rejections in a drain and of overload responses; 0: no header
 	MaxTaken   int64                        // bytes of parameters and bodies of open requests, over all connections; 0: 16 MB
 	Tap        func(conn net.Conn) net.Conn // wraps each connection, for recording; nil: none
 }
@@ -172,7 +172,7 @@
 
 	mu               sync.Mutex
 	open             map[uint16]*request
-	lastTag          uint64 // number of tags assigned
+	lastTag          uint64 // number of tags assigned, the upper bits of the last one
 	out              [][]byte
 	pendingResponses int        // responses queued and not yet written
 	unsubmitted      []*request // complete, in order of arrival; not yet put into the queue to the core
@@ -333,8 +333,8 @@
 	return nil
 }
 
-// updateServer updates the server's state of the connection. A response that is not yet written counts as an open request, so that
-// the connection does not count as idle and get closed before it is written.
+// updateServer updates the server's state of the connection. A response that is not yet written counts as an open request,
+// so that the connection does not count as idle and get closed before it is written.
 func (c *conn) updateServer() {
 	deadline, partial := 0.0, 0
 	for _, q := range c.open {
@@ -462,9 +462,9 @@
 	return r.in.Read(b)
 }
 
-// submitRequests passes the complete requests to the core once the bytes received after them are read, or after maxDelay ms. Such
-// bytes may cancel the request, or the client may have closed the connection; either may have been unread here for as long as
-// the request was, and the request would be sent to an endpoint in vain.
+// submitRequests passes the complete requests to the core once the bytes received after them are read, or after maxDelay ms.
+// Such bytes may cancel the request, or the client may have closed the connection; either may have been unread here for as
+// long as the request was, and the request would be sent to an endpoint in vain.
 func (c *conn) submitRequests(maxDelay float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -568,13 +568,13 @@
 		strconv.Itoa(len(body)) + "\r\n" + head + "\r\n"
 	c.closeAfterWrite = c.closeAfterWrite || q != nil && !q.keepConn
 	if !c.trySend(appendStdout(make([]byte, 0, len(text)+len(body)+64+len(body)/8000), id, []byte(text), body)) {
-		c.frontend.opt.Log.Warn().Msg("response budget exhausted; responding 502 instead")
+		c.frontend.opt.Log.Warn().Msg("response buffer limit reached; responding 502")
 		c.send(c.overBudgetResponse(id))
 	}
 }
 
-// overBudgetResponse returns the response for a request whose actual response exceeds the response budget. The status is 502, as the
-// request may have been executed.
+// overBudgetResponse returns the response for a request whose actual response exceeds the response budget. The status is
+// 502, as the request may have been executed.
 func (c *conn) overBudgetResponse(id uint16) []byte {
 	text := "Status: 502 Bad Gateway\r\nContent-Length: 0\r\n" + throttleHeader(c.frontend.opt.RetryAfter) + "\r\n"
 	return appendStdout(nil, id, []byte(text), nil)
@@ -587,7 +587,7 @@
 		q.reserved += n
 		return true
 	}
-	c.frontend.opt.Log.Warn().Msg("request budget exhausted; request rejected")
+	c.frontend.opt.Log.Warn().Msg("request buffer limit reached; request rejected")
 	c.removeRequest(id)
 	c.send(appendEnd(nil, id, 0, protoOverload))
 	return false
@@ -610,7 +610,7 @@
 		return
 	}
 	if len(b) > smallResponse || c.pendingResponses >= maxUnreadResponses {
-		c.frontend.opt.Log.Warn().Msg("response budget exhausted; closing connection of slow client")
+		c.frontend.opt.Log.Warn().Msg("response buffer limit reached; closing connection of slow client")
 		c.closed = true
 		c.net.Close()
 		return
--- a/front/fastcgi/handover.go
+++ b/front/fastcgi/handover.go
@@ -48,24 +48,25 @@
 	nc.SetReadDeadline(time.Unix(1, 0))
 }
 
-// handOver hands the connection over to the new process. It is called by the reader, so nothing is read from the client meanwhile.
-// The writer is paused, so that each response is written entirely to the client or entirely to the new process. On success,
-// handOver returns the Unix connection, from which the reader continues.
-func (c *conn) handOver(r *recordReader, buffered *bufio.Reader) (next net.Conn, passed bool) {
+// handOver hands the connection over to the new process. It is called by the reader, so nothing is read from the client
+// meanwhile. The writer is paused, so that each response is written entirely to the client or entirely to the new process.
+// On success, handOver returns the Unix connection, from which the reader continues.
+func (c *conn) handOver(r *recordReader, buffered *bufio.Reader) (next net.Conn, handedOver bool) {
 	c.mu.Lock()
 	nc, relaying := c.net, len(c.relayed) > 0
 	c.mu.Unlock()
 	nc.SetReadDeadline(time.Time{})
 	defer func() {
-		if passed {
+		if handedOver {
 			c.serverConn.HandedOver(next)
 		} else {
 			c.serverConn.HandedOver(nil)
 		}
 		c.mu.Lock()
 		c.writesPaused = false
-		// After a failed handover nothing has changed. Another call of updateServer would interrupt the reader again, in an endless loop.
-		if passed {
+		// After a failed handover nothing has changed. Another call of updateServer would interrupt the reader again, in an
+		// endless loop.
+		if handedOver {
 			c.updateServer()
 		}
 		c.mu.Unlock()
@@ -76,7 +77,7 @@
 	}()
 	tcp, ok := nc.(*net.TCPConn)
 	successor := c.frontend.successor.Load()
-	if !ok || successor == nil || relaying { // responses that a third process still relays here can't be handed over
+	if !ok || successor == nil || relaying { // responses relayed from a third process can't be handed over
 		return nil, false
 	}
 	defer c.watchClient(tcp)()
@@ -130,7 +131,7 @@
 	}
 	c.net = to
 	c.mu.Unlock()
-	tcp.Close() // our copy
+	tcp.Close() // only this process's copy of the descriptor
 	return to, true
 }
 
@@ -157,9 +158,9 @@
 	return func() { close(stopped) }
 }
 
-// awaitReceipt waits until the new process has read everything that was sent to it. It returns false if that process closed the
-// Unix connection before: then it does not read from the client connection and never will. After handoverTimeout the state counts as
-// read.
+// awaitReceipt waits until the new process has read everything that was sent to it. It returns false if that process closed
+// the Unix connection before: then it does not read from the client connection and never will. After handoverTimeout the
+// state counts as read.
 func awaitReceipt(to *net.UnixConn) bool {
 	raw, err := to.SyscallConn()
 	if err != nil {
@@ -310,8 +311,9 @@
 	}
 }
 
-// relayResponses passes the responses of the old process on to the client. Requests that it has not answered when it ends have failed.
-// If one of them is answered in part, the client connection is closed, so that the client sees that the response is truncated.
+// relayResponses passes the responses of the old process on to the client. Requests that it has not answered when it ends
+// have failed. If one of them is answered in part, the client connection is closed, so that the client sees that the
+// response is truncated.
 func (c *conn) relayResponses() {
 	c.mu.Lock()
 	r := &recordReader{r: bufio.NewReaderSize(c.oldProcess, 4<<10)}
