--- a/claims/claims.go
+++ b/claims/claims.go
@@ -2,8 +2,8 @@
 // claim: it does no I/O, and a replicated log applies the steps in one order, so every member computes the same record.
 //
 // A use passes the stages held (reserved), sent, and ran or doubt. Only while it is held can it pass to another request: its
-// owner has sent nothing yet, and the owner's own step to sent fails once the use is another's. A hold whose outcome its
-// owner never learned therefore blocks nobody from the token, and a use that may have run is never granted a second time.
+// owner has sent nothing yet, and the owner's own step to sent fails once the use belongs to another request. A hold whose
+// outcome its owner never learned therefore blocks no other request, and a use that may have run is never granted again.
 //
 // It does not know tokens, nor when a record is dropped; that is up to packages front/signed and replica.
 package claims
@@ -33,7 +33,7 @@
 	At      float64 `json:"at,omitempty"` // Unix ms of the step to sent; 0: unknown
 }
 
-// settleDelay is how long, in ms, it may take to agree on the last step of a use.
+// outcomeDelay is the longest time, in ms, that recording the last step of a use may take.
 const settleDelay = 2000
 
 // Pending reports whether the last step of a use may still follow at now, in Unix ms, if a request takes at most requestMS.
@@ -48,10 +48,10 @@
 
 // The steps. Each is idempotent for its owner, so a step of unknown outcome can be repeated. They are stored under these names.
 const (
-	Hold    Op = "hold"    // reserve a use that is nobody's, or only held by another
+	Hold    Op = "hold"    // reserve a use that has no owner, or that another only holds
 	Send    Op = "send"    // the owner is about to send
 	Settle  Op = "settle"  // the use ended in the stage To
-	Release Op = "release" // nothing ran: the use is nobody's again
+	Release Op = "release" // nothing ran: the use has no owner again
 )
 
 // Step is a step of an owner.
@@ -116,7 +116,7 @@
 	return r, true, true
 }
 
-// applyRelease drops a use that did not run. A use that nobody has is granted as a repeated step.
+// applyRelease deletes the record of a use that did not run. Without a record the step is granted, as a repeated one.
 func applyRelease(r Record, exists bool, s Step) (next Record, keep, ok bool) {
 	if !exists {
 		return r, false, true
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzApply has requests for one token take any steps in any order, some twice, and holds the records to the promise: no
-// two requests are ever about to send at once, and none after one that ran or may have.
+// FuzzApply applies steps of several requests for one token in any order, some of them twice. It checks that no two requests
+// may ever send at once, and that none may send after one that ran or may have run.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte{0, 1, 4, 5, 1, 0, 8, 9})
 	f.Add([]byte{0, 16, 4, 20, 8, 0, 16})
@@ -37,7 +37,7 @@
 					continue
 				}
 				s.Op, s.To, s.Outcome = Settle, []Stage{Ran, Doubt}[b%2], "200"
-			case 3: // nothing ran: it was refused, or never knew that it might send
+			case 3: // nothing ran: the request was rejected, or it never learned that it may send
 				if q.ended {
 					continue
 				}
@@ -46,10 +46,10 @@
 			before := r
 			next, stays, ok := Apply(r, there, s)
 			if again, stays2, ok2 := Apply(next, stays, s); ok && (again != next || stays2 != stays || !ok2) && s.Op != Hold {
-				t.Fatalf("step %d: made again it differs: %+v %+v", i, next, again)
+				t.Fatalf("step %d: repeated, its result differs: %+v %+v", i, next, again)
 			}
 			if !ok && next != before {
-				t.Fatalf("step %d: refused, yet it changed %+v to %+v", i, before, next)
+				t.Fatalf("step %d: not granted, but it changed %+v to %+v", i, before, next)
 			}
 			r, there = next, stays
 			if !stays {
@@ -62,7 +62,7 @@
 			case Send:
 				for other, o := range all {
 					if other != owner && o.sends && !o.released {
-						t.Fatalf("step %d: %s may send beside %s", i, owner, other)
+						t.Fatalf("step %d: %s may send while %s may send", i, owner, other)
 					}
 				}
 				q.sends = true
--- a/front/signed/answer.go
+++ b/front/signed/answer.go
@@ -19,7 +19,7 @@
 
 const octets = "application/octet-stream"
 
-// fail answers a request with an error, and says in Proxy-Status (RFC 9209) what stood in its way.
+// fail answers a request with an error, and states the cause in Proxy-Status (RFC 9209).
 func (c *conn) fail(s *slot, status int, code, text, head string) {
 	c.reply(s, c.front.errorAnswer(s, status, code, text, head))
 }
@@ -28,7 +28,8 @@
 	return http1.ErrorAnswer(status, code, text, f.date()+head+proxyStatus(code)+f.opt.CORS.answer(&s.msg), s.msg.Close)
 }
 
-// causes are the proxy error types of RFC 9209, 2.3, by this front's codes; http_request_denied where none is given.
+// proxyErrors maps the frontend's error codes to the proxy error types of RFC 9209, 2.3. The type of other codes is
+// http_request_denied.
 var causes = map[string]string{
 	"malformed": "http_request_error", "method": "http_request_error", "not_found": "destination_not_found",
 	"unknown_class": "destination_not_found", "crowded": "connection_limit_reached", "draining": "destination_unavailable",
@@ -37,7 +38,7 @@
 	"no_quorum": "proxy_internal_error",
 }
 
-// statuses keeps the lines that were worded; the codes are few, and the program's own.
+// proxyStatusHeaders caches the headers by code. It stays small, as all codes are constants of the program.
 var statuses sync.Map
 
 func proxyStatus(code string) string {
@@ -58,13 +59,13 @@
 
 func structured(name string, item httpsfv.Item) string {
 	text, err := httpsfv.Marshal(httpsfv.List{item})
-	if err != nil { // all of it is written above
+	if err != nil { // never: names and values are constants
 		return ""
 	}
 	return name + ": " + text + "\r\n"
 }
 
-// served words a representation under the request's conditions.
+// buildRepresentation returns the response with a representation, or what the request's conditions and ranges make of it.
 func (f *Front) served(s *slot, a core.Answer, head string) []byte {
 	m := &s.msg
 	head += f.common(s, a)
@@ -102,7 +103,7 @@
 	return "Content-Range: bytes " + strconv.Itoa(p.From) + "-" + strconv.Itoa(p.To-1) + "/" + size + "\r\n"
 }
 
-// multipart words several ranges as multipart/byteranges (RFC 9110, 14.6).
+// multipart encodes several ranges as multipart/byteranges (RFC 9110, 14.6).
 func multipart(body []byte, spans []conditional.Span) (kind string, out []byte) {
 	boundary, size := rand.Text(), strconv.Itoa(len(body))
 	for _, p := range spans {
@@ -112,13 +113,13 @@
 	return "multipart/byteranges; boundary=" + boundary, append(out, "\r\n--"+boundary+"--\r\n"...)
 }
 
-// common words what every answer with a representation says.
+// commonHeaders returns the headers that all responses about a representation share.
 func (f *Front) common(s *slot, a core.Answer) string {
 	return f.date() + f.caching(s, a) + f.opt.CORS.answer(&s.msg)
 }
 
-// caching says how old a copy is and how long it may be kept: as its class permits, and no longer than the grant lasts.
-// It is the client's own, as the URL or the cookie is.
+// cachingHeaders returns the headers that state the age of a copy and how long it may be cached: as long as its class
+// permits, and no longer than the grant is valid. Only private caches may store it, as the URL or the cookie is private too.
 func (f *Front) caching(s *slot, a core.Answer) string {
 	if s.class.Write {
 		return "Cache-Control: no-store\r\n"
@@ -131,7 +132,7 @@
 	}
 	if most := math.Floor(math.Min(s.class.Fresh/1000, age+(s.endsAt-f.opt.Clock.Now())/1000)); most > age {
 		head += "Cache-Control: private, max-age=" + strconv.Itoa(int(most)) + "\r\n"
-	} else { // good until it is purged, or stale already: to be asked for again each time, which 304 makes cheap
+	} else { // valid until it is purged, or stale already: to be revalidated each time, which 304 makes cheap
 		head += "Cache-Control: private, no-cache\r\n"
 	}
 	if s.vary != "" {
@@ -140,7 +141,7 @@
 	return head + f.cacheStatus(s, a, age)
 }
 
-// cacheStatuses are the lines of Cache-Status (RFC 9211) by what a store's answer notes, without their end.
+// cacheStatusHeaders maps the note in an endpoint's response to the header Cache-Status (RFC 9211), without ttl and line end.
 var cacheStatuses = func() map[control.Note]string {
 	line := func(params ...any) string {
 		item := httpsfv.NewItem(httpsfv.Token("turnfork"))
@@ -156,7 +157,7 @@
 	}
 }()
 
-// cacheStatus says whether a store had the copy, and for how long that is fresh yet.
+// cacheStatusHeader returns the header that states whether an endpoint had the copy, and for how long it stays fresh.
 func (f *Front) cacheStatus(s *slot, a core.Answer, age float64) string {
 	text, ok := cacheStatuses[a.Note]
 	if !ok {
@@ -168,13 +169,13 @@
 	return text + "\r\n"
 }
 
-// dateText is the Date of a second.
+// dateLine is the header Date of one second.
 type dateText struct {
 	second int64
 	text   string
 }
 
-// date is the Date of an answer.
+// dateHeader returns the header Date of a response.
 func (f *Front) date() string {
 	second := int64(f.opt.Clock.Unix() / 1000)
 	if d := f.dates.Load(); d != nil && d.second == second {
@@ -185,19 +186,19 @@
 	return d.text
 }
 
-// dated puts a date into a small answer, behind its first line.
+// withDate inserts the header Date after the status line of a small response.
 func (f *Front) dated(b []byte) []byte {
 	return bytes.Replace(b, []byte("\r\n"), []byte("\r\n"+f.date()), 1)
 }
 
-// CORS is what pages of other origins may do (the Fetch standard's protocol). The zero value allows nothing.
+// CORS configures what pages of other origins may do (the Fetch standard's protocol). The zero value allows nothing.
 type CORS struct {
 	Origins []string // as browsers send them; * alone: any
-	Headers []string // that requests may carry, beside the safe ones
-	MaxAge  int      // s that a browser may remember an answer
+	Headers []string // that requests may carry, besides the safelisted ones
+	MaxAge  int      // s for which a browser may cache the response to a preflight
 }
 
-// allows gives what an origin is told, "" where it is not let in.
+// allowedOrigin returns the value of Access-Control-Allow-Origin for a request, or "" if its origin is not allowed.
 func (o *CORS) allows(m *http1.Message) string {
 	origin := m.Header["origin"]
 	for _, x := range o.Origins {
@@ -211,7 +212,7 @@
 	return ""
 }
 
-// answer gives the headers of an ordinary answer.
+// headers returns the CORS headers of a response other than that to OPTIONS.
 func (o *CORS) answer(m *http1.Message) string {
 	origin := o.allows(m)
 	if origin == "" {
@@ -228,7 +229,7 @@
 	return "Vary: Origin\r\n"
 }
 
-// options answers OPTIONS, which needs no token: a browser's preflight has none to show.
+// optionsResponse returns the response to OPTIONS. No token is required, as a browser's preflight carries none.
 func (f *Front) options(s *slot, class Class) []byte {
 	m, allow := &s.msg, "GET, HEAD, OPTIONS"
 	if class.Write {
--- a/front/signed/claim.go
+++ b/front/signed/claim.go
@@ -8,8 +8,9 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// outcome words how a claimed request ended. A refusal promises that nothing ran, and one that was never sent on has not
-// run: the token may be used again. What failed after it was sent may have run.
+// outcomeStep returns the step that records how a claimed request ended. A rejection guarantees that nothing ran, and a
+// request that was never sent has not run either: the token may be used again. A request that failed after it was sent may
+// have run.
 func outcome(s *slot, a core.Answer) claims.Step {
 	step := claims.Step{Op: claims.Settle, Owner: s.owner, To: claims.Doubt}
 	switch {
@@ -25,7 +26,7 @@
 	return step
 }
 
-// claimOf words a claim's stage for a machine.
+// claimHeader returns the value of X-Claim for the stage of a claim.
 func claimOf(r claims.Record) string {
 	if r.Stage == "" {
 		return "unknown"
@@ -33,7 +34,7 @@
 	return string(r.Stage)
 }
 
-// replayed says what is known of a use that was made before.
+// replayDetail describes what is known of the earlier use of a token.
 func replayed(r claims.Record) string {
 	text := "the token has been used"
 	switch r.Stage {
@@ -52,13 +53,14 @@
 	return text
 }
 
-// settle makes a claim's last step without holding up the core, and goes on trying for a while: a store without a leader
-// has one again soon. Past the bound on how many wait, the claim stays as it is, which keeps the token from a second use.
+// recordOutcome applies the last step of a claim without blocking the core. The step is retried until the time-out, as a group
+// of voters without a leader soon elects one. If too many steps are pending, the claim stays as it is, which prevents a second
+// use of the token.
 func (f *Front) settle(name string, step claims.Step) {
 	select {
 	case f.release <- struct{}{}:
 	default:
-		f.opt.Log.Warn().Str("claim", name).Msg("claim not settled: too many wait")
+		f.opt.Log.Warn().Str("claim", name).Msg("claim outcome not recorded: too many outcomes pending")
 		return
 	}
 	go func() {
@@ -66,7 +68,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), settleMost)
 		defer cancel()
 		if _, ok, err := f.opt.Claims.Step(ctx, name, step); err != nil || !ok {
-			f.opt.Log.Warn().Err(err).Str("claim", name).Str("step", string(step.Op)).Bool("granted", ok).Msg("claim not settled")
+			f.opt.Log.Warn().Err(err).Str("claim", name).Str("step", string(step.Op)).Bool("granted", ok).Msg("claim outcome not recorded")
 		}
 	}()
 }
--- a/front/signed/claim_test.go
+++ b/front/signed/claim_test.go
@@ -20,11 +20,11 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// book is a replicated store that loses messages: a step may fail before it is agreed on, or after.
+// claimStore is a replicated store that loses messages: a step may fail before or after it is applied.
 type book struct {
 	mu      sync.Mutex
 	records map[string]claims.Record
-	faults  map[claims.Op]string // "before" or "after", once
+	faults  map[claims.Op]string // "before" or "after" the step is applied; each occurs once
 }
 
 func (b *book) Step(_ context.Context, name string, s claims.Step) (claims.Record, bool, error) {
@@ -42,7 +42,7 @@
 		b.records[name] = next
 	}
 	if fault == "after" {
-		return claims.Record{}, false, errors.New("the leader is gone")
+		return claims.Record{}, false, errors.New("lost the leader")
 	}
 	return next, ok, nil
 }
@@ -57,7 +57,7 @@
 func (b *book) Revoked(string) bool                           { return false }
 func (b *book) Put(context.Context, string, any) error        { return nil }
 
-// depot is two gateways on one book, before a core that runs rides as told.
+// depot has two gateways with one claim store, and a core that answers requests as the test prescribes.
 type depot struct {
 	*testing.T
 	book   *book
@@ -68,7 +68,7 @@
 	name   string
 	mu     sync.Mutex
 	runs   int
-	answer func() core.Answer // nil: the gateway is killed before it is known
+	answer func() core.Answer // of the core
 	asked  chan core.Request
 }
 
@@ -101,7 +101,7 @@
 	return d
 }
 
-// post is the core: a ride runs once it is asked for.
+// post acts as the core: each request that it does not reject runs once.
 func (d *depot) post(ev core.Event) {
 	a, ok := ev.(core.Request)
 	if !ok {
@@ -117,7 +117,7 @@
 	go a.Frontend.Answer(a.RequestTag, answer)
 }
 
-// call ends the ride at a gateway: status, X-Claim, and what it says.
+// call sends the request to a gateway and returns the status, X-Claim and the body of the response.
 func (d *depot) call(at int) (int, string, string) {
 	d.Helper()
 	resp, err := http.Post("http://"+d.addrs[at]+d.url, "text/plain", strings.NewReader("ride"))
@@ -130,11 +130,11 @@
 	return resp.StatusCode, resp.Header.Get("X-Claim"), string(b[:n])
 }
 
-// settled waits until no step of a claim is under way at the gateways.
+// waitIdle waits until the gateways have no open request and no pending step of a claim.
 func (d *depot) settled() {
 	for limit := time.Now().Add(20 * time.Second); d.fronts[0].Open()+d.fronts[1].Open() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			d.Fatal("never settled")
+			d.Fatal("requests or claim steps are still pending after 20 s")
 		}
 	}
 }
@@ -146,14 +146,14 @@
 	late    = core.Answer{Verdict: core.Failed, Reason: core.DeadlineExceeded, MayHaveRun: true}
 )
 
-// However the store's messages are lost and whatever a ride comes to, a client that retries at either gateway ends with
-// one ride at most and the truth.
+// Whichever message of the claim store is lost, and however the request ends, a client that retries at either gateway gets its
+// request run at most once, and learns how it ended.
 func TestClaimsInDoubt(t *testing.T) {
 	cases := 0
 	for _, op := range []claims.Op{"", claims.Hold, claims.Send, claims.Settle, claims.Release} {
 		for _, when := range []string{"before", "after"} {
 			for name, answers := range map[string][]core.Answer{
-				"served": {served}, "refused, then served": {refused, served}, "failed": {failed}, "late": {late}, "refused twice": {refused, refused, served},
+				"served": {served}, "rejected, then served": {refused, served}, "failed": {failed}, "late": {late}, "rejected twice": {refused, refused, served},
 			} {
 				cases++
 				t.Run(fmt.Sprint(op, " lost ", when, ", ", name), func(t *testing.T) {
@@ -168,14 +168,14 @@
 						code, claim, text = d.call(try % 2)
 						d.settled()
 						if claim == "sent" {
-							d.clock.Advance(6000) // nobody is left to say more
+							d.clock.Advance(6000) // past the time in which the outcome may still be recorded
 						}
 					}
 					want := map[string]int{"failed": 502, "late": 504}[name]
 					if want == 0 {
 						want = 200
 					}
-					lostRefusal := op == claims.Release && strings.HasPrefix(name, "refused") // a step that a dying gateway never made
+					lostRefusal := op == claims.Release && strings.HasPrefix(name, "rejected") // the release is never applied, as if its gateway had crashed
 					if lostRefusal && when == "before" {
 						if code != 403 || claim != "sent" || d.runs != 0 {
 							t.Errorf("%d %s %s, %d runs", code, claim, text, d.runs)
@@ -186,10 +186,10 @@
 						t.Fatalf("%d %s %s, %d runs", code, claim, text, d.runs)
 					}
 					d.clock.Advance(6000)
-					code, claim, text = d.call(1) // the phone that lost its answer
+					code, claim, text = d.call(1) // a client that lost its response retries
 					stage := map[int]string{200: "ran", 502: "doubt", 504: "doubt"}[want]
 					if op == claims.Settle && when == "before" {
-						stage = "sent" // the gateway ended between answer and record
+						stage = "sent" // the outcome was never recorded, as if the gateway had crashed
 					}
 					if code != 403 || claim != stage || !strings.Contains(text, "replayed") || d.runs != 1 {
 						t.Errorf("replay: %d %q %s, %d runs", code, claim, text, d.runs)
@@ -201,7 +201,8 @@
 	t.Logf("%d cases", cases)
 }
 
-// A gateway that was killed leaves its claim where it stood: before its send the token is another's, after it is not.
+// A gateway that crashed leaves its claim in its last stage. Another request may take the token over only if the crashed gateway
+// had not sent its own.
 func TestClaimsOfTheDead(t *testing.T) {
 	for stage, want := range map[claims.Stage]int{claims.Held: 200, claims.Sent: 403, claims.Ran: 403, claims.Doubt: 403, "": 403} {
 		d := newDepot(t)
@@ -214,7 +215,7 @@
 	}
 }
 
-// A client that leaves does not end its ride: what became of it is recorded, and its next call learns of it.
+// A claimed request runs to its end when its client disconnects: its outcome is recorded, and the client's next call is told.
 func TestClaimOutlivesItsClient(t *testing.T) {
 	d := newDepot(t)
 	let := make(chan struct{})
@@ -239,17 +240,17 @@
 		time.Sleep(time.Millisecond)
 	}
 	if code, claim, _ := d.call(1); code != 503 || claim != "sent" {
-		t.Errorf("meanwhile: %d %s", code, claim)
+		t.Errorf("while the request runs: %d %s", code, claim)
 	}
 	d.clock.Advance(6000)
 	if code, claim, _ := d.call(1); code != 403 || claim != "sent" {
-		t.Errorf("past its time: %d %s", code, claim)
+		t.Errorf("after its deadline: %d %s", code, claim)
 	}
 	close(let)
 	for d.book.stage(d.name) != claims.Ran {
 		time.Sleep(time.Millisecond)
 	}
 	if code, claim, text := d.call(1); code != 403 || claim != "ran" || !strings.Contains(text, "served 2 bytes") {
-		t.Errorf("afterwards: %d %s %s", code, claim, text)
+		t.Errorf("after its end: %d %s %s", code, claim, text)
 	}
 }
--- a/front/signed/crowded_test.go
+++ b/front/signed/crowded_test.go
@@ -13,10 +13,10 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// While one client leaves so much unread that no more may wait, another one has its answers all the same: a failure in place
-// of what is large, and its connection stays. The first one's answer is whole once it reads.
+// While one client leaves so much unread that the response buffer is nearly full, another client gets an error instead of a large
+// response, gets small responses, and keeps its connection. The first client's response is complete once it reads.
 func TestSlowClientCostsOthersNoAnswer(t *testing.T) {
-	const large = 32 << 20 // more than both ends of a connection buffer
+	const large = 32 << 20 // exceeds the socket buffers of both ends
 	d := newDepot(t)
 	f := d.fronts[0]
 	f.budget.Limit(large + 1<<20)
@@ -53,12 +53,12 @@
 		}
 		n, err := io.Copy(io.Discard, resp.Body)
 		if resp.StatusCode != status || err != nil || status == http.StatusOK && n != size {
-			t.Errorf("status %d with %d bytes, error %v; %d was wanted", resp.StatusCode, n, err, status)
+			t.Errorf("status %d with %d bytes, error %v; want status %d", resp.StatusCode, n, err, status)
 		}
 	}
 	slow, slowAnswers := connect()
 	serve(slow, large)
-	if _, err := slowAnswers.Peek(1); err != nil { // it is being written
+	if _, err := slowAnswers.Peek(1); err != nil { // the response is being written
 		t.Fatal(err)
 	}
 	good, answers := connect()
--- a/front/signed/deadline_test.go
+++ b/front/signed/deadline_test.go
@@ -11,7 +11,7 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// A client's time runs from its request's last byte, be it the time that it tells or its class's.
+// The deadline of a request counts from its last byte, whether it is requested by X-Ttl-Ms or set by the class.
 func TestTimeRunsFromTheRequestsLastByte(t *testing.T) {
 	const deadline = 3000 // ms, of the class
 	for _, x := range []struct {
@@ -20,11 +20,11 @@
 		waited float64 // ms from the first byte to the last
 		left   float64 // ms from the last byte on
 	}{
-		{"told, and no wait", "X-Ttl-Ms: 500\r\n", 0, 500},
-		{"told, and a slow body", "X-Ttl-Ms: 500\r\n", 300, 500},
-		{"told, and a body slower than that", "X-Ttl-Ms: 500\r\n", 600, 500},
-		{"more told than the class allows", "X-Ttl-Ms: 9000\r\n", 300, deadline},
-		{"not told", "", 300, deadline},
+		{"X-Ttl-Ms, body at once", "X-Ttl-Ms: 500\r\n", 0, 500},
+		{"X-Ttl-Ms, slow body", "X-Ttl-Ms: 500\r\n", 300, 500},
+		{"X-Ttl-Ms, body slower than it", "X-Ttl-Ms: 500\r\n", 600, 500},
+		{"X-Ttl-Ms longer than the class allows", "X-Ttl-Ms: 9000\r\n", 300, deadline},
+		{"no X-Ttl-Ms", "", 300, deadline},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			d := newDepot(t)
@@ -41,7 +41,7 @@
 			defer nc.Close()
 			fmt.Fprintf(nc, "POST %s HTTP/1.1\r\nHost: h\r\n%sContent-Length: 1\r\nExpect: 100-continue\r\n\r\n", d.url, x.told)
 			r := bufio.NewReader(nc)
-			if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 100 { // its head is read
+			if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 100 { // the server has read the headers
 				t.Fatalf("%+v, %v", resp, err)
 			}
 			d.clock.Advance(x.waited)
@@ -51,7 +51,7 @@
 				t.Fatal(err)
 			}
 			resp.Body.Close()
-			const slack = 190 // by the machine's word, the bytes came a little before they were read
+			const slack = 190 // the kernel's time stamps show that the bytes arrived a little before they were read
 			if a := <-d.asked; a.ReceivedAt+a.Remaining > d.clock.Now()+x.left || a.ReceivedAt+a.Remaining < d.clock.Now()+x.left-slack {
 				t.Errorf("status %d, with %v ms left, want %v", resp.StatusCode, a.ReceivedAt+a.Remaining-d.clock.Now(), x.left)
 			}
@@ -59,7 +59,7 @@
 	}
 }
 
-// A request whose time ended while it lay unread is answered at once, and its token stays unused.
+// A request whose deadline passes before it is read is answered with 504 at once, and its token stays unused.
 func TestNothingLeftWhenRead(t *testing.T) {
 	const told = 50 // ms
 	d := newDepot(t)
@@ -93,6 +93,6 @@
 	}
 	resp.Body.Close()
 	if stage := d.book.stage(d.name); resp.StatusCode != 504 || len(d.asked) > 0 || stage != "" {
-		t.Errorf("status %d, handed on: %d, its claim stands at %q", resp.StatusCode, len(d.asked), stage)
+		t.Errorf("status %d, %d requests submitted, claim in stage %q", resp.StatusCode, len(d.asked), stage)
 	}
 }
--- a/front/signed/drain_test.go
+++ b/front/signed/drain_test.go
@@ -17,8 +17,9 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// A drain of this front goes like that of the other: it says no at once, closes what is quiet once that can have been
-// noticed, and half a request later. Ended, it says yes again. A request in small pieces is served beside all that.
+// During a drain the health check fails at once. Idle connections are closed after a short delay, in which clients can notice
+// this, and connections with an incomplete request later. After the drain the health check succeeds again. All requests of the
+// health check arrive byte by byte.
 func TestDrain(t *testing.T) {
 	keys, err := ring.New(nil)
 	if err != nil {
@@ -55,7 +56,7 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 		if resp.StatusCode != want {
-			t.Errorf("%d, not %d", resp.StatusCode, want)
+			t.Errorf("status %d, want %d", resp.StatusCode, want)
 		}
 	}
 	idle, ir := dial()
@@ -72,11 +73,11 @@
 	}
 	clk.Advance(600)
 	if _, err := ir.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection is kept: %v", err)
+		t.Errorf("idle connection not closed: %v", err)
 	}
 	clk.Advance(2000)
 	if _, err := hr.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error("half a request is kept")
+		t.Error("connection with an incomplete request not closed")
 	}
 	f.Drain(false)
 	c, r := dial()
--- a/front/signed/guard.go
+++ b/front/signed/guard.go
@@ -18,8 +18,8 @@
 	return o
 }
 
-// source is what a client's failures are booked under: its address, of IPv6 the first 56 bits, which one client may
-// have to itself.
+// sourceOf returns the key under which a client's failures are counted: its address, or the first 56 bits of an IPv6 address,
+// as a whole prefix of that length may belong to one client.
 func source(a netip.Addr) string {
 	if a.Is6() {
 		if p, err := a.Prefix(56); err == nil {
@@ -29,7 +29,7 @@
 	return a.String()
 }
 
-// forged tells whether a rejection speaks against its sender: who comes too late or without a token tries none out.
+// isForgery reports whether a rejection may be caused by a guessed token. An expired or a missing token is not guessed.
 func forged(err error) bool {
 	switch token.WhyOf(err) {
 	case token.BadSignature, token.BadKey, token.Malformed:
@@ -38,8 +38,8 @@
 	return false
 }
 
-// reject refuses a request whose token was not accepted. The failure counts before the client has its answer, so that
-// whatever the client sends after that is judged by it.
+// reject answers a request whose token was not accepted. The failure is counted before the response is written, so that it
+// applies to all that the client sends after reading the response.
 func (c *conn) reject(s *slot, err error) {
 	f := c.front
 	if forged(err) {
@@ -52,9 +52,9 @@
 	c.fail(s, status, code, text, head)
 }
 
-// slow keeps a connection whose source fails unread for a moment. All that it asked is answered by then: what waits is
-// what it has not been asked yet. It tells whether the client is still there.
-func (c *conn) slow() (stays bool) {
+// pauseReading delays the next read of a connection whose source has too many failures. Requests that were already read are
+// not delayed. It reports false if the client has disconnected.
+func (c *conn) slow() (connected bool) {
 	f := c.front
 	pause := f.guard.Pause(c.source, f.opt.Clock.Now())
 	if pause <= 0 {
@@ -77,7 +77,8 @@
 	}
 }
 
-// sampled writes a log line of a kind that clients cause, so many a second, with the number of those left out.
+// logSampled writes a log line that clients can cause. It limits the lines per second of each kind, and adds the number of
+// lines that were suppressed.
 func (f *Front) sampled(e *zerolog.Event, kind string, with func(*zerolog.Event)) {
 	f.sampling.Lock()
 	ok, left := f.sampler.Take(kind, f.opt.Clock.Now())
@@ -91,7 +92,7 @@
 	e.Msg(kind)
 }
 
-// within counts a request in its grant's, its key's and its client's limits, or refuses it.
+// enterLimits counts a request in the limits of its grant, its key and its client, or rejects the request.
 func (c *conn) within(s *slot, g *token.Grant) bool {
 	f := c.front
 	if !f.limits.On() {
@@ -109,7 +110,7 @@
 	return true
 }
 
-// out counts a request out of its limits, with the bytes of its answer.
+// releaseLimits ends the request in its limits, and charges the bytes of its response.
 func (f *Front) out(s *slot) {
 	if s.who != nil {
 		f.limits.Release(*s.who, float64(len(s.answer)), f.opt.Clock.Now())
--- a/front/signed/guard_test.go
+++ b/front/signed/guard_test.go
@@ -14,7 +14,7 @@
 	"turnfork.dev/turnfork/limits"
 )
 
-// rejectionLog holds the first line about a rejected token until the test lets it go on.
+// rejectionLog blocks on the first line about a rejected token until the test closes goOn.
 type rejectionLog struct {
 	reached, goOn chan struct{}
 	held          bool
@@ -29,8 +29,8 @@
 	return len(line), nil
 }
 
-// A rejected token counts against its source before its client has the answer, so that what the client asks for next is
-// judged by it, also on a new connection. The goroutine that judges is held up here once it has rejected the first token.
+// A rejected token is counted as a failure of its source before the client has the response, so that it applies to the client's
+// next request, also on a new connection. The test blocks the reader goroutine when it logs the rejection of the first token.
 func TestFailureCountsBeforeItsAnswer(t *testing.T) {
 	d := newDepot(t)
 	log := &rejectionLog{reached: make(chan struct{}), goOn: make(chan struct{})}
@@ -60,17 +60,17 @@
 	t.Cleanup(letGo)
 	select {
 	case status := <-first:
-		t.Fatalf("%s was answered before the rejection was dealt with", status)
-	case <-time.After(50 * time.Millisecond): // the answer's chance to overtake
+		t.Fatalf("response %s was written before the rejection was handled", status)
+	case <-time.After(50 * time.Millisecond): // time in which a premature response would arrive
 	}
 	letGo()
 	if status := <-first; status != "403" {
 		t.Errorf("the first token: %s", status)
 	}
-	// The one failure that is forgiven is used, and so is what a barred source may have checked after this one.
+	// The one tolerated failure is used. The next token uses the one check of a blocked source.
 	for i, want := range []string{"403", "429"} {
 		if status := <-ask(); status != want {
-			t.Errorf("token %d after it: %s, want %s", i+1, status, want)
+			t.Errorf("token %d after the first: %s, want %s", i+1, status, want)
 		}
 	}
 }
--- a/front/signed/manage.go
+++ b/front/signed/manage.go
@@ -16,16 +16,16 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// ConfigKeys is the name under which the replicated store keeps the keys.
+// ConfigKeys is the name of the keys in the replicated store.
 const ConfigKeys = "keys"
 
-// ConfigPolicy is the name under which it keeps the policy.
+// ConfigPolicy is the name of the policy in the replicated store.
 const ConfigPolicy = "policy"
 
-// Policy is what an operator may change while the gateway runs.
+// Policy holds the settings that an operator may change while the gateway runs.
 type Policy struct {
-	LeewayMs     float64 `json:"leeway_ms"`     // that clocks may differ by, either way
-	TokenSeconds float64 `json:"token_seconds"` // that an issued token may last
+	LeewayMs     float64 `json:"leeway_ms"`     // tolerated clock skew in either direction
+	TokenSeconds float64 `json:"token_seconds"` // maximum lifetime of an issued token
 }
 
 func (p Policy) check() error {
@@ -38,35 +38,36 @@
 	return nil
 }
 
-// operatorCallTimeout bounds a call of the operator.
+// operatorCallTimeout limits the duration of an operator's call.
 const operatorCallTimeout = 3 * time.Second
 
 // IssueRequest asks for a token or a signed URL.
 type IssueRequest struct {
 	Kind      token.Kind `json:"kind"`              // a dialect
 	Key       string     `json:"key,omitempty"`     // "": the newest of the kind that signs
-	URI       string     `json:"uri"`               // with scheme and host; a path with its query does for hmac and edgeauth
-	Regex     string     `json:"regex,omitempty"`   // jws: in place of the one URI
-	Cover     string     `json:"cover,omitempty"`   // in place of the one URI, as the dialect writes it: an acl, say
-	Address   string     `json:"address,omitempty"` // of the client, or a prefix, where the dialect can say it
-	Method    string     `json:"method,omitempty"`  // presign: "": GET
-	Data      string     `json:"data,omitempty"`    // edgeauth: passed along
-	Seconds   float64    `json:"seconds"`           // how long it is valid
-	After     float64    `json:"after,omitempty"`   // s from now on that it is not valid yet
-	SingleUse bool       `json:"single_use"`        // has an id of its own; signed URLs of kind hmac always have a nonce
-	Renew     int        `json:"renew,omitempty"`   // jws: seconds of a renewed package, by cookie
+	URI       string     `json:"uri"`               // with scheme and host; a path with its query suffices for hmac and edgeauth
+	Regex     string     `json:"regex,omitempty"`   // jws: instead of a single URI
+	Cover     string     `json:"cover,omitempty"`   // instead of a single URI, in the dialect's syntax, such as an acl
+	Address   string     `json:"address,omitempty"` // of the client, or a prefix, if the dialect supports it
+	Method    string     `json:"method,omitempty"`  // presign; "": GET
+	Data      string     `json:"data,omitempty"`    // edgeauth: passed through
+	Seconds   float64    `json:"seconds"`           // validity
+	After     float64    `json:"after,omitempty"`   // s from now until it becomes valid
+	SingleUse bool       `json:"single_use"`        // gets its own id; signed URLs of kind hmac always have a nonce
+	Renew     int        `json:"renew,omitempty"`   // jws: lifetime in s of a renewed token, which is sent as a cookie
 }
 
-// Issued is the answer to it.
+// Issued is the response to an IssueRequest.
 type Issued struct {
 	Key     string  `json:"key"`
-	ID      string  `json:"id,omitempty"` // by which it is revoked
+	ID      string  `json:"id,omitempty"` // for a revocation
 	Expires float64 `json:"expires"`
 	Token   string  `json:"token,omitempty"`
 	URL     string  `json:"url"`
 }
 
-// Issue signs what is asked for, at now in Unix seconds. id is the jti or nonce to use.
+// Issue signs the requested token at now, in Unix seconds. most is the maximum lifetime in seconds, and id the jti or nonce to
+// use.
 func Issue(keys *ring.Ring, q IssueRequest, now, most float64, id string) (out Issued, err error) {
 	if !(q.Seconds > 0 && q.Seconds <= most) {
 		return out, fmt.Errorf("seconds: more than 0, %v at most", most)
@@ -93,7 +94,7 @@
 	return Issued{Key: q.Key, ID: got.ID, Expires: t.Until, Token: got.Token, URL: got.URL}, err
 }
 
-// manage answers the operator's endpoints and the health check.
+// handleManagement answers the operator's calls and the health check.
 func (f *Front) manage(m *http1.Message) []byte {
 	if draining, _ := f.server.Draining(); draining && m.Path == "/healthz" {
 		return http1.ErrorAnswer(503, "draining", "this gateway is being emptied", "", m.Close)
@@ -105,7 +106,7 @@
 		return http1.ErrorAnswer(404, "not_found", "no such path", "", m.Close)
 	}
 	secret, _ := strings.CutPrefix(m.Header["authorization"], "Bearer ")
-	// Digests have one length, so the comparison tells nothing of the secret's.
+	// Digests have the same length, so the comparison does not reveal the length of the secret.
 	got, want := sha256.Sum256([]byte(secret)), sha256.Sum256([]byte(f.opt.Operator))
 	if subtle.ConstantTimeCompare(got[:], want[:]) != 1 {
 		return http1.ErrorAnswer(401, "missing", "for the operator alone", "WWW-Authenticate: Bearer\r\n", m.Close)
@@ -144,8 +145,8 @@
 	return nil
 }
 
-// Changed takes configuration from the replicated store; what can't be used is left aside with a log
-// line, and what was in force stays so.
+// Changed applies configuration from the replicated store. A value that can't be used is logged and ignored: the previous one
+// stays in force.
 func (f *Front) Changed(name string, value json.RawMessage) {
 	var err error
 	switch name {
@@ -168,7 +169,7 @@
 		return
 	}
 	if err != nil {
-		f.opt.Log.Error().Err(err).Str("name", name).Msg("configuration of the replicated store not taken")
+		f.opt.Log.Error().Err(err).Str("name", name).Msg("configuration from the replicated store rejected")
 		return
 	}
 	f.opt.Log.Info().Str("name", name).Msg("configuration changed")
--- a/front/signed/object.go
+++ b/front/signed/object.go
@@ -13,7 +13,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// path is /v1/CLASS/OBJECT/PART; the query may tell the object's group and size, under the signature.
+// objectPath is a path /v1/CLASS/OBJECT/PART. The query may contain the object's group and size, covered by the signature.
 type path struct {
 	class, object, part string
 }
@@ -32,7 +32,7 @@
 	return path{parts[0], parts[1], parts[2]}, true
 }
 
-// objectNumber reads an object as paths name it.
+// parseObjectID parses the ID of an object as it is written in paths.
 func objectNumber(text string) (uint64, error) {
 	object, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != objectDigits {
@@ -41,13 +41,13 @@
 	return object, nil
 }
 
-// ask words the request for the core.
+// request builds the request for the core.
 func (o path) ask(q token.Query, m *http1.Message) (a core.Request, err error) {
 	a.Class, a.Name = o.class, o.object
 	if a.Object, err = objectNumber(o.object); err != nil {
 		return a, err
 	}
-	part, ok := token.Number(o.part, 32) // one spelling for one part
+	part, ok := token.Number(o.part, 32) // accepts one spelling for each part only
 	if !ok {
 		return a, fmt.Errorf("the part is no number")
 	}
@@ -69,7 +69,7 @@
 			return a, fmt.Errorf("X-Ttl-Ms: no time")
 		}
 	}
-	if m.Header["if-match"] == "" { // that is judged by the answer, which must then be whole
+	if m.Header["if-match"] == "" { // If-Match is evaluated when the response arrives, which must then be complete
 		a.ClientETag = known(m.Header["if-none-match"])
 	}
 	var txn [8]byte
@@ -78,7 +78,8 @@
 	return a, nil
 }
 
-// known gives the one tag of a client's copy, which goes to the store. A list or a star is compared with the answer.
+// singleETag returns the tag of the client's copy if there is exactly one: it is sent to the endpoint. A list or a star is
+// compared when the response arrives.
 func known(v string) string {
 	tags, ok := conditional.Tags(v)
 	if !ok || len(tags) != 1 {
--- a/front/signed/operator_calls.go
+++ b/front/signed/operator_calls.go
@@ -11,15 +11,16 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// SharedState is the part of the replicated state that operators change by calls.
+// SharedState is the part of the replicated state that operators can change.
 type SharedState interface {
-	// Purge makes copies of an object, or with object 0 of a group, void that are older than now.
+	// Purge invalidates the copies of an object, or with object 0 those of a group, that are older than now.
 	Purge(ctx context.Context, object uint64, group uint16) error
-	// ReplaceMember has a new member take the place of one that is lost, and gives the voters afterwards.
+	// ReplaceMember replaces a lost member with a new one, and returns the voters afterwards.
 	ReplaceMember(ctx context.Context, replacement membership.Replacement) ([]membership.Member, error)
 }
 
-// operatorCalls are the operator's endpoints. Each takes the body of the request, and gives what is answered as JSON.
+// operatorCalls maps paths to the operator's calls. Each takes the body of the request, and returns the response, which is
+// encoded as JSON.
 var operatorCalls = map[string]func(f *Front, ctx context.Context, body []byte) (any, error){
 	"/-/tokens":      (*Front).issueToken,
 	"/-/revocations": (*Front).revokeToken,
@@ -29,10 +30,10 @@
 	"/-/members":     (*Front).replaceMember,
 }
 
-// done answers a call that has nothing else to tell.
+// okResponse is the response to a successful call without a result.
 var done = map[string]bool{"ok": true}
 
-// unavailableError tells that a call may work a little later.
+// unavailableError is the error of a call that may succeed when it is retried.
 type unavailableError struct {
 	code string
 	err  error
@@ -44,7 +45,7 @@
 // Unwrap returns the cause.
 func (e *unavailableError) Unwrap() error { return e.err }
 
-// agreed passes on what came of a change of the replicated state.
+// asUnavailable wraps an error of a change of the replicated state.
 func agreed(err error) error {
 	if err != nil {
 		return &unavailableError{code: "no_quorum", err: err}
@@ -63,7 +64,7 @@
 func (f *Front) revokeToken(ctx context.Context, body []byte) (any, error) {
 	var q struct {
 		Key, ID string
-		Until   float64 // Unix seconds; 0: as long as a token may last
+		Until   float64 // Unix seconds; 0: the maximum lifetime of a token from now on
 	}
 	if err := readJSON(body, &q); err != nil {
 		return nil, err
@@ -100,7 +101,7 @@
 	return done, agreed(f.opt.Claims.Put(ctx, ConfigPolicy, p))
 }
 
-// purgeCopies makes the copies of one object, or of one group of objects, void that are older than the call.
+// purgeCopies invalidates the copies of one object, or of one group of objects, that are older than the call.
 func (f *Front) purgeCopies(ctx context.Context, body []byte) (any, error) {
 	var q struct {
 		Object string // as in paths
@@ -128,7 +129,7 @@
 	return done, agreed(f.opt.State.Purge(ctx, object, q.Group))
 }
 
-// replaceMember answers with the voters after a replacement.
+// replaceMember returns the voters after a replacement.
 func (f *Front) replaceMember(ctx context.Context, body []byte) (any, error) {
 	var replacement membership.Replacement
 	if err := readJSON(body, &replacement); err != nil {
--- a/front/signed/signed.go
+++ b/front/signed/signed.go
@@ -1,5 +1,5 @@
-// Package signed is the front for riders' phones: HTTP/1.1 with signed URLs and tokens. A request is
-// judged once, when it has come whole; what is valid then goes the same way as on any front.
+// Package signed is the frontend for riders' phones: HTTP/1.1 with signed URLs and tokens. A request is validated once,
+// after its last byte has been read. A valid request is then handled as on any frontend.
 package signed
 
 import (
@@ -29,10 +29,10 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// Claims is where single-use tokens are claimed and revocations are kept.
+// Claims stores the claims of single-use tokens and the revocations.
 type Claims interface {
-	// Step makes a step of a name's claim. ok tells whether it was granted, and the record how the claim stands; with an error
-	// the step's fate is unknown.
+	// Step applies a step to the claim of a name. ok reports whether the step was granted, and r is the claim's record
+	// afterwards. After an error it is unknown whether the step was applied, unless the error is claims.ErrNotProposed.
 	Step(ctx context.Context, name string, step claims.Step) (r claims.Record, ok bool, err error)
 	// Revoke revokes the token of a name until a time in Unix milliseconds.
 	Revoke(ctx context.Context, name string, until float64) error
@@ -42,18 +42,18 @@
 	Put(ctx context.Context, name string, value any) error
 }
 
-// DefaultTokenSeconds is the longest that an issued token lasts where the operator says nothing.
+// DefaultTokenSeconds is the maximum lifetime of an issued token, in seconds, where the operator sets none.
 const DefaultTokenSeconds = 24 * 3600
 
-// Class is what the front has to know of a class.
+// Class holds the properties of a class that the frontend needs.
 type Class struct {
 	Name     string
 	Deadline float64 // ms
-	Fresh    float64 // ms that a copy is fresh for; 0: until it is purged
-	Write    bool    // takes POST, and a token of a single use
+	Fresh    float64 // ms that a copy stays fresh; 0: until it is purged
+	Write    bool    // accepts POST only, and requires a single-use token
 }
 
-// Options are what a front is made of.
+// Options configure a frontend.
 type Options struct {
 	Post       func(core.Event)
 	Clock      *clock.Clock
@@ -61,39 +61,39 @@
 	Classes    []Class
 	Ring       *ring.Ring
 	Claims     Claims
-	State      SharedState // nil: there is none to change
-	Leeway     float64     // ms that clocks may differ by, either way
+	State      SharedState // nil: operators can't change any
+	Leeway     float64     // tolerated clock skew in either direction, in ms
 	Scheme     string      // of the URIs that clients see; "": http
-	Operator   string      // the secret of the issuing endpoint; "": there is none
-	TokenMost  float64     // s that an issued token may last; 0: one day
+	Operator   string      // secret of the operator's calls; "": the calls are disabled
+	TokenMost  float64     // maximum lifetime of an issued token, in s; 0: one day
 	MaxConns   int         // 0: 200
 	CORS       CORS
 	Limits     limits.Options
 	Guard      limits.GuardOptions // the zero value: limits.DefaultGuard
-	RetryAfter float64             // ms that clients should stay away which a drain refuses; 0: no advice
-	MaxBytes   int64               // answers that wait to be written; 0: 24 MB
-	ClaimMost  float64             // ms that a claim may take; 0: 1000
+	RetryAfter float64             // retry delay, in ms, for requests that a drain rejects; 0: the minimum of 1 s
+	MaxBytes   int64               // limit of buffered responses, in bytes; 0: 24 MB
+	ClaimMost  float64             // timeout of a claim, in ms; 0: 1000
 	Tap        func(net.Conn) net.Conn
 }
 
 const (
-	bodyMost     = 48000            // a write's
-	wholeMost    = 30000.0          // ms until a request must be whole, however it goes on
-	stallMost    = 5000.0           // ms that one under way may bring no byte
-	lingerMost   = 60 * time.Second // for a client to close after its last answer
-	firstMost    = 12000.0          // ms that a new connection may say nothing
-	idleMost     = 60000.0          // ms without a request
+	bodyMost     = 48000            // of a request
+	wholeMost    = 30000.0          // ms from a request's first byte until it must be complete
+	stallMost    = 5000.0           // ms without a byte of an incomplete request
+	lingerMost   = 60 * time.Second // for a client to close the connection after the last response
+	firstMost    = 12000.0          // ms until the first byte of a new connection
+	idleMost     = 60000.0          // ms between requests
 	writeLimit   = 5 * time.Second
-	hungUpLook   = 20 * time.Millisecond // at whether a client has left whose requests are not read for now
-	pipelineMost = 4
-	intakeMost   = 8 << 20     // bodies of requests without an answer, on all connections
-	claimMargin  = 60000       // ms that a claim outlives expiry and leeway
-	settleMost   = time.Minute // until a claim's end is given up, which then stays in doubt
-	logsMost     = 10          // lines a second of one kind that clients cause
-	releases     = 256         // claims being given back at once
+	hungUpLook   = 20 * time.Millisecond // for disconnects of clients whose requests are not being read
+	pipelineMost = 4                     // requests of a connection queued behind the one that is being answered
+	intakeMost   = 8 << 20               // bodies of unanswered requests, on all connections
+	claimMargin  = 60000                 // ms that a claim is kept beyond the token's expiry and leeway
+	settleMost   = time.Minute           // after which the claim stays as it is
+	logsMost     = 10                    // of each kind of message that clients can cause
+	releases     = 256                   // steps at once that record outcomes
 )
 
-// Front serves one listener.
+// Front is the frontend of one listener.
 type Front struct {
 	opt     Options
 	server  front.Server
@@ -103,7 +103,7 @@
 	ring    atomic.Pointer[ring.Ring]
 	policy  atomic.Pointer[Policy]
 	open    atomic.Int64
-	box     front.Mailbox[core.Event] // to the core
+	box     front.Mailbox[core.Event] // events for the core
 	release chan struct{}
 	dates   atomic.Pointer[dateText]
 	guard   *limits.Guard
@@ -113,7 +113,7 @@
 	sampler  *limits.Sampler
 }
 
-// New returns a front.
+// New returns a frontend.
 func New(opt Options) *Front {
 	if opt.MaxConns <= 0 {
 		opt.MaxConns = 200
@@ -148,10 +148,10 @@
 	return f
 }
 
-// SetRing changes the keys; requests that come whole from now on are judged by them.
+// SetRing replaces the keys. Requests that are complete from now on are validated with them.
 func (f *Front) SetRing(r *ring.Ring) { f.ring.Store(r) }
 
-// Serve accepts until the listener closes or ctx ends, and returns once all connections have ended.
+// Serve accepts connections until the listener closes or ctx ends, and returns once all connections have ended.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
 	return f.server.Serve(ctx, l, f.handle)
 }
@@ -159,48 +159,50 @@
 // Handle serves one connection until it ends.
 func (f *Front) Handle(nc net.Conn) { f.server.Handle(nc, f.handle) }
 
-// Open counts the requests whose answer is not yet written, and the claims whose end is not yet agreed on.
+// Open returns the number of requests whose response is not yet written, plus the number of claim outcomes that are not yet
+// recorded.
 func (f *Front) Open() int { return int(f.open.Load()) + len(f.release) }
 
-// Drain begins to empty the front of connections, or with on false ends that.
+// Drain starts draining the frontend's connections, or with on false stops draining them.
 func (f *Front) Drain(on bool) { f.server.Drain(on) }
 
-// Stop has each connection closed once what was read on it is answered; whatever comes is refused.
+// Stop closes each connection once the requests read on it have been answered. Whatever arrives afterwards is rejected.
 func (f *Front) Stop() { f.server.Stop() }
 
-// HandOver closes each connection once nothing is open on it, which is between any two requests here: another process
-// takes what is new.
+// HandOver closes each connection once no request is open on it, which is possible between any two requests here. Another
+// process accepts the new connections.
 func (f *Front) HandOver(func() (*net.UnixConn, error)) { f.server.Leave(false) }
 
 // Conns counts the connections.
 func (f *Front) Conns() int { return f.server.Conns() }
 
-// SetProcessShare leaves the front its part of the memory, which so many processes share, and so many connections.
+// SetProcessShare limits the frontend to conns connections and to its share of the memory, which is divided by the number of
+// processes.
 func (f *Front) SetProcessShare(processes, conns int) {
 	f.server.Limit(conns)
 	f.budget.Limit(f.opt.MaxBytes / int64(processes))
 	f.intake.Limit(intakeMost / int64(processes))
 }
 
-// slot is one request's place in the order of answers.
+// slot is one request's position in the order of responses.
 type slot struct {
 	tag    uint64
 	msg    http1.Message
-	came   float64 // when its last bytes came
+	came   float64 // when its last byte arrived, in clock ms
 	class  Class
-	until  float64      // when its grant ends, in Unix seconds
-	endsAt float64      // the same in clock ms, as it was judged on arrival
-	use    string       // the name of its grant's one use, if it has one
-	vary   string       // the header that carried its token
-	renews *token.Grant // of a token that another may follow
-	who    *limits.Who  // whose limits it is counted in
-	owner  string       // under which that use is claimed; "": it is not
-	held   int          // bytes of its body booked with the front's intake
-	asked  bool
-	over   *atomic.Bool // true once nobody waits for it
+	until  float64      // expiry of its grant, in Unix seconds
+	endsAt float64      // the same in clock ms, computed when the request was validated
+	use    string       // claim name of its grant; "": the grant has no ID
+	vary   string       // name of the header that carried its token
+	renews *token.Grant // nil: its token is not renewable
+	who    *limits.Who  // names under which it is counted in the limits; nil: it is not
+	owner  string       // owner of its claim; "": it is not claimed
+	held   int          // bytes of its body that are booked in the frontend's budget
+	asked  bool         // it was submitted to the core
+	over   *atomic.Bool // true once its client has disconnected
 	done   bool
-	ready  chan struct{}
-	answer []byte
+	ready  chan struct{} // closed once done
+	answer []byte        // valid once done; nil: the client has disconnected
 }
 
 type conn struct {
@@ -208,19 +210,19 @@
 	net   net.Conn
 	place *front.Conn
 	queue chan *slot
-	ended chan struct{} // closed when the writer ends
+	ended chan struct{} // closed when the writer returns
 
-	from   netip.Addr // the client's
-	source string     // what its failures are booked under
+	from   netip.Addr // address of the client
+	source string     // key under which its failures are counted
 
-	lingering bool         // the reader's: no further request is read
-	unwritten atomic.Int64 // whole requests, or unreadable ones, whose answer is not yet written
+	lingering bool         // used by the reader only: no further request is read
+	unwritten atomic.Int64 // complete or malformed requests whose response is not yet written
 
 	mu   sync.Mutex
-	left bool    // the client no longer reads
-	half float64 // when the request under way must be whole; 0: none is
-	open map[uint64]*slot
-	tags uint64
+	left bool             // the client no longer reads
+	half float64          // when the incomplete request must be complete; 0: there is none
+	open map[uint64]*slot // by tag
+	tags uint64           // the last one
 }
 
 func (f *Front) handle(nc net.Conn, place *front.Conn) {
@@ -238,7 +240,7 @@
 	g.Wait()
 }
 
-// read is the reader goroutine.
+// read reads requests and handles them, until the connection ends. It runs in the reader goroutine.
 func (c *conn) read() {
 	defer close(c.queue)
 	r := bufio.NewReaderSize(interruptible{c, c.place.CountReads(c.net)}, 4<<10)
@@ -249,7 +251,7 @@
 		}
 		c.begin(c.front.opt.Clock.Now() + wholeMost)
 		m, err := http1.Read(r, bodyMost, c.goOn)
-		c.unwritten.Add(1) // one whose answer is to come keeps the place
+		c.unwritten.Add(1) // before the report below: an unanswered request keeps the connection open
 		c.begin(0)
 		s := &slot{msg: m, came: c.place.Arrived(), ready: make(chan struct{})}
 		if b, ok := http1.IsBad(err); ok {
@@ -285,7 +287,7 @@
 	}
 }
 
-// begin tells the connection's place that a request is under way until a time, or with 0 that none is.
+// setRequestDeadline reports to the server that an incomplete request must be complete by a time, or with 0 that there is none.
 func (c *conn) begin(until float64) {
 	c.mu.Lock()
 	c.half = until
@@ -293,8 +295,8 @@
 	c.report(false)
 }
 
-// interruptible goes on with a read that the connection's place has interrupted, unless the connection is to be closed. The
-// place knows by then what was read: a request that is whole is open, and one that has begun is told of.
+// interruptibleReader repeats a read that the server has interrupted, unless the connection is to be closed. By then the
+// server knows what was read: a complete request is open, and an incomplete one was reported with its deadline.
 type interruptible struct {
 	conn *conn
 	in   io.Reader
@@ -306,22 +308,22 @@
 		if n > 0 || r.conn.lingering || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		r.conn.net.SetReadDeadline(time.Time{}) // before the look: no later interruption is lost
+		r.conn.net.SetReadDeadline(time.Time{}) // before ShouldClose, so that no later interruption is lost
 		if r.conn.place.ShouldClose() {
 			return n, err
 		}
 	}
 }
 
-// report tells the connection's place what is open here.
+// report tells the server which requests are open on the connection.
 func (c *conn) report(asked bool) {
-	c.mu.Lock() // reader and writer tell in turn
+	c.mu.Lock() // reader and writer both report
 	defer c.mu.Unlock()
 	c.place.Update(int(c.unwritten.Load()), asked, c.half)
 }
 
-// goOn lets a client send the body it holds back. Where earlier answers are still to come it says
-// nothing, as the bytes could fall among theirs; such a client sends after a while by itself.
+// sendContinue has a client send the body that it holds back. While earlier responses are pending it sends nothing, as the
+// bytes could end up within them; such a client sends the body without it after a time-out.
 func (c *conn) goOn() {
 	if c.unwritten.Load() == 0 {
 		c.net.SetWriteDeadline(time.Now().Add(writeLimit))
@@ -329,8 +331,8 @@
 	}
 }
 
-// drain waits for the client to close after the last answer, passing over what it still sends, and tells of one that
-// leaves before it.
+// linger waits for the client to close the connection after the last response, and discards what it still sends. If the
+// client closes the connection before that response, its requests are canceled.
 func (c *conn) drain(r *bufio.Reader) {
 	c.lingering = true
 	c.net.SetReadDeadline(time.Now().Add(lingerMost))
@@ -339,7 +341,7 @@
 	}
 }
 
-// gone withdraws what is open: the client no longer reads.
+// disconnect closes the connection and cancels its open requests: the client no longer reads.
 func (c *conn) gone(err error) {
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 		c.front.opt.Log.Debug().Err(err).Msg("connection ended")
@@ -354,7 +356,7 @@
 		if s.asked {
 			left = append(left, tag)
 		}
-		if s.owner == "" { // else its end is waited for, as it may have run and a replay has to learn of it
+		if s.owner == "" { // a claimed one may have run: its outcome is awaited and recorded, as a replay is told of it
 			delete(c.open, tag)
 		}
 	}
@@ -364,8 +366,8 @@
 	}
 }
 
-// push gives a request its place in the order of answers, or tells that its client has left. Guards against a client
-// that asks ahead and leaves: its close lies behind what is not read while its answers wait.
+// enqueue appends a request to the order of responses, and reports false if the client has disconnected. It guards against
+// a client that pipelines requests and disconnects: its close follows requests that are not read while responses are pending.
 func (c *conn) push(s *slot) bool {
 	look := time.NewTicker(hungUpLook)
 	defer look.Stop()
@@ -384,7 +386,7 @@
 	}
 }
 
-// finish gives a slot its bytes, once.
+// finish sets the response of a slot, unless it has one.
 func (s *slot) finish(b []byte) {
 	if !s.done {
 		s.done = true
@@ -393,19 +395,19 @@
 	}
 }
 
-// reply finishes a slot whose answer is known without the core.
+// reply answers a request without the core.
 func (c *conn) reply(s *slot, b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s.finish(b)
 }
 
-// write is the writer goroutine: answers leave in the order of the requests.
+// write writes the responses in the order of the requests. It runs in the writer goroutine.
 func (c *conn) write() {
 	defer c.net.Close()
 	defer func() {
 		close(c.ended)
-		for s := range c.queue { // the reader withdraws what is open, which readies these too
+		for s := range c.queue { // the reader cancels open requests, which completes these slots too
 			<-s.ready
 			c.front.out(s)
 			c.front.intake.Give(s.held)
@@ -417,9 +419,9 @@
 		c.front.intake.Give(s.held)
 		c.front.out(s)
 		if s.answer != nil && !c.front.budget.Take(len(s.answer)) {
-			// Guards against a client that loses its answer, and its connection, as others leave too much unread. It has one
-			// such answer at a time.
-			c.front.opt.Log.Warn().Msg("too much waits to be written: an answer is replaced by a failure")
+			// Guards against a client that loses its response and its connection because others leave too much unread. A
+			// connection has only one such error response at a time.
+			c.front.opt.Log.Warn().Msg("response buffer limit reached: response replaced by an error")
 			s.answer = c.front.errorAnswer(s, 502, "crowded", "too much waits to be written", "Retry-After: 1\r\n")
 			c.front.budget.TakeAnyway(len(s.answer))
 		}
@@ -436,7 +438,7 @@
 	}
 }
 
-// take judges a request and hands it to the core, or answers it here.
+// handleRequest validates a request, and submits it to the core or answers it at once.
 func (c *conn) take(s *slot) {
 	f, m := c.front, &s.msg
 	if strings.HasPrefix(m.Path, "/-/") || m.Path == "/healthz" {
@@ -461,7 +463,7 @@
 		return
 	}
 	now, judgedAt := f.opt.Clock.Unix(), f.opt.Clock.Now()
-	// Guards against who tries tokens out: a source that fails is refused before its signatures cost anything.
+	// Guards against clients that guess tokens: a source with too many failures is rejected before its signatures are verified.
 	if ok, wait := f.guard.Check(c.source, f.opt.Clock.Now()); !ok {
 		c.fail(s, 429, "too_many_failures", "too many tokens from this address were not accepted", throttle(wait))
 		return
@@ -522,8 +524,8 @@
 		kept := grant
 		s.renews = &kept
 	}
-	// Validity was judged above, once; this only keeps new attempts from starting too late.
-	// What is left of it is a span, so a step of the wall clock meanwhile neither ends nor prolongs it.
+	// The token was validated above, once; this only prevents attempts that start after its expiry. The time left is a
+	// duration, so a step of the wall clock meanwhile neither shortens nor extends it.
 	ask.AuthorizedUntil = s.endsAt + f.policy.Load().LeewayMs
 	c.mu.Lock()
 	c.tags++
@@ -535,9 +537,9 @@
 		c.hand(s, ask)
 		return
 	}
-	// Guards against a client that leaves while its claim waits: the reader has to see that.
+	// The claim is made in another goroutine, so that the reader can detect a client that disconnects meanwhile.
 	ask.ReportAfterCancel = true
-	f.open.Add(1) // who ends the process waits for the claim's end as well
+	f.open.Add(1) // a shutdown also waits for the claim
 	go func() {
 		defer f.open.Add(-1)
 		if c.claim(s, ask.ReceivedAt+ask.Remaining-f.opt.Clock.Now()) {
@@ -550,7 +552,8 @@
 	}()
 }
 
-// timeLeft is how long a client waits from its request's last byte on: as it told, and no longer than the class allows.
+// timeLeft returns for how many ms from its request's last byte a client waits: as long as it requested, at most the class's
+// deadline.
 func timeLeft(told float64, class Class) float64 {
 	if told <= 0 {
 		return class.Deadline
@@ -558,8 +561,8 @@
 	return min(class.Deadline, told)
 }
 
-// hand gives a request to the core, unless its client has left meanwhile, be it unseen behind bytes that are not read yet:
-// then its claim is given back.
+// submit passes a request to the core. If the client has disconnected meanwhile, even if its close follows bytes that are not
+// read yet, the request's claim is released instead.
 func (c *conn) hand(s *slot, ask core.Request) {
 	gone := front.HungUp(c.net)
 	c.mu.Lock()
@@ -577,8 +580,8 @@
 	}
 }
 
-// claim makes a write's token used before anything is sent. Without an answer from the store nothing
-// is sent either: the token may be taken, so the client has to come with it again.
+// claim marks a request's token as used, before the request is sent. If the replicated store gives no result, the request is
+// not sent: the token may be claimed by another, so the client has to retry.
 func (c *conn) claim(s *slot, left float64) bool {
 	f := c.front
 	if s.use == "" {
@@ -594,9 +597,9 @@
 	for _, step := range []claims.Step{{Op: claims.Hold, Owner: s.owner, Until: until}, {Op: claims.Send, Owner: s.owner}} {
 		r, ok, err := f.opt.Claims.Step(ctx, s.use, step)
 		if err != nil {
-			f.opt.Log.Warn().Err(err).Str("step", string(step.Op)).Msg("claim not made")
+			f.opt.Log.Warn().Err(err).Str("step", string(step.Op)).Msg("single-use token could not be claimed")
 			if !errors.Is(err, claims.ErrNotProposed) {
-				f.settle(s.use, claims.Step{Op: claims.Release, Owner: s.owner}) // nothing was sent, whatever was agreed on
+				f.settle(s.use, claims.Step{Op: claims.Release, Owner: s.owner}) // nothing was sent, whether or not the step was applied
 			}
 			c.fail(s, 503, "no_quorum", "the token can't be checked at present", "Retry-After: 1\r\n")
 			return false
@@ -613,16 +616,16 @@
 	return true
 }
 
-// Answer is the core's final answer to a request.
+// Answer receives the core's final answer to a request.
 func (c *conn) Answer(tag uint64, a core.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.open[tag]
 	if s == nil {
-		return // withdrawn
+		return // canceled
 	}
 	delete(c.open, tag)
-	if s.owner != "" { // before the answer: whoever waits for the front to be done must not find it so in between
+	if s.owner != "" { // before the response, so that Open does not return 0 in between
 		c.front.settle(s.use, outcome(s, a))
 	}
 	if !s.done {
@@ -630,7 +633,7 @@
 	}
 }
 
-// word maps a final answer to a response.
+// buildResponse maps a final answer to a response.
 func (f *Front) word(s *slot, a core.Answer) []byte {
 	head := ""
 	if a.ETag != "" {
@@ -662,10 +665,10 @@
 	return f.errorAnswer(s, 502, "upstream_failed", "the store failed", "")
 }
 
-// renewed words the token that follows a request's, if one does.
+// renewalHeader returns the header with the successor of a request's token, or "" if the token is not renewed.
 func (f *Front) renewed(s *slot) string {
 	next, now := &s.renews.Renewal, f.opt.Clock.Unix()/1000
-	// Guards against a token that outlives its revocation, which counts as long as a token may last.
+	// Guards against a token that outlives its revocation, which is kept for the maximum lifetime of a token.
 	if float64(next.Seconds) > f.policy.Load().TokenSeconds || !s.renews.Renews(now) {
 		return ""
 	}
@@ -680,7 +683,7 @@
 		"; Max-Age=" + strconv.Itoa(next.Seconds) + "; HttpOnly\r\n"
 }
 
-// throttle words how long a client should stay away, in whole seconds and in ms.
+// retryHeaders returns the headers that state after how long a client should retry, in whole seconds and in ms.
 func throttle(ms float64) string {
 	head := "Retry-After: " + strconv.Itoa(max(1, int((ms+999)/1000))) + "\r\n"
 	if ms > 0 {
@@ -689,7 +692,7 @@
 	return head
 }
 
-// cookiePath keeps the leading segments of a path, as cdnistd says; 0 keeps none.
+// cookiePath returns the first depth segments of a path, as the claim cdnistd defines it; with depth 0 it returns "/".
 func cookiePath(path string, depth int) string {
 	at := 0
 	for ; depth > 0; depth-- {
@@ -705,7 +708,7 @@
 	return path[:at]
 }
 
-// rejected words a token's rejection.
+// rejectionResponse returns the contents of the response to a rejected token.
 func rejected(err error) (status int, code, text, head string) {
 	why := token.WhyOf(err)
 	code, text = string(why), strings.TrimPrefix(err.Error(), "token: ")
--- a/front/signed/withdraw_test.go
+++ b/front/signed/withdraw_test.go
@@ -15,7 +15,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// gated holds each claim up until it may go on.
+// blockedClaims blocks each step that holds a claim until the test closes goOn.
 type gated struct {
 	*book
 	came, goOn chan struct{}
@@ -26,11 +26,11 @@
 		g.came <- struct{}{}
 		<-g.goOn
 	}
-	return g.book.Step(context.Background(), name, step) // granted, however late
+	return g.book.Step(context.Background(), name, step) // also after ctx has ended
 }
 
-// A client that leaves is seen wherever its request waits: for its claim, behind answers that are not written yet, and
-// after its last request. What was not sent on by then is not, and its claim is given back.
+// A disconnect is detected wherever the request waits: for its claim, behind responses that are not written yet, or as the last
+// request of its connection. A request that has not been submitted by then never is, and its claim is released.
 func TestWithdrawalIsSeenWhereverARequestWaits(t *testing.T) {
 	ways := map[string]func(c *net.TCPConn){
 		"close": func(c *net.TCPConn) { c.Close() },
@@ -71,24 +71,24 @@
 				until := func(what string, ok func() bool) {
 					for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 						if time.Now().After(limit) {
-							t.Fatalf("never: %s", what)
+							t.Fatalf("not within 20 s: %s", what)
 						}
 					}
 				}
-				until("the end of the connection", func() bool { return f.Conns() == 0 })
+				until("end of the connection", func() bool { return f.Conns() == 0 })
 				if place == "claim" {
 					close(gate.goOn)
 				} else {
-					until("the mark", ask.Canceled.Load)
+					until("cancellation", ask.Canceled.Load)
 					ask.Frontend.Answer(ask.RequestTag, core.Answer{Verdict: core.Failed, Reason: core.ClientGone}) // as the core does
 				}
-				until("all settled", func() bool { return f.Open() == 0 })
+				until("end of all requests and claims", func() bool { return f.Open() == 0 })
 				if stage := d.book.stage(d.name); stage != "" {
-					t.Errorf("the claim of what was never sent stands at %q", stage)
+					t.Errorf("claim of a request that was never sent is in stage %q", stage)
 				}
 				select {
 				case a := <-asked:
-					t.Errorf("handed on though its client had left: %+v", a)
+					t.Errorf("submitted although its client had disconnected: %+v", a)
 				default:
 				}
 			})
@@ -96,7 +96,7 @@
 	}
 }
 
-// A client whose close lies behind its request, unread, has the request not handed on.
+// A request whose client has already closed the connection is not submitted, even if the close has not been read yet.
 func TestCloseBehindTheRequestIsSeenFirst(t *testing.T) {
 	ways := map[string]func(c *net.TCPConn){
 		"stays": nil,
@@ -136,7 +136,7 @@
 				leave(near.(*net.TCPConn))
 				for limit := time.Now().Add(20 * time.Second); !front.HungUp(far); time.Sleep(time.Millisecond) {
 					if time.Now().After(limit) {
-						t.Fatal("the close never came")
+						t.Fatal("the close did not arrive within 20 s")
 					}
 				}
 			}
@@ -148,18 +148,18 @@
 			}
 			<-served
 			if f.Open() != 0 {
-				t.Errorf("%d requests are open", f.Open())
+				t.Errorf("%d requests are still open", f.Open())
 			}
 			if len(asked) > 0 {
-				t.Error("handed on though its client had left")
+				t.Error("submitted although its client had disconnected")
 			}
 		})
 	}
 }
 
-// A client that asked ahead is read no further until its answers are taken, so its leaving has to be looked for: often enough that
-// the mark comes well within the 0.1 s after which nothing may be sent on for it. The median of many, as the machine may have
-// other work.
+// Requests that a client pipelines beyond the limit are not read until responses are written, so a disconnect has to be polled
+// for: often enough that its requests are canceled well within the 0.1 s after which none of them may be sent. The test uses the
+// median of many clients, as the machine may be busy.
 func TestFullPipelineIsLookedAtOften(t *testing.T) {
 	const (
 		clients = 31
@@ -187,14 +187,14 @@
 		const requests = pipelineMost + 4
 		fmt.Fprint(nc, strings.Repeat(fmt.Sprintf("GET %s HTTP/1.1\r\nHost: h\r\n\r\n", issued.URL), requests))
 		var handedOn []core.Request
-		for range pipelineMost + 1 { // the first waits for its answer, and as many as there is room for behind it
+		for range pipelineMost + 1 { // the one that is being answered, and those queued behind it
 			handedOn = append(handedOn, <-asked)
 		}
 		left := time.Now()
 		nc.Close()
 		for !handedOn[0].Canceled.Load() {
 			if time.Since(left) > 20*time.Second {
-				t.Fatal("never marked")
+				t.Fatal("not canceled within 20 s")
 			}
 			time.Sleep(200 * time.Microsecond)
 		}
@@ -205,6 +205,6 @@
 	}
 	slices.Sort(took)
 	if median := took[clients/2]; median > limit {
-		t.Errorf("marked after %v in the median, %v at the most", median, took[clients-1])
+		t.Errorf("canceled after %v in the median, %v at most", median, took[clients-1])
 	}
 }
--- a/internal/conditional/conditional.go
+++ b/internal/conditional/conditional.go
@@ -1,4 +1,4 @@
-// Package conditional decides how a whole representation answers a request's conditions and ranges (RFC 9110, 13 and 14).
+// Package conditional evaluates the conditions and ranges of a request against a complete representation (RFC 9110, 13 and 14).
 // It does no I/O.
 package conditional
 
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Bounds of what a request may ask for.
+// Limits of the lists in a request.
 const (
-	RangesMost = 16 // more than these, or ranges that overlap, get the whole
-	TagsMost   = 64
+	RangesMost = 16 // with more, or with overlapping ranges, the complete representation is sent
+	TagsMost   = 64 // a longer list of entity tags is invalid
 )
 
-// Request is what a request says of the representation that it wants.
+// Request holds the method of a request and its headers for conditions and ranges.
 type Request struct {
 	Method      string
 	IfNoneMatch string
@@ -22,16 +22,16 @@
 	Range       string
 }
 
-// Span is bytes from From to before To.
+// Span is a range of bytes, including From and excluding To.
 type Span struct{ From, To int }
 
-// Plan is how to answer: 200 with all, 206 with Spans, 304, 412 or 416 with nothing.
+// Plan states how to respond: 200 with the complete representation, 206 with Spans, or 304, 412 or 416 without content.
 type Plan struct {
 	Status int
 	Spans  []Span
 }
 
-// Decide gives the plan for a representation of size bytes under a strong tag, "" where it has none.
+// Decide returns the plan for a representation of size bytes with a strong entity tag, or "" if it has none.
 func Decide(q Request, size int, tag string) Plan {
 	switch {
 	case q.IfMatch != "" && !Match(q.IfMatch, tag, true):
@@ -54,11 +54,11 @@
 	return Plan{Status: 206, Spans: spans}
 }
 
-// sameRange judges If-Range: a strong tag that is the same. A date is never, as no representation here has one.
+// ifRangeMatches reports whether If-Range holds the same strong tag. A date never matches, as no representation here has one.
 func sameRange(v, tag string) bool { return tag != "" && v == `"`+tag+`"` }
 
-// Match tells whether a list of tags, or a star, holds a tag; a strong comparison passes over weak ones. What can't be
-// read matches nothing.
+// Match reports whether a list of tags, or a star, contains a tag. A strong comparison ignores weak tags. A malformed list
+// matches nothing.
 func Match(list, tag string, strong bool) bool {
 	if list == "*" {
 		return true
@@ -81,7 +81,7 @@
 	Weak bool
 }
 
-// Tags reads a list of entity tags (RFC 9110, 8.8.3).
+// Tags parses a list of entity tags (RFC 9110, 8.8.3).
 func Tags(list string) (out []Tag, ok bool) {
 	rest := strings.Trim(list, " \t")
 	for rest != "" {
@@ -113,8 +113,8 @@
 	return out, len(out) > 0
 }
 
-// Ranges reads a Range of bytes for a size. ok false: it is to be passed over, as it can't be read, asks for too many
-// ranges, or for ranges that overlap. No span: none of them is within the size.
+// Ranges parses a Range of bytes for a representation of the given size. If ok is false the header is to be ignored: it is
+// malformed, or requests too many ranges or overlapping ones. If there is no span, no range is satisfiable.
 func Ranges(text string, size int) (out []Span, ok bool) {
 	unit, list, found := strings.Cut(text, "=")
 	if !found || !strings.EqualFold(unit, "bytes") {
@@ -146,7 +146,7 @@
 	return out, n > 0
 }
 
-// span reads FROM-TO, FROM- or -LAST.
+// parseSpan parses FROM-TO, FROM- or -LAST. satisfiable reports whether the span overlaps the representation.
 func span(item string, size int) (s Span, in, ok bool) {
 	from, to, found := strings.Cut(item, "-")
 	if !found || from == "" && to == "" {
@@ -167,7 +167,7 @@
 	return Span{a, min(b, size-1) + 1}, a < size, true
 }
 
-// numberMost is what a larger number counts as; no representation is as long.
+// maxNumber replaces larger numbers; no representation is this long.
 const numberMost = 1 << 40
 
 func number(text string) (int, bool) {
--- a/internal/conditional/conditional_test.go
+++ b/internal/conditional/conditional_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Whatever a Range says, the spans are within the size, in order of the request, and don't overlap; and a plan without
-// spans is none of 206.
+// For any Range, the spans are within the representation and don't overlap, and only a plan with spans has status 206. For any
+// list of entity tags, each parsed tag matches the list.
 func FuzzDecide(f *testing.F) {
 	f.Add("bytes=0-1,5-", `"a", W/"b"`, 7)
 	f.Add("bytes=-99999999999999999999", "*", 7)
@@ -23,12 +23,12 @@
 		for _, s := range p.Spans {
 			for i := s.From; i < s.To; i++ {
 				if taken[i] {
-					t.Fatalf("byte %d is there twice: %+v", i, p)
+					t.Fatalf("byte %d is in two spans: %+v", i, p)
 				}
 				taken[i] = true
 			}
 			if s.From >= s.To {
-				t.Errorf("an empty span: %+v", p)
+				t.Errorf("empty span: %+v", p)
 			}
 		}
 		list, ok := Tags(tags)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 reads HTTP/1.1 requests for the signed front and the console: every length is bounded, and what
-// two readers could understand differently is refused.
+// Package http1 reads HTTP/1.1 requests for the signed frontend and the admin API, and writes responses. Every length is
+// limited, and requests that two parsers could interpret differently are rejected.
 package http1
 
 import (
@@ -12,12 +12,12 @@
 	"strings"
 )
 
-// Bounds of a request, beside the body's.
+// Limits of a request, in addition to that of its body.
 const (
-	lineMost    = 8 << 10  // a request line or one header
-	headMost    = 16 << 10 // all headers
+	lineMost    = 8 << 10  // of a request line or one header
+	headMost    = 16 << 10 // of all headers
 	headersMost = 64
-	chunkLine   = 128
+	chunkLine   = 128 // of the line with the size of a chunk
 )
 
 // Message is one HTTP/1.1 request.
@@ -25,10 +25,10 @@
 	Method, Path, Query, Host string
 	Header                    map[string]string // by lower-case name
 	Body                      []byte
-	Close                     bool // the connection ends after the answer
+	Close                     bool // the connection is closed after the response
 }
 
-// BadMessage is a request that gets an error answer and ends the connection.
+// BadMessage is the error of a malformed request. It is answered with Status and Text, and the connection is closed.
 type BadMessage struct {
 	Status int
 	Text   string
@@ -39,8 +39,8 @@
 
 func bad(status int, text string) error { return &BadMessage{status, text} }
 
-// readLine reads a line of at most so many bytes and takes its end off. A bare CR or NUL has no place
-// in one: readers that differ over it would see different requests.
+// readLine reads a line of at most maxBytes and removes its CR LF. A longer line is rejected with the status tooLong. A line with
+// a bare CR or a NUL is rejected: parsers that treat it differently would see different requests.
 func readLine(r *bufio.Reader, most int, over int) (string, error) {
 	var line []byte
 	for {
@@ -70,10 +70,10 @@
 	return text, nil
 }
 
-// Read reads one request. cont is called before a body that the client holds back for a 100.
+// Read reads one request. It calls sendContinue before it reads a body that the client holds back until 100 Continue.
 func Read(r *bufio.Reader, bodyMost int, cont func()) (m Message, err error) {
 	line, err := readLine(r, lineMost, 414)
-	if err == nil && line == "" { // one empty line before a request is passed over (RFC 9112, 2.2)
+	if err == nil && line == "" { // one empty line before a request is skipped (RFC 9112, 2.2)
 		line, err = readLine(r, lineMost, 414)
 	}
 	if err != nil {
@@ -120,7 +120,7 @@
 	return err
 }
 
-// target reads the origin form, or the absolute form as proxies send it.
+// parseTarget parses a request target in origin form, or in absolute form as proxies send it.
 func (m *Message) target(t string) error {
 	for _, scheme := range []string{"http://", "https://"} {
 		if rest, ok := strings.CutPrefix(t, scheme); ok {
@@ -152,7 +152,7 @@
 			return bad(431, "the headers are too large")
 		}
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !isToken(name) { // also a folded line, and a space before the colon
+		if !ok || !isToken(name) { // this also rejects a folded line and a space before the colon
 			return bad(400, "a header can't be read")
 		}
 		name, value = strings.ToLower(name), strings.Trim(value, " \t")
@@ -171,7 +171,7 @@
 			if value == "" || strings.ContainsAny(value, "/?#@ ,\\") {
 				return bad(400, "the Host can't be read")
 			}
-			if m.Host == "" { // an absolute target comes first
+			if m.Host == "" { // the host of an absolute target takes precedence
 				m.Host = value
 			}
 		}
@@ -181,7 +181,7 @@
 func (m *Message) readBody(r *bufio.Reader, most int, cont func()) error {
 	length, sized := m.Header["content-length"]
 	coding, coded := m.Header["transfer-encoding"]
-	if sized && coded { // the classic way to smuggle a request past a proxy
+	if sized && coded { // request smuggling (RFC 9112, 11.2)
 		return bad(400, "both Content-Length and Transfer-Encoding")
 	}
 	if coded && !strings.EqualFold(coding, "chunked") {
@@ -236,7 +236,7 @@
 			return err
 		}
 	}
-	for n := 0; ; n++ { // trailers are read and not used
+	for n := 0; ; n++ { // trailers are read and ignored
 		line, err := readLine(r, lineMost, 431)
 		if err != nil || line == "" {
 			return err
@@ -247,7 +247,7 @@
 	}
 }
 
-// Cookie gives a cookie's value.
+// Cookie returns the value of a cookie, or "" if there is none of that name.
 func (m *Message) Cookie(name string) string {
 	for item := range strings.SplitSeq(m.Header["cookie"], ";") {
 		if n, v, ok := strings.Cut(strings.TrimSpace(item), "="); ok && n == name {
@@ -267,7 +267,7 @@
 	return s != ""
 }
 
-// IsBad gives a malformed request's answer.
+// IsBad returns the BadMessage that an error of Read wraps, if any.
 func IsBad(err error) (*BadMessage, bool) {
 	var b *BadMessage
 	ok := errors.As(err, &b)
@@ -282,7 +282,7 @@
 	504: "Gateway Timeout", 505: "HTTP Version Not Supported",
 }
 
-// Answer words an answer; a nil body with a length answers HEAD.
+// Answer returns an encoded response. The response to HEAD has a nil body and the length that GET would return.
 func Answer(status int, kind, head string, length int, body []byte, closes bool) []byte {
 	b := make([]byte, 0, 256+len(head)+len(body))
 	b = append(b, "HTTP/1.1 "+strconv.Itoa(status)+" "+statuses[status]+"\r\n"...)
@@ -300,7 +300,7 @@
 	return append(b, body...)
 }
 
-// ErrorAnswer words an error as JSON.
+// ErrorAnswer returns an encoded response with an error as JSON.
 func ErrorAnswer(status int, code, text, head string, closes bool) []byte {
 	body, _ := json.Marshal(map[string]string{"error": code, "detail": text})
 	body = append(body, '\n')
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -1,5 +1,3 @@
-// Package http1 reads HTTP/1.1 requests for the signed front and the console: every length is bounded, and what
-// two readers could understand differently is refused.
 package http1
 
 import (
@@ -8,8 +6,8 @@
 	"testing"
 )
 
-// What is read must not depend on how the bytes are cut, nothing may be longer than its bound, and a
-// request that is taken leaves the next one where it begins.
+// The result must not depend on how the bytes are split into reads, no part may exceed its limit, and an accepted request has
+// a valid path and host.
 func FuzzMessage(f *testing.F) {
 	f.Add("GET /v1/a/b/0?x=1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	f.Add("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
@@ -22,7 +20,7 @@
 		whole := bufio.NewReaderSize(strings.NewReader(in+next), 64<<10)
 		m2, err2 := Read(whole, 100, func() {})
 		if (err == nil) != (err2 == nil) || string(m.Body) != string(m2.Body) || m.Path != m2.Path || m.Close != m2.Close {
-			t.Fatalf("%+v %v, then %+v %v", m, err, m2, err2)
+			t.Fatalf("small buffer: %+v, %v; large buffer: %+v, %v", m, err, m2, err2)
 		}
 		if len(m.Body) > 100 || len(m.Header) > headersMost {
 			t.Errorf("%d bytes, %d headers", len(m.Body), len(m.Header))
@@ -39,7 +37,7 @@
 	cont := 0
 	m, err := Read(r, 5, func() { cont++ })
 	if err != nil || string(m.Body) != "abcde" || cont != 1 {
-		t.Errorf("%q %v, continued %d times", m.Body, err, cont)
+		t.Errorf("%q, %v, 100 Continue was sent %d times", m.Body, err, cont)
 	}
 	if m, err = Read(r, 5, func() {}); err != nil || m.Path != "/next" {
 		t.Errorf("%+v %v", m, err)
--- a/limits/guard.go
+++ b/limits/guard.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// GuardOptions set what a source that fails may do.
+// GuardOptions configure a guard.
 type GuardOptions struct {
-	Failures Rate    // that are forgiven
-	Checks   Rate    // of a blocked source: so many of its tokens are checked all the same
+	Failures Rate    // failures that are tolerated
+	Checks   Rate    // tokens of a blocked source that are checked nevertheless
 	PauseMs  float64 // between the requests of a connection whose source is blocked
-	Sources  int     // that are remembered
+	Sources  int     // number of sources that are tracked
 }
 
 // DefaultGuard is generous to one honest proxy and slows a client that guesses tokens.
@@ -15,32 +15,32 @@
 	Failures: Rate{PerSecond: 2, Burst: 100}, Checks: Rate{PerSecond: 20, Burst: 20}, PauseMs: 250, Sources: 1 << 15,
 }
 
-// Guard makes forged and unknown tokens cost their sender. A source has failures that are forgiven; with half of them
-// used, its connections are slowed: after an answer the next request is read a little later. With all used it is blocked:
-// its connections are read every PauseMs, and of its requests so many a second have their token checked, while the rest
-// are rejected before that. So a flood costs little, and an honest client behind the same address gets through at the
-// rate of the checks, shared with the flood's requests that are read.
+// Guard limits sources that send forged or unknown tokens. Each source has a token bucket of tolerated failures. When half of
+// it is used, the source's connections are slowed: after a response the next request is read a little later. When all of it is
+// used, the source is blocked: its connections are read every PauseMs, and its tokens are checked at the rate Checks, while its
+// other requests are rejected unchecked. So a flood costs little, and an honest client behind the same address gets through at
+// the rate of the checks, which it shares with those requests of the flood that are read.
 type Guard struct {
 	opt    GuardOptions
 	fails  *Table
 	checks *Table
 }
 
-// NewGuard makes a guard.
+// NewGuard returns a guard.
 func NewGuard(opt GuardOptions) *Guard {
 	return &Guard{opt: opt, fails: NewTable(opt.Failures, opt.Sources), checks: NewTable(opt.Checks, opt.Sources)}
 }
 
-// Bytes is the guard's memory.
+// Bytes returns the size of the guard's memory.
 func (g *Guard) Bytes() int { return g.fails.Bytes() + g.checks.Bytes() }
 
-// Failed notes a token of a source that was not accepted.
+// Failed counts a token of a source that was not accepted.
 func (g *Guard) Failed(source string, now float64) { g.fails.Spend(source, 1, now) }
 
 // Check reports whether a source's token may be checked; if not, after how many ms the source should retry.
 func (g *Guard) Check(source string, now float64) (ok bool, wait float64) {
 	level := g.fails.Level(source, now)
-	if level >= 1 { // a failure is left that is forgiven
+	if level >= 1 { // at least one more failure is tolerated
 		return true, 0
 	}
 	if ok, _ := g.checks.Take(source, 1, now); ok {
@@ -49,7 +49,7 @@
 	return false, math.Ceil((1 - level) / g.opt.Failures.PerSecond * 1000)
 }
 
-// Pause is for how many ms a connection of a source is not read after an answer.
+// Pause returns for how many ms a connection of a source is not read after a response.
 func (g *Guard) Pause(source string, now float64) float64 {
 	half := g.opt.Failures.burst() / 2
 	level := g.fails.Level(source, now)
@@ -59,19 +59,19 @@
 	return g.opt.PauseMs * math.Min(1, (half-math.Max(0, level-1))/half)
 }
 
-// Sampler lets so many of a kind of event through each second, and counts the others.
+// Sampler limits the events of each kind that are let through per second, and counts the others.
 type Sampler struct {
 	table      *Table
 	suppressed map[string]int
 }
 
-// NewSampler makes one for a few kinds, each an own text of the program.
+// NewSampler returns a sampler for a few kinds of events, each named by a constant of the program.
 func NewSampler(rate Rate) *Sampler {
 	return &Sampler{table: NewTable(rate, 1), suppressed: map[string]int{}}
 }
 
-// Take reports whether an event is let through, and how many of its kind were not since the last one. One goroutine at a
-// time may call it.
+// Take reports whether an event is let through, and if so how many of its kind were suppressed since the last one. It must not
+// be called concurrently.
 func (s *Sampler) Take(kind string, now float64) (ok bool, left int) {
 	if ok, _ = s.table.Take(kind, 1, now); !ok {
 		s.suppressed[kind]++
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Limit is what each name of a kind may have. Zero values are no limit.
+// Limit holds the limits of each name of a kind. Zero values mean no limit.
 type Limit struct {
 	Requests Rate
 	Bytes    Rate // of responses
@@ -14,18 +14,19 @@
 
 func (l Limit) on() bool { return l.Requests.PerSecond > 0 || l.Bytes.PerSecond > 0 || l.AtOnce > 0 }
 
-// Options set the limits of a front.
+// Options configure the limits of a frontend.
 type Options struct {
 	Grant, Key, Client Limit
-	V4, V6             int // bits of an address that make a client; 0: 24 and 56
-	Names              int // that are remembered of each kind; 0: 65,536
+	V4, V6             int // prefix length that identifies a client; 0: 24 and 56
+	Names              int // number of names that are tracked of each kind; 0: 65,536
 }
 
-// Who is what a request is limited by: its grant, its key (the tenant), its client's prefix.
+// Who holds the names that a request is limited by: its grant, its key (the tenant) and its client's prefix. Empty names are
+// not limited.
 type Who struct{ Grant, Key, Client string }
 
-// Limits hold requests to rates, bytes and numbers in flight, by grant, key and client. A request passes all or is
-// rejected and costs nothing.
+// Limits limit the requests per second, the bytes per second and the requests in flight, by grant, key and client. A request
+// passes all limits, or is rejected and charged to none.
 type Limits struct {
 	opt   Options
 	kinds [3]kind
@@ -38,7 +39,7 @@
 	requests, bytes *Table
 }
 
-// New makes limits. Tables are made only for what is limited.
+// New returns limits. Tables are allocated only for what is limited.
 func New(opt Options) *Limits {
 	if opt.V4 == 0 {
 		opt.V4 = 24
@@ -65,7 +66,7 @@
 // On reports whether anything is limited.
 func (l *Limits) On() bool { return l.opt.Grant.on() || l.opt.Key.on() || l.opt.Client.on() }
 
-// Bytes is the memory of the tables.
+// Bytes returns the size of the tables.
 func (l *Limits) Bytes() (n int) {
 	for _, k := range l.kinds {
 		for _, t := range []*Table{k.requests, k.bytes} {
@@ -77,7 +78,7 @@
 	return n
 }
 
-// Client names the prefix of an address.
+// Client returns the prefix of an address by which a client is limited.
 func (l *Limits) Client(a netip.Addr) string {
 	bits := l.opt.V4
 	if a.Is6() {
@@ -90,16 +91,17 @@
 	return p.String()
 }
 
-// Refusal says by what a request was rejected, and after how many ms a retry is worthwhile.
+// Refusal states which limit rejected a request, and after how many ms a retry is worthwhile.
 type Refusal struct {
 	By   string // "grant", "key" or "client"
 	Wait float64
 }
 
-// busyWait is the Retry-After, in ms, where too many requests are in flight: nobody knows when one ends.
+// busyRetryDelay is the delay, in ms, after which to retry when too many requests are in flight: it can't be predicted when one
+// ends.
 const busyWait = 1000
 
-// Enter admits a request, or says why not. Each admitted request must be released once.
+// Enter admits a request, or returns why it is rejected. Each admitted request must be released once.
 func (l *Limits) Enter(w Who, now float64) *Refusal {
 	names := w.names()
 	for i := range l.kinds {
@@ -123,7 +125,7 @@
 	if !l.inUse.Enter(k.name+"/"+name, k.limit.AtOnce) {
 		return busyWait
 	}
-	ok, wait := k.requests.Take(name, 1, now) // another request may have taken what was there just now
+	ok, wait := k.requests.Take(name, 1, now) // a concurrent request may have taken the last token meanwhile
 	if !ok {
 		l.inUse.Release(k.name+"/"+name, k.limit.AtOnce)
 	}
@@ -132,7 +134,7 @@
 
 func (w Who) names() [3]string { return [3]string{w.Grant, w.Key, w.Client} }
 
-// full returns after how many ms a name may retry; 0: now.
+// retryDelay returns after how many ms a name has a token in each table; 0: it has one now.
 func (k *kind) full(name string, now float64) float64 {
 	wait := 0.0
 	for _, t := range []*Table{k.requests, k.bytes} {
@@ -145,7 +147,7 @@
 	return wait
 }
 
-// rollBack gives back what the kinds of lower index than before have taken.
+// rollBack undoes the admission to the kinds of an index less than before.
 func (l *Limits) rollBack(names [3]string, before int, now float64) {
 	for i := range before {
 		if k := &l.kinds[i]; names[i] != "" {
@@ -155,7 +157,7 @@
 	}
 }
 
-// Release ends an admitted request, with the bytes of its response.
+// Release ends an admitted request, and charges the bytes of its response.
 func (l *Limits) Release(w Who, bytes, now float64) {
 	for i, name := range w.names() {
 		if k := &l.kinds[i]; name != "" {
@@ -165,13 +167,13 @@
 	}
 }
 
-// Gauge counts the requests in flight of each name. It keeps only names that have some.
+// Gauge counts the requests in flight of each name. It holds only names that have any.
 type Gauge struct {
 	mu   sync.Mutex
 	open map[string]int
 }
 
-// Enter counts a request in unless limit requests are in flight; limit 0: it is not counted.
+// Enter counts a request and returns true, unless limit requests are in flight. With limit 0 nothing is counted.
 func (g *Gauge) Enter(name string, limit int) bool {
 	if limit <= 0 {
 		return true
@@ -185,7 +187,7 @@
 	return true
 }
 
-// Release counts a request out.
+// Release ends a request that was entered with the same limit.
 func (g *Gauge) Release(name string, limit int) {
 	if limit <= 0 {
 		return
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// FuzzTable checks a table that has room for all against plain buckets, and one that has not against its promise: a
-// name never gets less than its bucket would give.
+// FuzzTable compares a table with room for all names with plain buckets. In a table that is too small it checks that a name
+// never gets less than its own bucket would give.
 func FuzzTable(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 0, 0, 0, 9, 200, 0, 1})
 	f.Add([]byte{5, 5, 5, 5, 5, 255, 5, 5, 5, 128, 5})
@@ -20,7 +20,7 @@
 		for i, s := range steps {
 			now += float64(s>>4) * 20
 			if s == 255 {
-				now -= 1000 // a clock that goes back
+				now -= 1000 // a backward step of the clock
 			}
 			name := int(s & 15)
 			text := fmt.Sprint(name)
@@ -40,7 +40,7 @@
 				t.Fatalf("wait %v", wait)
 			}
 			if more, _ := tight.Take(text, 1, now); ok && !more && math.Abs(level-1) > 1e-3 {
-				t.Fatalf("step %d: a crowded table gave less", i)
+				t.Fatalf("step %d: a full table gave less", i)
 			}
 			if ok {
 				level--
@@ -52,8 +52,8 @@
 	})
 }
 
-// A million names cost what the table was made for, and a name that used its burst stays known beside them as long as
-// its set has not eight that lack more.
+// A million names use no more memory than the table was created with, and a name that has used its burst is not evicted unless
+// its set holds eight others that are nearer to empty.
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable(Rate{PerSecond: 1, Burst: 5}, 1<<16)
 	for range 5 {
@@ -69,13 +69,13 @@
 		}
 	}
 	if n := table.Bytes(); n > 1<<16*bucketSize*2 || forgotten > 0 {
-		t.Errorf("%d bytes, forgotten %d times", n, forgotten)
+		t.Errorf("%d bytes, evicted %d times", n, forgotten)
 	}
 	t.Logf("%d bytes for a million names", table.Bytes())
 }
 
-// A source that fails is slowed, then barred, and is checked at its rate all the while; it is forgiven in time. Others
-// notice nothing.
+// A source with failures is slowed, then blocked; its tokens are still checked at the configured rate, and it recovers with
+// time. Other sources are not affected.
 func TestGuard(t *testing.T) {
 	g := NewGuard(GuardOptions{Failures: Rate{1, 10}, Checks: Rate{5, 5}, PauseMs: 200, Sources: 100})
 	now, checked := 0.0, 0
@@ -88,25 +88,25 @@
 			checked++
 			g.Failed("bad", now)
 		} else if wait <= 0 {
-			t.Errorf("failure %d: no advice", i)
+			t.Errorf("failure %d: no retry delay", i)
 		}
 	}
-	if checked != 15 { // ten forgiven, and a burst of five
+	if checked != 15 { // ten tolerated failures, and a burst of five checks
 		t.Errorf("%d checked", checked)
 	}
 	for range 20 {
 		now += 200
 		if ok, _ := g.Check("bad", now); !ok {
-			t.Error("less than its rate")
+			t.Error("fewer checks than the configured rate")
 		}
 		g.Failed("bad", now)
 	}
 	if ok, wait := g.Check("good", now); !ok || wait != 0 || g.Pause("good", now) != 0 {
-		t.Error("another source is held to it")
+		t.Error("another source is limited as well")
 	}
 	now += 60000
 	if g.Pause("bad", now) != 0 {
-		t.Error("never forgiven")
+		t.Error("still paused after a minute")
 	}
 }
 
@@ -124,7 +124,7 @@
 	}
 }
 
-// Requests that come at once take no more than there is.
+// Concurrent requests take no more tokens than the bucket has.
 func TestLimitsAtOnce(t *testing.T) {
 	for range 200 {
 		l := New(Options{Grant: Limit{Requests: Rate{1, 3}}})
@@ -138,7 +138,7 @@
 			})
 		}
 		if wg.Wait(); in.Load() != 3 {
-			t.Fatalf("%d let in", in.Load())
+			t.Fatalf("%d requests admitted", in.Load())
 		}
 	}
 }
@@ -155,8 +155,8 @@
 	}
 }
 
-// FuzzLimits holds the limits to a plain count: no name has more in hand than it may, a refusal costs nothing, and what
-// was let in is let out.
+// FuzzLimits compares the limits with plain counters: no name has more requests in flight than its limit, a rejected request is
+// not charged, and after all admitted requests are released none is counted.
 func FuzzLimits(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 128, 4, 5, 129, 130, 1, 1, 1, 1})
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -196,7 +196,7 @@
 			l.Release(w, 0, now)
 		}
 		if len(l.inUse.open) > 0 {
-			t.Errorf("left behind: %v", l.inUse.open)
+			t.Errorf("still counted: %v", l.inUse.open)
 		}
 	})
 }
--- a/limits/table.go
+++ b/limits/table.go
@@ -1,5 +1,5 @@
-// Package limits decides how much of something a name may have: requests, bytes, failures. It does no I/O and has no
-// clock: every call is handed the time in milliseconds. Its memory is set when it is made, however many names come.
+// Package limits limits requests, bytes and failures by name. It does no I/O and has no clock: the time in milliseconds is
+// passed to every call. The memory of its tables is fixed when they are created, however many names are used.
 package limits
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rate is a token bucket's size.
+// Rate is the refill rate and the capacity of a token bucket.
 type Rate struct {
-	PerSecond float64 // that come back; 0: no limit
-	Burst     float64 // that may be taken at once; 0: a second's worth, 1 at least
+	PerSecond float64 // tokens that are refilled; 0: no limit
+	Burst     float64 // capacity; 0: what is refilled in a second, at least 1
 }
 
 func (r Rate) burst() float64 {
@@ -22,15 +22,15 @@
 	return math.Max(1, r.PerSecond)
 }
 
-// ways is how many names share a set: what is kept of a name is lost only when its set has so many others that are
-// nearer to empty.
+// ways is the number of buckets in a set. A name's bucket is evicted only when its set holds this many others that are nearer
+// to empty.
 const ways = 8
 
 const shards = 64
 
-// Table has a token bucket for each name. It keeps the buckets that lack most: where a set is full, the one nearest to
-// full gives way, and its name begins anew with a full one. So its error is one way: a name may get more than its rate,
-// by at most what the lost bucket lacked; never less, but for names whose 64-bit hashes (xxHash64) are the same.
+// Table has a token bucket for each name. When a set is full, the bucket that is nearest to full is evicted, and its name starts
+// again with a full one. So the error is one-sided: a name may get more than its rate, by at most the tokens that the evicted
+// bucket lacked, but never less, except if names have the same 64-bit hash (xxHash64).
 type Table struct {
 	rate   Rate
 	shards [shards]shard
@@ -42,15 +42,15 @@
 }
 
 type bucket struct {
-	name  uint64
-	level float32 // tokens at the time
-	at    float64 // ms
+	name  uint64  // hash of the name; 0: the bucket is unused
+	level float32 // tokens at the time of the last update
+	at    float64 // time of the last update, in ms
 }
 
-// bucketSize is a bucket's memory, in bytes.
+// bucketSize is the size of a bucket in bytes.
 const bucketSize = 24
 
-// NewTable makes a table for about so many names.
+// NewTable returns a table for about the given number of names.
 func NewTable(rate Rate, names int) *Table {
 	t := &Table{rate: rate}
 	each := max(1, (names+shards*ways-1)/(shards*ways))
@@ -60,19 +60,19 @@
 	return t
 }
 
-// Bytes is the table's memory.
+// Bytes returns the size of the table's memory.
 func (t *Table) Bytes() int { return shards * len(t.shards[0].sets) * ways * bucketSize }
 
 // On reports whether the table limits anything.
 func (t *Table) On() bool { return t != nil && t.rate.PerSecond > 0 }
 
-// level gives a bucket's tokens at now. A clock that went back gives nothing.
+// level returns a bucket's tokens at now. After a backward step of the clock none are refilled.
 func (t *Table) level(b *bucket, now float64) float64 {
 	return math.Min(t.rate.burst(), float64(b.level)+math.Max(0, now-b.at)/1000*t.rate.PerSecond)
 }
 
-// Take takes n tokens of a name if they are there, and else returns in how many ms they are. More than the burst are
-// taken from a full bucket, which then owes them.
+// Take takes n tokens from a name's bucket if it has them, and otherwise returns in how many ms it will. If n exceeds the
+// burst, a full bucket suffices, and the difference is owed.
 func (t *Table) Take(name string, n, now float64) (ok bool, wait float64) {
 	if !t.On() {
 		return true, 0
@@ -80,14 +80,14 @@
 	return t.use(name, n, now, math.Min(n, t.rate.burst()))
 }
 
-// Spend takes n tokens of a name whether they are there or not: what has been used is owed, up to a burst.
+// Spend takes n tokens from a name's bucket whether or not it has them: missing tokens are owed, up to a burst.
 func (t *Table) Spend(name string, n, now float64) {
 	if t.On() {
 		t.use(name, n, now, math.Inf(-1))
 	}
 }
 
-// Level gives the tokens of a name.
+// Level returns the tokens of a name.
 func (t *Table) Level(name string, now float64) float64 {
 	if !t.On() {
 		return math.Inf(1)
@@ -104,7 +104,7 @@
 }
 
 func (t *Table) find(name string) (hash uint64, s *shard, set *[ways]bucket) {
-	hash = xxhash.Sum64String(name) | 1 // 0 is an empty bucket
+	hash = xxhash.Sum64String(name) | 1 // 0 marks an unused bucket
 	s = &t.shards[hash>>58]
 	return hash, s, &s.sets[(hash>>1)%uint64(len(s.sets))]
 }
@@ -124,7 +124,7 @@
 	if b != nil {
 		level = t.level(b, now)
 	}
-	if b != nil { // also where nothing is taken: after a clock that goes back, what comes back does so from here on
+	if b != nil { // even if nothing is taken: after a backward step of the clock, refilling starts from the new time
 		b.level, b.at = float32(level), now
 	}
 	if level < required {
@@ -138,7 +138,7 @@
 	return true, 0
 }
 
-// leastUsed returns the bucket of a set that is nearest to full.
+// leastUsed returns an unused bucket of a set, or else the bucket that is nearest to full.
 func (t *Table) leastUsed(set *[ways]bucket, now float64) *bucket {
 	best, highest := &set[0], math.Inf(-1)
 	for i := range set {
