--- a/front/signed/withdraw_test.go
+++ b/front/signed/disconnect_test.go
@@ -15,7 +15,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// blockedClaims blocks each step that holds a claim until the test closes goOn.
+// blockedClaims blocks each step that holds a claim until the test closes proceed.
 type gated struct {
 	*book
 	came, goOn chan struct{}
--- a/front/signed/guard_test.go
+++ b/front/signed/guard_test.go
@@ -14,7 +14,7 @@
 	"turnfork.dev/turnfork/limits"
 )
 
-// rejectionLog blocks on the first line about a rejected token until the test closes goOn.
+// rejectionLog blocks on the first line about a rejected token until the test closes proceed.
 type rejectionLog struct {
 	reached, goOn chan struct{}
 	held          bool
--- a/front/signed/signed.go
+++ b/front/signed/signed.go
@@ -61,7 +61,7 @@
 	Classes    []Class
 	Ring       *ring.Ring
 	Claims     Claims
-	State      SharedState // nil: operators can't change any
+	State      SharedState // for the operator's calls; nil: those that need it are rejected
 	Leeway     float64     // tolerated clock skew in either direction, in ms
 	Scheme     string      // of the URIs that clients see; "": http
 	Operator   string      // secret of the operator's calls; "": the calls are disabled
@@ -77,20 +77,20 @@
 }
 
 const (
-	bodyMost     = 48000            // of a request
+	bodyMost     = 48000            // bytes of one request's body
 	wholeMost    = 30000.0          // ms from a request's first byte until it must be complete
 	stallMost    = 5000.0           // ms without a byte of an incomplete request
 	lingerMost   = 60 * time.Second // for a client to close the connection after the last response
 	firstMost    = 12000.0          // ms until the first byte of a new connection
-	idleMost     = 60000.0          // ms between requests
+	idleMost     = 60000.0          // ms between two requests
 	writeLimit   = 5 * time.Second
 	hungUpLook   = 20 * time.Millisecond // for disconnects of clients whose requests are not being read
 	pipelineMost = 4                     // requests of a connection queued behind the one that is being answered
-	intakeMost   = 8 << 20               // bodies of unanswered requests, on all connections
+	intakeMost   = 8 << 20               // bytes of the bodies of unanswered requests, on all connections
 	claimMargin  = 60000                 // ms that a claim is kept beyond the token's expiry and leeway
-	settleMost   = time.Minute           // after which the claim stays as it is
-	logsMost     = 10                    // of each kind of message that clients can cause
-	releases     = 256                   // steps at once that record outcomes
+	settleMost   = time.Minute           // for recording the outcome of a claim; after it the claim stays as it is
+	logsMost     = 10                    // of each kind that clients can cause
+	releases     = 256                   // outcomes that are being recorded at the same time
 )
 
 // Front is the frontend of one listener.
