--- a/claims/claims.go
+++ b/claims/claims.go
@@ -5,7 +5,7 @@
 // owner has sent nothing yet, and the owner's own step to sent fails once the use belongs to another request. A hold whose
 // outcome its owner never learned therefore blocks no other request, and a use that may have run is never granted again.
 //
-// It does not know tokens, nor when a record is dropped; that is up to packages front/signed and replica.
+// It does not interpret tokens and does not decide when a record is deleted: packages front/signed and replica do.
 package claims
 
 import "errors"
@@ -34,13 +34,13 @@
 }
 
 // outcomeDelay is the longest time, in ms, that recording the last step of a use may take.
-const settleDelay = 2000
+const outcomeDelay = 2000
 
 // Pending reports whether the last step of a use may still follow at now, in Unix ms, if a request takes at most requestMS.
 // Until then another request for the token is answered with a Retry-After instead of a final rejection: the owner may be
 // about to release it.
 func (r Record) Pending(now, requestMS float64) bool {
-	return r.Stage == Sent && r.At > 0 && now < r.At+requestMS+settleDelay
+	return r.Stage == Sent && r.At > 0 && now < r.At+requestMS+outcomeDelay
 }
 
 // Op is the kind of a step.
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -10,15 +10,15 @@
 	f.Add([]byte{0, 4, 12, 16, 20, 24})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		var r Record
-		there := false
+		exists := false
 		type request struct{ sends, ended, released bool }
-		all := map[string]*request{}
+		requests := map[string]*request{}
 		for i, b := range steps {
 			owner := string('a' + rune(b>>4))
-			q := all[owner]
+			q := requests[owner]
 			if q == nil {
 				q = &request{}
-				all[owner] = q
+				requests[owner] = q
 			}
 			s := Step{Owner: owner, Until: float64(i)}
 			switch b % 16 / 4 {
@@ -44,15 +44,15 @@
 				s.Op = Release
 			}
 			before := r
-			next, stays, ok := Apply(r, there, s)
-			if again, stays2, ok2 := Apply(next, stays, s); ok && (again != next || stays2 != stays || !ok2) && s.Op != Hold {
-				t.Fatalf("step %d: repeated, its result differs: %+v %+v", i, next, again)
+			next, keep, ok := Apply(r, exists, s)
+			if repeated, keepRepeated, okRepeated := Apply(next, keep, s); ok && (repeated != next || keepRepeated != keep || !okRepeated) && s.Op != Hold {
+				t.Fatalf("step %d: repeated, its result differs: %+v %+v", i, next, repeated)
 			}
 			if !ok && next != before {
 				t.Fatalf("step %d: not granted, but it changed %+v to %+v", i, before, next)
 			}
-			r, there = next, stays
-			if !stays {
+			r, exists = next, keep
+			if !keep {
 				r = Record{}
 			}
 			if !ok {
@@ -60,7 +60,7 @@
 			}
 			switch s.Op {
 			case Send:
-				for other, o := range all {
+				for other, o := range requests {
 					if other != owner && o.sends && !o.released {
 						t.Fatalf("step %d: %s may send while %s may send", i, owner, other)
 					}
--- a/front/signed/answer.go
+++ b/front/signed/answer.go
@@ -17,20 +17,20 @@
 	"turnfork.dev/turnfork/internal/http1"
 )
 
-const octets = "application/octet-stream"
+const octetStream = "application/octet-stream"
 
 // fail answers a request with an error, and states the cause in Proxy-Status (RFC 9209).
 func (c *conn) fail(s *slot, status int, code, text, head string) {
-	c.reply(s, c.front.errorAnswer(s, status, code, text, head))
+	c.reply(s, c.frontend.errorAnswer(s, status, code, text, head))
 }
 
 func (f *Front) errorAnswer(s *slot, status int, code, text, head string) []byte {
-	return http1.ErrorAnswer(status, code, text, f.date()+head+proxyStatus(code)+f.opt.CORS.answer(&s.msg), s.msg.Close)
+	return http1.ErrorAnswer(status, code, text, f.dateHeader()+head+proxyStatusHeader(code)+f.opt.CORS.headers(&s.msg), s.msg.Close)
 }
 
 // proxyErrors maps the frontend's error codes to the proxy error types of RFC 9209, 2.3. The type of other codes is
 // http_request_denied.
-var causes = map[string]string{
+var proxyErrors = map[string]string{
 	"malformed": "http_request_error", "method": "http_request_error", "not_found": "destination_not_found",
 	"unknown_class": "destination_not_found", "crowded": "connection_limit_reached", "draining": "destination_unavailable",
 	"refused": "connection_limit_reached", "too_many_failures": "http_request_denied", "limited": "connection_limit_reached",
@@ -39,25 +39,25 @@
 }
 
 // proxyStatusHeaders caches the headers by code. It stays small, as all codes are constants of the program.
-var statuses sync.Map
+var proxyStatusHeaders sync.Map
 
-func proxyStatus(code string) string {
-	if text, ok := statuses.Load(code); ok {
+func proxyStatusHeader(code string) string {
+	if text, ok := proxyStatusHeaders.Load(code); ok {
 		return text.(string)
 	}
-	cause := causes[code]
+	cause := proxyErrors[code]
 	if cause == "" {
 		cause = "http_request_denied"
 	}
 	item := httpsfv.NewItem(httpsfv.Token("turnfork"))
 	item.Params.Add("error", httpsfv.Token(cause))
 	item.Params.Add("details", code)
-	text := structured("Proxy-Status", item)
-	statuses.Store(code, text)
+	text := structuredHeader("Proxy-Status", item)
+	proxyStatusHeaders.Store(code, text)
 	return text
 }
 
-func structured(name string, item httpsfv.Item) string {
+func structuredHeader(name string, item httpsfv.Item) string {
 	text, err := httpsfv.Marshal(httpsfv.List{item})
 	if err != nil { // never: names and values are constants
 		return ""
@@ -66,11 +66,11 @@
 }
 
 // buildRepresentation returns the response with a representation, or what the request's conditions and ranges make of it.
-func (f *Front) served(s *slot, a core.Answer, head string) []byte {
+func (f *Front) buildRepresentation(s *slot, a core.Answer, head string) []byte {
 	m := &s.msg
-	head += f.common(s, a)
+	head += f.commonHeaders(s, a)
 	if s.class.Write {
-		return http1.Answer(200, octets, head, len(a.Body), a.Body, m.Close)
+		return http1.Answer(200, octetStream, head, len(a.Body), a.Body, m.Close)
 	}
 	plan := conditional.Decide(conditional.Request{
 		Method: m.Method, IfNoneMatch: m.Header["if-none-match"], IfMatch: m.Header["if-match"], IfRange: m.Header["if-range"],
@@ -90,13 +90,13 @@
 			return http1.Answer(206, kind, head, len(body), body, m.Close)
 		}
 		p := plan.Spans[0]
-		return http1.Answer(206, octets, head+contentRange(p, size), p.To-p.From, a.Body[p.From:p.To], m.Close)
+		return http1.Answer(206, octetStream, head+contentRange(p, size), p.To-p.From, a.Body[p.From:p.To], m.Close)
 	}
 	head += "Accept-Ranges: bytes\r\n"
 	if m.Method == "HEAD" {
-		return http1.Answer(200, octets, head, len(a.Body), nil, m.Close)
+		return http1.Answer(200, octetStream, head, len(a.Body), nil, m.Close)
 	}
-	return http1.Answer(200, octets, head, len(a.Body), a.Body, m.Close)
+	return http1.Answer(200, octetStream, head, len(a.Body), a.Body, m.Close)
 }
 
 func contentRange(p conditional.Span, size string) string {
@@ -107,20 +107,20 @@
 func multipart(body []byte, spans []conditional.Span) (kind string, out []byte) {
 	boundary, size := rand.Text(), strconv.Itoa(len(body))
 	for _, p := range spans {
-		out = append(out, "\r\n--"+boundary+"\r\nContent-Type: "+octets+"\r\n"+contentRange(p, size)+"\r\n"...)
+		out = append(out, "\r\n--"+boundary+"\r\nContent-Type: "+octetStream+"\r\n"+contentRange(p, size)+"\r\n"...)
 		out = append(out, body[p.From:p.To]...)
 	}
 	return "multipart/byteranges; boundary=" + boundary, append(out, "\r\n--"+boundary+"--\r\n"...)
 }
 
 // commonHeaders returns the headers that all responses about a representation share.
-func (f *Front) common(s *slot, a core.Answer) string {
-	return f.date() + f.caching(s, a) + f.opt.CORS.answer(&s.msg)
+func (f *Front) commonHeaders(s *slot, a core.Answer) string {
+	return f.dateHeader() + f.cachingHeaders(s, a) + f.opt.CORS.headers(&s.msg)
 }
 
 // cachingHeaders returns the headers that state the age of a copy and how long it may be cached: as long as its class
 // permits, and no longer than the grant is valid. Only private caches may store it, as the URL or the cookie is private too.
-func (f *Front) caching(s *slot, a core.Answer) string {
+func (f *Front) cachingHeaders(s *slot, a core.Answer) string {
 	if s.class.Write {
 		return "Cache-Control: no-store\r\n"
 	}
@@ -130,25 +130,25 @@
 		age = math.Max(0, math.Floor((now-a.CreatedAt)/1000))
 		head = "Age: " + strconv.Itoa(int(math.Min(age, math.MaxInt32))) + "\r\n"
 	}
-	if most := math.Floor(math.Min(s.class.Fresh/1000, age+(s.endsAt-f.opt.Clock.Now())/1000)); most > age {
-		head += "Cache-Control: private, max-age=" + strconv.Itoa(int(most)) + "\r\n"
+	if maxAge := math.Floor(math.Min(s.class.Fresh/1000, age+(s.grantExpiresAt-f.opt.Clock.Now())/1000)); maxAge > age {
+		head += "Cache-Control: private, max-age=" + strconv.Itoa(int(maxAge)) + "\r\n"
 	} else { // valid until it is purged, or stale already: to be revalidated each time, which 304 makes cheap
 		head += "Cache-Control: private, no-cache\r\n"
 	}
-	if s.vary != "" {
-		head += "Vary: " + s.vary + "\r\n"
+	if s.tokenHeader != "" {
+		head += "Vary: " + s.tokenHeader + "\r\n"
 	}
-	return head + f.cacheStatus(s, a, age)
+	return head + f.cacheStatusHeader(s, a, age)
 }
 
 // cacheStatusHeaders maps the note in an endpoint's response to the header Cache-Status (RFC 9211), without ttl and line end.
-var cacheStatuses = func() map[control.Note]string {
+var cacheStatusHeaders = func() map[control.Note]string {
 	line := func(params ...any) string {
 		item := httpsfv.NewItem(httpsfv.Token("turnfork"))
 		for i := 0; i < len(params); i += 2 {
 			item.Params.Add(params[i].(string), params[i+1])
 		}
-		return strings.TrimSuffix(structured("Cache-Status", item), "\r\n")
+		return strings.TrimSuffix(structuredHeader("Cache-Status", item), "\r\n")
 	}
 	hit, miss := line("hit", true), line("fwd", httpsfv.Token("miss"))
 	return map[control.Note]string{
@@ -158,10 +158,10 @@
 }()
 
 // cacheStatusHeader returns the header that states whether an endpoint had the copy, and for how long it stays fresh.
-func (f *Front) cacheStatus(s *slot, a core.Answer, age float64) string {
-	text, ok := cacheStatuses[a.Note]
+func (f *Front) cacheStatusHeader(s *slot, a core.Answer, age float64) string {
+	text, ok := cacheStatusHeaders[a.Note]
 	if !ok {
-		text = cacheStatuses[control.NoNote]
+		text = cacheStatusHeaders[control.NoNote]
 	}
 	if s.class.Fresh > 0 && a.CreatedAt > 0 {
 		text += ";ttl=" + strconv.Itoa(int(s.class.Fresh/1000-age))
@@ -170,25 +170,25 @@
 }
 
 // dateLine is the header Date of one second.
-type dateText struct {
+type dateLine struct {
 	second int64
 	text   string
 }
 
 // dateHeader returns the header Date of a response.
-func (f *Front) date() string {
+func (f *Front) dateHeader() string {
 	second := int64(f.opt.Clock.Unix() / 1000)
-	if d := f.dates.Load(); d != nil && d.second == second {
+	if d := f.cachedDate.Load(); d != nil && d.second == second {
 		return d.text
 	}
-	d := &dateText{second, "Date: " + time.Unix(second, 0).UTC().Format(http.TimeFormat) + "\r\n"}
-	f.dates.Store(d)
+	d := &dateLine{second, "Date: " + time.Unix(second, 0).UTC().Format(http.TimeFormat) + "\r\n"}
+	f.cachedDate.Store(d)
 	return d.text
 }
 
 // withDate inserts the header Date after the status line of a small response.
-func (f *Front) dated(b []byte) []byte {
-	return bytes.Replace(b, []byte("\r\n"), []byte("\r\n"+f.date()), 1)
+func (f *Front) withDate(b []byte) []byte {
+	return bytes.Replace(b, []byte("\r\n"), []byte("\r\n"+f.dateHeader()), 1)
 }
 
 // CORS configures what pages of other origins may do (the Fetch standard's protocol). The zero value allows nothing.
@@ -199,7 +199,7 @@
 }
 
 // allowedOrigin returns the value of Access-Control-Allow-Origin for a request, or "" if its origin is not allowed.
-func (o *CORS) allows(m *http1.Message) string {
+func (o *CORS) allowedOrigin(m *http1.Message) string {
 	origin := m.Header["origin"]
 	for _, x := range o.Origins {
 		if origin != "" && x == "*" {
@@ -213,16 +213,16 @@
 }
 
 // headers returns the CORS headers of a response other than that to OPTIONS.
-func (o *CORS) answer(m *http1.Message) string {
-	origin := o.allows(m)
+func (o *CORS) headers(m *http1.Message) string {
+	origin := o.allowedOrigin(m)
 	if origin == "" {
-		return o.vary()
+		return o.varyHeader()
 	}
 	return "Access-Control-Allow-Origin: " + origin +
-		"\r\nAccess-Control-Expose-Headers: Age, Cache-Status, Content-Range, ETag, Proxy-Status, Retry-After, X-Throttle-Ms\r\n" + o.vary()
+		"\r\nAccess-Control-Expose-Headers: Age, Cache-Status, Content-Range, ETag, Proxy-Status, Retry-After, X-Throttle-Ms\r\n" + o.varyHeader()
 }
 
-func (o *CORS) vary() string {
+func (o *CORS) varyHeader() string {
 	if len(o.Origins) == 0 || o.Origins[0] == "*" {
 		return ""
 	}
@@ -230,13 +230,13 @@
 }
 
 // optionsResponse returns the response to OPTIONS. No token is required, as a browser's preflight carries none.
-func (f *Front) options(s *slot, class Class) []byte {
+func (f *Front) optionsResponse(s *slot, class Class) []byte {
 	m, allow := &s.msg, "GET, HEAD, OPTIONS"
 	if class.Write {
 		allow = "POST, OPTIONS"
 	}
 	head := "Allow: " + allow + "\r\n"
-	if origin := f.opt.CORS.allows(m); origin != "" && m.Header["access-control-request-method"] != "" {
+	if origin := f.opt.CORS.allowedOrigin(m); origin != "" && m.Header["access-control-request-method"] != "" {
 		head += "Access-Control-Allow-Origin: " + origin + "\r\nAccess-Control-Allow-Methods: " + allow + "\r\n"
 		if len(f.opt.CORS.Headers) > 0 {
 			head += "Access-Control-Allow-Headers: " + strings.Join(f.opt.CORS.Headers, ", ") + "\r\n"
@@ -245,5 +245,5 @@
 			head += "Access-Control-Max-Age: " + strconv.Itoa(f.opt.CORS.MaxAge) + "\r\n"
 		}
 	}
-	return http1.Answer(204, "", f.date()+head+f.opt.CORS.vary(), 0, nil, m.Close)
+	return http1.Answer(204, "", f.dateHeader()+head+f.opt.CORS.varyHeader(), 0, nil, m.Close)
 }
--- a/front/signed/claim.go
+++ b/front/signed/claim.go
@@ -11,7 +11,7 @@
 // outcomeStep returns the step that records how a claimed request ended. A rejection guarantees that nothing ran, and a
 // request that was never sent has not run either: the token may be used again. A request that failed after it was sent may
 // have run.
-func outcome(s *slot, a core.Answer) claims.Step {
+func outcomeStep(s *slot, a core.Answer) claims.Step {
 	step := claims.Step{Op: claims.Settle, Owner: s.owner, To: claims.Doubt}
 	switch {
 	case a.Verdict == core.Rejected, a.Verdict == core.Failed && !a.MayHaveRun:
@@ -27,7 +27,7 @@
 }
 
 // claimHeader returns the value of X-Claim for the stage of a claim.
-func claimOf(r claims.Record) string {
+func claimHeader(r claims.Record) string {
 	if r.Stage == "" {
 		return "unknown"
 	}
@@ -35,7 +35,7 @@
 }
 
 // replayDetail describes what is known of the earlier use of a token.
-func replayed(r claims.Record) string {
+func replayDetail(r claims.Record) string {
 	text := "the token has been used"
 	switch r.Stage {
 	case claims.Held:
@@ -56,16 +56,16 @@
 // recordOutcome applies the last step of a claim without blocking the core. The step is retried until the time-out, as a group
 // of voters without a leader soon elects one. If too many steps are pending, the claim stays as it is, which prevents a second
 // use of the token.
-func (f *Front) settle(name string, step claims.Step) {
+func (f *Front) recordOutcome(name string, step claims.Step) {
 	select {
-	case f.release <- struct{}{}:
+	case f.outcomeSlots <- struct{}{}:
 	default:
 		f.opt.Log.Warn().Str("claim", name).Msg("claim outcome not recorded: too many outcomes pending")
 		return
 	}
 	go func() {
-		defer func() { <-f.release }()
-		ctx, cancel := context.WithTimeout(context.Background(), settleMost)
+		defer func() { <-f.outcomeSlots }()
+		ctx, cancel := context.WithTimeout(context.Background(), outcomeTimeout)
 		defer cancel()
 		if _, ok, err := f.opt.Claims.Step(ctx, name, step); err != nil || !ok {
 			f.opt.Log.Warn().Err(err).Str("claim", name).Str("step", string(step.Op)).Bool("granted", ok).Msg("claim outcome not recorded")
--- a/front/signed/claim_test.go
+++ b/front/signed/claim_test.go
@@ -21,13 +21,13 @@
 )
 
 // claimStore is a replicated store that loses messages: a step may fail before or after it is applied.
-type book struct {
+type claimStore struct {
 	mu      sync.Mutex
 	records map[string]claims.Record
 	faults  map[claims.Op]string // "before" or "after" the step is applied; each occurs once
 }
 
-func (b *book) Step(_ context.Context, name string, s claims.Step) (claims.Record, bool, error) {
+func (b *claimStore) Step(_ context.Context, name string, s claims.Step) (claims.Record, bool, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	fault := b.faults[s.Op]
@@ -35,10 +35,10 @@
 	if fault == "before" {
 		return claims.Record{}, false, errors.New("no leader")
 	}
-	old, there := b.records[name]
+	old, exists := b.records[name]
 	s.At = 1e12
-	next, stays, ok := claims.Apply(old, there, s)
-	if delete(b.records, name); stays {
+	next, keep, ok := claims.Apply(old, exists, s)
+	if delete(b.records, name); keep {
 		b.records[name] = next
 	}
 	if fault == "after" {
@@ -47,38 +47,38 @@
 	return next, ok, nil
 }
 
-func (b *book) stage(name string) claims.Stage {
+func (b *claimStore) stage(name string) claims.Stage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.records[name].Stage
 }
 
-func (b *book) Revoke(context.Context, string, float64) error { return nil }
-func (b *book) Revoked(string) bool                           { return false }
-func (b *book) Put(context.Context, string, any) error        { return nil }
+func (b *claimStore) Revoke(context.Context, string, float64) error { return nil }
+func (b *claimStore) Revoked(string) bool                           { return false }
+func (b *claimStore) Put(context.Context, string, any) error        { return nil }
 
-// depot has two gateways with one claim store, and a core that answers requests as the test prescribes.
-type depot struct {
+// gatewayPair has two gateways with one claim store, and a core that answers requests as the test prescribes.
+type gatewayPair struct {
 	*testing.T
-	book   *book
-	clock  *clock.Clock
-	fronts []*Front
-	addrs  []string
-	url    string
-	name   string
-	mu     sync.Mutex
-	runs   int
-	answer func() core.Answer // of the core
-	asked  chan core.Request
+	store     *claimStore
+	clock     *clock.Clock
+	frontends []*Front
+	addrs     []string
+	url       string
+	claimName string
+	mu        sync.Mutex
+	runs      int
+	answer    func() core.Answer // of the core
+	submitted chan core.Request
 }
 
-func newDepot(t *testing.T) *depot {
+func newGatewayPair(t *testing.T) *gatewayPair {
 	keys, err := ring.New([]token.Key{{ID: "k", Kind: token.HMAC, Secret: base64.StdEncoding.EncodeToString([]byte(strings.Repeat("s", 32)))}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	clk := clock.Manual(1e12)
-	d := &depot{T: t, clock: clk, book: &book{records: map[string]claims.Record{}, faults: map[claims.Op]string{}}, name: "k/n", asked: make(chan core.Request, 16)}
+	d := &gatewayPair{T: t, clock: clk, store: &claimStore{records: map[string]claims.Record{}, faults: map[claims.Op]string{}}, claimName: "k/n", submitted: make(chan core.Request, 16)}
 	got, err := keys.Issue("k", token.Terms{URI: "/v1/ride-end/00000000000000e1/0", Until: 1e9 + 600, ID: "n"})
 	if err != nil {
 		t.Fatal(err)
@@ -88,21 +88,21 @@
 	var wg sync.WaitGroup
 	for range 2 {
 		f := New(Options{
-			Post: d.post, Clock: clk, Log: zerolog.Nop(), Ring: keys, Claims: d.book, Classes: []Class{{Name: "ride-end", Deadline: 3000, Write: true}},
+			Post: d.submit, Clock: clk, Log: zerolog.Nop(), Ring: keys, Claims: d.store, Classes: []Class{{Name: "ride-end", Deadline: 3000, Write: true}},
 		})
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		wg.Go(func() { f.Serve(ctx, l) })
-		d.fronts, d.addrs = append(d.fronts, f), append(d.addrs, l.Addr().String())
+		d.frontends, d.addrs = append(d.frontends, f), append(d.addrs, l.Addr().String())
 	}
 	t.Cleanup(func() { stop(); wg.Wait() })
 	return d
 }
 
 // post acts as the core: each request that it does not reject runs once.
-func (d *depot) post(ev core.Event) {
+func (d *gatewayPair) submit(ev core.Event) {
 	a, ok := ev.(core.Request)
 	if !ok {
 		return
@@ -113,12 +113,12 @@
 		d.runs++
 	}
 	d.mu.Unlock()
-	d.asked <- a
+	d.submitted <- a
 	go a.Frontend.Answer(a.RequestTag, answer)
 }
 
 // call sends the request to a gateway and returns the status, X-Claim and the body of the response.
-func (d *depot) call(at int) (int, string, string) {
+func (d *gatewayPair) call(at int) (int, string, string) {
 	d.Helper()
 	resp, err := http.Post("http://"+d.addrs[at]+d.url, "text/plain", strings.NewReader("ride"))
 	if err != nil {
@@ -131,8 +131,8 @@
 }
 
 // waitIdle waits until the gateways have no open request and no pending step of a claim.
-func (d *depot) settled() {
-	for limit := time.Now().Add(20 * time.Second); d.fronts[0].Open()+d.fronts[1].Open() > 0; time.Sleep(time.Millisecond) {
+func (d *gatewayPair) waitIdle() {
+	for limit := time.Now().Add(20 * time.Second); d.frontends[0].Open()+d.frontends[1].Open() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			d.Fatal("requests or claim steps are still pending after 20 s")
 		}
@@ -140,33 +140,33 @@
 }
 
 var (
-	served  = core.Answer{Verdict: core.Served, Body: []byte("ok"), MayHaveRun: true}
-	refused = core.Answer{Verdict: core.Rejected, RetryAfter: 50}
-	failed  = core.Answer{Verdict: core.Failed, Reason: core.UpstreamFailed, MayHaveRun: true}
-	late    = core.Answer{Verdict: core.Failed, Reason: core.DeadlineExceeded, MayHaveRun: true}
+	served   = core.Answer{Verdict: core.Served, Body: []byte("ok"), MayHaveRun: true}
+	rejected = core.Answer{Verdict: core.Rejected, RetryAfter: 50}
+	failed   = core.Answer{Verdict: core.Failed, Reason: core.UpstreamFailed, MayHaveRun: true}
+	timedOut = core.Answer{Verdict: core.Failed, Reason: core.DeadlineExceeded, MayHaveRun: true}
 )
 
 // Whichever message of the claim store is lost, and however the request ends, a client that retries at either gateway gets its
 // request run at most once, and learns how it ended.
-func TestClaimsInDoubt(t *testing.T) {
+func TestClaimRetriesRunAtMostOnce(t *testing.T) {
 	cases := 0
 	for _, op := range []claims.Op{"", claims.Hold, claims.Send, claims.Settle, claims.Release} {
 		for _, when := range []string{"before", "after"} {
 			for name, answers := range map[string][]core.Answer{
-				"served": {served}, "rejected, then served": {refused, served}, "failed": {failed}, "late": {late}, "rejected twice": {refused, refused, served},
+				"served": {served}, "rejected, then served": {rejected, served}, "failed": {failed}, "late": {timedOut}, "rejected twice": {rejected, rejected, served},
 			} {
 				cases++
 				t.Run(fmt.Sprint(op, " lost ", when, ", ", name), func(t *testing.T) {
-					d := newDepot(t)
+					d := newGatewayPair(t)
 					at := 0
 					d.answer = func() core.Answer { a := answers[min(at, len(answers)-1)]; at++; return a }
 					if op != "" {
-						d.book.faults[op] = when
+						d.store.faults[op] = when
 					}
 					code, claim, text := 0, "", ""
-					for try := 0; try < 8 && (code == 0 || code == 503); try++ {
-						code, claim, text = d.call(try % 2)
-						d.settled()
+					for attempt := 0; attempt < 8 && (code == 0 || code == 503); attempt++ {
+						code, claim, text = d.call(attempt % 2)
+						d.waitIdle()
 						if claim == "sent" {
 							d.clock.Advance(6000) // past the time in which the outcome may still be recorded
 						}
@@ -175,8 +175,8 @@
 					if want == 0 {
 						want = 200
 					}
-					lostRefusal := op == claims.Release && strings.HasPrefix(name, "rejected") // the release is never applied, as if its gateway had crashed
-					if lostRefusal && when == "before" {
+					lostRelease := op == claims.Release && strings.HasPrefix(name, "rejected") // the release is never applied, as if its gateway had crashed
+					if lostRelease && when == "before" {
 						if code != 403 || claim != "sent" || d.runs != 0 {
 							t.Errorf("%d %s %s, %d runs", code, claim, text, d.runs)
 						}
@@ -203,11 +203,11 @@
 
 // A gateway that crashed leaves its claim in its last stage. Another request may take the token over only if the crashed gateway
 // had not sent its own.
-func TestClaimsOfTheDead(t *testing.T) {
+func TestClaimOfCrashedGateway(t *testing.T) {
 	for stage, want := range map[claims.Stage]int{claims.Held: 200, claims.Sent: 403, claims.Ran: 403, claims.Doubt: 403, "": 403} {
-		d := newDepot(t)
+		d := newGatewayPair(t)
 		d.answer = func() core.Answer { return served }
-		d.book.records[d.name] = claims.Record{Owner: "dead", Until: 2e12, Stage: stage}
+		d.store.records[d.claimName] = claims.Record{Owner: "dead", Until: 2e12, Stage: stage}
 		code, claim, text := d.call(0)
 		if code != want || want == 403 && (claim != string(stage) && stage != "" || d.runs != 0) {
 			t.Errorf("%q: %d %q %s, %d runs", stage, code, claim, text, d.runs)
@@ -215,28 +215,29 @@
 	}
 }
 
-// A claimed request runs to its end when its client disconnects: its outcome is recorded, and the client's next call is told.
-func TestClaimOutlivesItsClient(t *testing.T) {
-	d := newDepot(t)
-	let := make(chan struct{})
+// A claimed request runs to its end when its client disconnects: its outcome is recorded, and the client's next call
+// learns it.
+func TestClaimOutlivesClientConnection(t *testing.T) {
+	d := newGatewayPair(t)
+	respond := make(chan struct{})
 	d.answer = func() core.Answer { return served }
-	plain := d.fronts[0].opt.Post
-	d.fronts[0].opt.Post = func(ev core.Event) {
+	submit := d.frontends[0].opt.Post
+	d.frontends[0].opt.Post = func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
-			d.asked <- a
-			go func() { <-let; a.Frontend.Answer(a.RequestTag, served) }()
+			d.submitted <- a
+			go func() { <-respond; a.Frontend.Answer(a.RequestTag, served) }()
 			return
 		}
-		plain(ev)
+		submit(ev)
 	}
 	c, err := net.Dial("tcp", d.addrs[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", d.url)
-	<-d.asked
+	<-d.submitted
 	c.Close()
-	for d.fronts[0].Conns() > 0 {
+	for d.frontends[0].Conns() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if code, claim, _ := d.call(1); code != 503 || claim != "sent" {
@@ -246,8 +247,8 @@
 	if code, claim, _ := d.call(1); code != 403 || claim != "sent" {
 		t.Errorf("after its deadline: %d %s", code, claim)
 	}
-	close(let)
-	for d.book.stage(d.name) != claims.Ran {
+	close(respond)
+	for d.store.stage(d.claimName) != claims.Ran {
 		time.Sleep(time.Millisecond)
 	}
 	if code, claim, text := d.call(1); code != 403 || claim != "ran" || !strings.Contains(text, "served 2 bytes") {
--- a/front/signed/drain_test.go
+++ b/front/signed/drain_test.go
@@ -59,24 +59,24 @@
 			t.Errorf("status %d, want %d", resp.StatusCode, want)
 		}
 	}
-	idle, ir := dial()
-	health(idle, ir, 200)
-	half, hr := dial()
-	half.Write([]byte(ask[:10]))
+	idle, idleReader := dial()
+	health(idle, idleReader, 200)
+	partial, partialReader := dial()
+	partial.Write([]byte(ask[:10]))
 	for f.Conns() < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	f.Drain(true)
-	health(idle, ir, 503)
+	health(idle, idleReader, 503)
 	for f.Open() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	clk.Advance(600)
-	if _, err := ir.ReadByte(); err != io.EOF {
+	if _, err := idleReader.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection not closed: %v", err)
 	}
 	clk.Advance(2000)
-	if _, err := hr.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := partialReader.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error("connection with an incomplete request not closed")
 	}
 	f.Drain(false)
--- a/front/signed/guard_test.go
+++ b/front/signed/guard_test.go
@@ -16,31 +16,31 @@
 
 // rejectionLog blocks on the first line about a rejected token until the test closes proceed.
 type rejectionLog struct {
-	reached, goOn chan struct{}
-	held          bool
+	reached, proceed chan struct{}
+	blocked          bool
 }
 
 func (l *rejectionLog) Write(line []byte) (int, error) {
-	if !l.held && bytes.Contains(line, []byte("token not accepted")) {
-		l.held = true
+	if !l.blocked && bytes.Contains(line, []byte("token not accepted")) {
+		l.blocked = true
 		close(l.reached)
-		<-l.goOn
+		<-l.proceed
 	}
 	return len(line), nil
 }
 
 // A rejected token is counted as a failure of its source before the client has the response, so that it applies to the client's
 // next request, also on a new connection. The test blocks the reader goroutine when it logs the rejection of the first token.
-func TestFailureCountsBeforeItsAnswer(t *testing.T) {
-	d := newDepot(t)
-	log := &rejectionLog{reached: make(chan struct{}), goOn: make(chan struct{})}
-	f := d.fronts[0]
+func TestFailureIsCountedBeforeResponse(t *testing.T) {
+	d := newGatewayPair(t)
+	log := &rejectionLog{reached: make(chan struct{}), proceed: make(chan struct{})}
+	f := d.frontends[0]
 	f.opt.Log = zerolog.New(log)
 	f.guard = limits.NewGuard(limits.GuardOptions{
 		Failures: limits.Rate{PerSecond: 1, Burst: 1}, Checks: limits.Rate{PerSecond: 1, Burst: 1}, Sources: 8,
 	})
 	forged := strings.Replace(d.url, "signature=", "signature=A", 1)
-	ask := func() <-chan string {
+	sendForged := func() <-chan string {
 		c, err := net.Dial("tcp", d.addrs[0])
 		if err != nil {
 			t.Fatal(err)
@@ -54,22 +54,22 @@
 		}()
 		return status
 	}
-	first := ask()
+	first := sendForged()
 	<-log.reached
-	letGo := sync.OnceFunc(func() { close(log.goOn) })
-	t.Cleanup(letGo)
+	proceed := sync.OnceFunc(func() { close(log.proceed) })
+	t.Cleanup(proceed)
 	select {
 	case status := <-first:
 		t.Fatalf("response %s was written before the rejection was handled", status)
 	case <-time.After(50 * time.Millisecond): // time in which a premature response would arrive
 	}
-	letGo()
+	proceed()
 	if status := <-first; status != "403" {
 		t.Errorf("the first token: %s", status)
 	}
 	// The one tolerated failure is used. The next token uses the one check of a blocked source.
 	for i, want := range []string{"403", "429"} {
-		if status := <-ask(); status != want {
+		if status := <-sendForged(); status != want {
 			t.Errorf("token %d after the first: %s, want %s", i+1, status, want)
 		}
 	}
--- a/front/signed/manage.go
+++ b/front/signed/manage.go
@@ -28,7 +28,7 @@
 	TokenSeconds float64 `json:"token_seconds"` // maximum lifetime of an issued token
 }
 
-func (p Policy) check() error {
+func (p Policy) validate() error {
 	switch {
 	case !(p.LeewayMs >= 0 && p.LeewayMs <= 300000):
 		return fmt.Errorf("leeway_ms: 0 to 300000")
@@ -68,9 +68,9 @@
 
 // Issue signs the requested token at now, in Unix seconds. most is the maximum lifetime in seconds, and id the jti or nonce to
 // use.
-func Issue(keys *ring.Ring, q IssueRequest, now, most float64, id string) (out Issued, err error) {
-	if !(q.Seconds > 0 && q.Seconds <= most) {
-		return out, fmt.Errorf("seconds: more than 0, %v at most", most)
+func Issue(keys *ring.Ring, q IssueRequest, now, maxSeconds float64, id string) (out Issued, err error) {
+	if !(q.Seconds > 0 && q.Seconds <= maxSeconds) {
+		return out, fmt.Errorf("seconds: more than 0, %v at most", maxSeconds)
 	}
 	if !(q.After >= 0 && q.After < q.Seconds) {
 		return out, fmt.Errorf("after: less than seconds")
@@ -95,7 +95,7 @@
 }
 
 // handleManagement answers the operator's calls and the health check.
-func (f *Front) manage(m *http1.Message) []byte {
+func (f *Front) handleManagement(m *http1.Message) []byte {
 	if draining, _ := f.server.Draining(); draining && m.Path == "/healthz" {
 		return http1.ErrorAnswer(503, "draining", "this gateway is being emptied", "", m.Close)
 	}
@@ -161,7 +161,7 @@
 	case ConfigPolicy:
 		var p Policy
 		if err = json.Unmarshal(value, &p); err == nil {
-			if err = p.check(); err == nil {
+			if err = p.validate(); err == nil {
 				f.policy.Store(&p)
 			}
 		}
--- a/front/signed/object.go
+++ b/front/signed/object.go
@@ -14,13 +14,13 @@
 )
 
 // objectPath is a path /v1/CLASS/OBJECT/PART. The query may contain the object's group and size, covered by the signature.
-type path struct {
+type objectPath struct {
 	class, object, part string
 }
 
 const objectDigits = 16
 
-func objectPath(p string) (o path, ok bool) {
+func parseObjectPath(p string) (o objectPath, ok bool) {
 	rest, ok := strings.CutPrefix(p, "/v1/")
 	if !ok || !token.Canonical(p) {
 		return o, false
@@ -29,11 +29,11 @@
 	if len(parts) != 3 {
 		return o, false
 	}
-	return path{parts[0], parts[1], parts[2]}, true
+	return objectPath{parts[0], parts[1], parts[2]}, true
 }
 
 // parseObjectID parses the ID of an object as it is written in paths.
-func objectNumber(text string) (uint64, error) {
+func parseObjectID(text string) (uint64, error) {
 	object, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != objectDigits {
 		return 0, fmt.Errorf("the object is no %d hexadecimal digits", objectDigits)
@@ -42,9 +42,9 @@
 }
 
 // request builds the request for the core.
-func (o path) ask(q token.Query, m *http1.Message) (a core.Request, err error) {
+func (o objectPath) request(q token.Query, m *http1.Message) (a core.Request, err error) {
 	a.Class, a.Name = o.class, o.object
-	if a.Object, err = objectNumber(o.object); err != nil {
+	if a.Object, err = parseObjectID(o.object); err != nil {
 		return a, err
 	}
 	part, ok := token.Number(o.part, 32) // accepts one spelling for each part only
@@ -70,7 +70,7 @@
 		}
 	}
 	if m.Header["if-match"] == "" { // If-Match is evaluated when the response arrives, which must then be complete
-		a.ClientETag = known(m.Header["if-none-match"])
+		a.ClientETag = singleETag(m.Header["if-none-match"])
 	}
 	var txn [8]byte
 	rand.Read(txn[:])
@@ -80,7 +80,7 @@
 
 // singleETag returns the tag of the client's copy if there is exactly one: it is sent to the endpoint. A list or a star is
 // compared when the response arrives.
-func known(v string) string {
+func singleETag(v string) string {
 	tags, ok := conditional.Tags(v)
 	if !ok || len(tags) != 1 {
 		return ""
--- a/front/signed/operator_calls.go
+++ b/front/signed/operator_calls.go
@@ -31,7 +31,7 @@
 }
 
 // okResponse is the response to a successful call without a result.
-var done = map[string]bool{"ok": true}
+var okResponse = map[string]bool{"ok": true}
 
 // unavailableError is the error of a call that may succeed when it is retried.
 type unavailableError struct {
@@ -46,7 +46,7 @@
 func (e *unavailableError) Unwrap() error { return e.err }
 
 // asUnavailable wraps an error of a change of the replicated state.
-func agreed(err error) error {
+func asUnavailable(err error) error {
 	if err != nil {
 		return &unavailableError{code: "no_quorum", err: err}
 	}
@@ -76,7 +76,7 @@
 	if q.Until == 0 {
 		q.Until = f.opt.Clock.Unix()/1000 + policy.TokenSeconds
 	}
-	return done, agreed(f.opt.Claims.Revoke(ctx, token.Grant{Key: q.Key, ID: q.ID}.Use(), q.Until*1000+policy.LeewayMs))
+	return okResponse, asUnavailable(f.opt.Claims.Revoke(ctx, token.Grant{Key: q.Key, ID: q.ID}.Use(), q.Until*1000+policy.LeewayMs))
 }
 
 func (f *Front) replaceKeys(ctx context.Context, body []byte) (any, error) {
@@ -87,7 +87,7 @@
 	if _, err := ring.New(keys); err != nil {
 		return nil, err
 	}
-	return done, agreed(f.opt.Claims.Put(ctx, ConfigKeys, keys))
+	return okResponse, asUnavailable(f.opt.Claims.Put(ctx, ConfigKeys, keys))
 }
 
 func (f *Front) changePolicy(ctx context.Context, body []byte) (any, error) {
@@ -95,10 +95,10 @@
 	if err := readJSON(body, &p); err != nil {
 		return nil, err
 	}
-	if err := p.check(); err != nil {
+	if err := p.validate(); err != nil {
 		return nil, err
 	}
-	return done, agreed(f.opt.Claims.Put(ctx, ConfigPolicy, p))
+	return okResponse, asUnavailable(f.opt.Claims.Put(ctx, ConfigPolicy, p))
 }
 
 // purgeCopies invalidates the copies of one object, or of one group of objects, that are older than the call.
@@ -116,7 +116,7 @@
 	var object uint64
 	if q.Object != "" {
 		var err error
-		if object, err = objectNumber(q.Object); err != nil {
+		if object, err = parseObjectID(q.Object); err != nil {
 			return nil, err
 		}
 		if object == 0 {
@@ -126,7 +126,7 @@
 	if f.opt.State == nil {
 		return nil, errors.New("this gateway has no replicated state")
 	}
-	return done, agreed(f.opt.State.Purge(ctx, object, q.Group))
+	return okResponse, asUnavailable(f.opt.State.Purge(ctx, object, q.Group))
 }
 
 // replaceMember returns the voters after a replacement.
@@ -145,7 +145,7 @@
 	case errors.Is(err, membership.ErrRefused):
 		return nil, fmt.Errorf("the replacement can't be made: %w", err)
 	case err != nil:
-		return nil, agreed(err)
+		return nil, asUnavailable(err)
 	}
 	return map[string][]membership.Member{"members": members}, nil
 }
--- a/front/signed/response_budget_test.go
+++ b/front/signed/response_budget_test.go
@@ -15,20 +15,20 @@
 
 // While one client leaves so much unread that the response buffer is nearly full, another client gets an error instead of a large
 // response, gets small responses, and keeps its connection. The first client's response is complete once it reads.
-func TestSlowClientCostsOthersNoAnswer(t *testing.T) {
+func TestUnreadResponsesDoNotAffectOtherClients(t *testing.T) {
 	const large = 32 << 20 // exceeds the socket buffers of both ends
-	d := newDepot(t)
-	f := d.fronts[0]
-	f.budget.Limit(large + 1<<20)
+	d := newGatewayPair(t)
+	f := d.frontends[0]
+	f.responseBudget.Limit(large + 1<<20)
 	f.classes["firmware"] = Class{Name: "firmware", Deadline: 3000}
 	issued, err := f.ring.Load().Issue("k", token.Terms{URI: "/v1/firmware/00000000000000e1/0", Until: 1e9 + 600, ID: "n"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := make(chan core.Request, 1)
+	submitted := make(chan core.Request, 1)
 	f.opt.Post = func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
-			asked <- a
+			submitted <- a
 		}
 	}
 	connect := func() (net.Conn, *bufio.Reader) {
@@ -42,7 +42,7 @@
 	}
 	serve := func(nc net.Conn, size int) {
 		fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", issued.URL)
-		a := <-asked
+		a := <-submitted
 		a.Frontend.Answer(a.RequestTag, core.Answer{Verdict: core.Served, ETag: "aa", Body: make([]byte, size)})
 	}
 	expect := func(r *bufio.Reader, status int, size int64) {
@@ -56,15 +56,15 @@
 			t.Errorf("status %d with %d bytes, error %v; want status %d", resp.StatusCode, n, err, status)
 		}
 	}
-	slow, slowAnswers := connect()
+	slow, slowResponses := connect()
 	serve(slow, large)
-	if _, err := slowAnswers.Peek(1); err != nil { // the response is being written
+	if _, err := slowResponses.Peek(1); err != nil { // the response is being written
 		t.Fatal(err)
 	}
-	good, answers := connect()
-	serve(good, 2<<20)
-	expect(answers, http.StatusBadGateway, 0)
-	serve(good, 100)
-	expect(answers, http.StatusOK, 100)
-	expect(slowAnswers, http.StatusOK, large)
+	other, otherResponses := connect()
+	serve(other, 2<<20)
+	expect(otherResponses, http.StatusBadGateway, 0)
+	serve(other, 100)
+	expect(otherResponses, http.StatusOK, 100)
+	expect(slowResponses, http.StatusOK, large)
 }
--- a/front/signed/signed.go
+++ b/front/signed/signed.go
@@ -77,40 +77,40 @@
 }
 
 const (
-	bodyMost     = 48000            // bytes of one request's body
-	wholeMost    = 30000.0          // ms from a request's first byte until it must be complete
-	stallMost    = 5000.0           // ms without a byte of an incomplete request
-	lingerMost   = 60 * time.Second // for a client to close the connection after the last response
-	firstMost    = 12000.0          // ms until the first byte of a new connection
-	idleMost     = 60000.0          // ms between two requests
-	writeLimit   = 5 * time.Second
-	hungUpLook   = 20 * time.Millisecond // for disconnects of clients whose requests are not being read
-	pipelineMost = 4                     // requests of a connection queued behind the one that is being answered
-	intakeMost   = 8 << 20               // bytes of the bodies of unanswered requests, on all connections
-	claimMargin  = 60000                 // ms that a claim is kept beyond the token's expiry and leeway
-	settleMost   = time.Minute           // for recording the outcome of a claim; after it the claim stays as it is
-	logsMost     = 10                    // of each kind that clients can cause
-	releases     = 256                   // outcomes that are being recorded at the same time
+	maxBodyBytes           = 48000            // bytes of one request's body
+	requestTimeout         = 30000.0          // ms from a request's first byte until it must be complete
+	readTimeout            = 5000.0           // ms without a byte of an incomplete request
+	lingerTimeout          = 60 * time.Second // for a client to close the connection after the last response
+	firstByteTimeout       = 12000.0          // ms until the first byte of a new connection
+	idleTimeout            = 60000.0          // ms between two requests
+	writeTimeout           = 5 * time.Second
+	disconnectPollInterval = 20 * time.Millisecond // at which to check whether a client has disconnected whose requests are not being read
+	maxPipelined           = 4                     // requests of a connection queued behind the one that is being answered
+	maxTotalBodyBytes      = 8 << 20               // bytes of the bodies of unanswered requests, on all connections
+	claimMargin            = 60000                 // ms that a claim is kept beyond the token's expiry and leeway
+	outcomeTimeout         = time.Minute           // for recording the outcome of a claim; after it the claim stays as it is
+	maxLogsPerSecond       = 10                    // of each kind that clients can cause
+	maxPendingOutcomes     = 256                   // outcomes that are being recorded at the same time
 )
 
 // Front is the frontend of one listener.
 type Front struct {
-	opt     Options
-	server  front.Server
-	budget  front.Budget
-	intake  front.Budget
-	classes map[string]Class
-	ring    atomic.Pointer[ring.Ring]
-	policy  atomic.Pointer[Policy]
-	open    atomic.Int64
-	box     front.Mailbox[core.Event] // events for the core
-	release chan struct{}
-	dates   atomic.Pointer[dateText]
-	guard   *limits.Guard
-	limits  *limits.Limits
-
-	sampling sync.Mutex
-	sampler  *limits.Sampler
+	opt            Options
+	server         front.Server
+	responseBudget front.Budget
+	bodyBudget     front.Budget
+	classes        map[string]Class
+	ring           atomic.Pointer[ring.Ring]
+	policy         atomic.Pointer[Policy]
+	open           atomic.Int64
+	mailbox        front.Mailbox[core.Event] // events for the core
+	outcomeSlots   chan struct{}
+	cachedDate     atomic.Pointer[dateLine]
+	guard          *limits.Guard
+	limits         *limits.Limits
+
+	samplerMu sync.Mutex
+	sampler   *limits.Sampler
 }
 
 // New returns a frontend.
@@ -133,13 +133,13 @@
 	f := &Front{
 		opt: opt,
 		server: front.Server{
-			Max: opt.MaxConns, FirstByteTimeout: firstMost, IdleTimeout: idleMost, ReadTimeout: stallMost, RequestTimeout: wholeMost,
+			Max: opt.MaxConns, FirstByteTimeout: firstByteTimeout, IdleTimeout: idleTimeout, ReadTimeout: readTimeout, RequestTimeout: requestTimeout,
 			Clock: opt.Clock, Log: opt.Log, Tap: opt.Tap,
 		},
-		budget: front.Budget{Most: opt.MaxBytes}, intake: front.Budget{Most: intakeMost}, classes: map[string]Class{}, release: make(chan struct{}, releases),
-		guard: limits.NewGuard(guardOf(opt.Guard)), limits: limits.New(opt.Limits), sampler: limits.NewSampler(limits.Rate{PerSecond: logsMost, Burst: logsMost}),
+		responseBudget: front.Budget{Most: opt.MaxBytes}, bodyBudget: front.Budget{Most: maxTotalBodyBytes}, classes: map[string]Class{}, outcomeSlots: make(chan struct{}, maxPendingOutcomes),
+		guard: limits.NewGuard(guardOptions(opt.Guard)), limits: limits.New(opt.Limits), sampler: limits.NewSampler(limits.Rate{PerSecond: maxLogsPerSecond, Burst: maxLogsPerSecond}),
 	}
-	f.box.Post = func(ev core.Event) { f.opt.Post(ev) }
+	f.mailbox.Post = func(ev core.Event) { f.opt.Post(ev) }
 	for _, c := range opt.Classes {
 		f.classes[c.Name] = c
 	}
@@ -161,7 +161,7 @@
 
 // Open returns the number of requests whose response is not yet written, plus the number of claim outcomes that are not yet
 // recorded.
-func (f *Front) Open() int { return int(f.open.Load()) + len(f.release) }
+func (f *Front) Open() int { return int(f.open.Load()) + len(f.outcomeSlots) }
 
 // Drain starts draining the frontend's connections, or with on false stops draining them.
 func (f *Front) Drain(on bool) { f.server.Drain(on) }
@@ -180,60 +180,60 @@
 // processes.
 func (f *Front) SetProcessShare(processes, conns int) {
 	f.server.Limit(conns)
-	f.budget.Limit(f.opt.MaxBytes / int64(processes))
-	f.intake.Limit(intakeMost / int64(processes))
+	f.responseBudget.Limit(f.opt.MaxBytes / int64(processes))
+	f.bodyBudget.Limit(maxTotalBodyBytes / int64(processes))
 }
 
 // slot is one request's position in the order of responses.
 type slot struct {
-	tag    uint64
-	msg    http1.Message
-	came   float64 // when its last byte arrived, in clock ms
-	class  Class
-	until  float64      // expiry of its grant, in Unix seconds
-	endsAt float64      // the same in clock ms, computed when the request was validated
-	use    string       // claim name of its grant; "": the grant has no ID
-	vary   string       // name of the header that carried its token
-	renews *token.Grant // nil: its token is not renewable
-	who    *limits.Who  // names under which it is counted in the limits; nil: it is not
-	owner  string       // owner of its claim; "": it is not claimed
-	held   int          // bytes of its body that are booked in the frontend's budget
-	asked  bool         // it was submitted to the core
-	over   *atomic.Bool // true once its client has disconnected
-	done   bool
-	ready  chan struct{} // closed once done
-	answer []byte        // valid once done; nil: the client has disconnected
+	tag            uint64
+	msg            http1.Message
+	receivedAt     float64 // when its last byte arrived, in clock ms
+	class          Class
+	grantUntil     float64      // expiry of its grant, in Unix seconds
+	grantExpiresAt float64      // the same in clock ms, computed when the request was validated
+	claimName      string       // claim name of its grant; "": the grant has no ID
+	tokenHeader    string       // name of the header that carried its token
+	renewable      *token.Grant // nil: its token is not renewable
+	limitNames     *limits.Who  // names under which it is counted in the limits; nil: it is not
+	owner          string       // owner of its claim; "": it is not claimed
+	bookedBytes    int          // bytes of its body that are booked in the frontend's budget
+	submitted      bool         // it was submitted to the core
+	canceled       *atomic.Bool // true once its client has disconnected
+	done           bool
+	ready          chan struct{} // closed once done
+	answer         []byte        // valid once done; nil: the client has disconnected
 }
 
 type conn struct {
-	front *Front
-	net   net.Conn
-	place *front.Conn
-	queue chan *slot
-	ended chan struct{} // closed when the writer returns
+	frontend   *Front
+	net        net.Conn
+	serverConn *front.Conn
+	queue      chan *slot
+	writerDone chan struct{} // closed when the writer returns
 
-	from   netip.Addr // address of the client
-	source string     // key under which its failures are counted
+	clientAddr netip.Addr // address of the client
+	source     string     // key under which its failures are counted
 
-	lingering bool         // used by the reader only: no further request is read
-	unwritten atomic.Int64 // complete or malformed requests whose response is not yet written
+	lingering  bool         // used by the reader only: no further request is read
+	unanswered atomic.Int64 // complete or malformed requests whose response is not yet written
 
-	mu   sync.Mutex
-	left bool             // the client no longer reads
-	half float64          // when the incomplete request must be complete; 0: there is none
-	open map[uint64]*slot // by tag
-	tags uint64           // the last one
+	mu              sync.Mutex
+	disconnected    bool             // the client no longer reads
+	requestDeadline float64          // when the incomplete request must be complete; 0: there is none
+	open            map[uint64]*slot // by tag
+	lastTag         uint64           // the last tag that was assigned
 }
 
-func (f *Front) handle(nc net.Conn, place *front.Conn) {
+func (f *Front) handle(nc net.Conn, serverConn *front.Conn) {
 	c := &conn{
-		front: f, net: nc, place: place, queue: make(chan *slot, pipelineMost), ended: make(chan struct{}), open: map[uint64]*slot{},
+		frontend: f, net: nc, serverConn: serverConn, queue: make(chan *slot, maxPipelined), writerDone: make(chan struct{}), open: map[uint64]*slot{},
 	}
 	if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
-		c.from = a.AddrPort().Addr().Unmap()
+		c.clientAddr = a.AddrPort().Addr().Unmap()
 	}
-	c.source = source(c.from)
-	place.CloseWhenIdle()
+	c.source = sourceOf(c.clientAddr)
+	serverConn.CloseWhenIdle()
 	var g errgroup.Group
 	g.Go(func() error { c.write(); return nil })
 	c.read()
@@ -243,145 +243,145 @@
 // read reads requests and handles them, until the connection ends. It runs in the reader goroutine.
 func (c *conn) read() {
 	defer close(c.queue)
-	r := bufio.NewReaderSize(interruptible{c, c.place.CountReads(c.net)}, 4<<10)
+	r := bufio.NewReaderSize(interruptibleReader{c, c.serverConn.CountReads(c.net)}, 4<<10)
 	for {
 		if _, err := r.Peek(1); err != nil {
-			c.gone(err)
+			c.disconnect(err)
 			return
 		}
-		c.begin(c.front.opt.Clock.Now() + wholeMost)
-		m, err := http1.Read(r, bodyMost, c.goOn)
-		c.unwritten.Add(1) // before the report below: an unanswered request keeps the connection open
-		c.begin(0)
-		s := &slot{msg: m, came: c.place.Arrived(), ready: make(chan struct{})}
+		c.setRequestDeadline(c.frontend.opt.Clock.Now() + requestTimeout)
+		m, err := http1.Read(r, maxBodyBytes, c.sendContinue)
+		c.unanswered.Add(1) // before the report below: an unanswered request keeps the connection open
+		c.setRequestDeadline(0)
+		s := &slot{msg: m, receivedAt: c.serverConn.Arrived(), ready: make(chan struct{})}
 		if b, ok := http1.IsBad(err); ok {
-			c.front.guard.Failed(c.source, c.front.opt.Clock.Now())
-			c.front.sampled(c.front.opt.Log.Warn(), "request can't be read", func(e *zerolog.Event) {
+			c.frontend.guard.Failed(c.source, c.frontend.opt.Clock.Now())
+			c.frontend.logSampled(c.frontend.opt.Log.Warn(), "request can't be read", func(e *zerolog.Event) {
 				e.Int("status", b.Status).Str("what", b.Text).Str("from", c.source)
 			})
 			s.msg.Close = true
-			c.front.open.Add(1)
-			s.finish(c.front.errorAnswer(s, b.Status, "malformed", b.Text, ""))
-			c.push(s)
-			c.drain(r)
+			c.frontend.open.Add(1)
+			s.finish(c.frontend.errorAnswer(s, b.Status, "malformed", b.Text, ""))
+			c.enqueue(s)
+			c.linger(r)
 			return
 		}
 		if err != nil {
-			c.gone(err)
+			c.disconnect(err)
 			return
 		}
-		c.front.open.Add(1)
-		if !c.push(s) {
-			c.gone(nil)
+		c.frontend.open.Add(1)
+		if !c.enqueue(s) {
+			c.disconnect(nil)
 			return
 		}
-		c.take(s)
+		c.handleRequest(s)
 		if s.msg.Close {
-			c.drain(r)
+			c.linger(r)
 			return
 		}
-		if !c.slow() {
-			c.gone(nil)
+		if !c.pauseReading() {
+			c.disconnect(nil)
 			return
 		}
 	}
 }
 
 // setRequestDeadline reports to the server that an incomplete request must be complete by a time, or with 0 that there is none.
-func (c *conn) begin(until float64) {
+func (c *conn) setRequestDeadline(until float64) {
 	c.mu.Lock()
-	c.half = until
+	c.requestDeadline = until
 	c.mu.Unlock()
 	c.report(false)
 }
 
 // interruptibleReader repeats a read that the server has interrupted, unless the connection is to be closed. By then the
 // server knows what was read: a complete request is open, and an incomplete one was reported with its deadline.
-type interruptible struct {
+type interruptibleReader struct {
 	conn *conn
 	in   io.Reader
 }
 
-func (r interruptible) Read(b []byte) (int, error) {
+func (r interruptibleReader) Read(b []byte) (int, error) {
 	for {
 		n, err := r.in.Read(b)
 		if n > 0 || r.conn.lingering || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
 		r.conn.net.SetReadDeadline(time.Time{}) // before ShouldClose, so that no later interruption is lost
-		if r.conn.place.ShouldClose() {
+		if r.conn.serverConn.ShouldClose() {
 			return n, err
 		}
 	}
 }
 
-// report tells the server which requests are open on the connection.
-func (c *conn) report(asked bool) {
+// report reports the connection's open requests and the deadline of the incomplete one to the server.
+func (c *conn) report(hadRequest bool) {
 	c.mu.Lock() // reader and writer both report
 	defer c.mu.Unlock()
-	c.place.Update(int(c.unwritten.Load()), asked, c.half)
+	c.serverConn.Update(int(c.unanswered.Load()), hadRequest, c.requestDeadline)
 }
 
 // sendContinue has a client send the body that it holds back. While earlier responses are pending it sends nothing, as the
 // bytes could end up within them; such a client sends the body without it after a time-out.
-func (c *conn) goOn() {
-	if c.unwritten.Load() == 0 {
-		c.net.SetWriteDeadline(time.Now().Add(writeLimit))
+func (c *conn) sendContinue() {
+	if c.unanswered.Load() == 0 {
+		c.net.SetWriteDeadline(time.Now().Add(writeTimeout))
 		c.net.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
 
 // linger waits for the client to close the connection after the last response, and discards what it still sends. If the
 // client closes the connection before that response, its requests are canceled.
-func (c *conn) drain(r *bufio.Reader) {
+func (c *conn) linger(r *bufio.Reader) {
 	c.lingering = true
-	c.net.SetReadDeadline(time.Now().Add(lingerMost))
+	c.net.SetReadDeadline(time.Now().Add(lingerTimeout))
 	if _, err := io.Copy(io.Discard, r); !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.gone(err)
+		c.disconnect(err)
 	}
 }
 
 // disconnect closes the connection and cancels its open requests: the client no longer reads.
-func (c *conn) gone(err error) {
+func (c *conn) disconnect(err error) {
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-		c.front.opt.Log.Debug().Err(err).Msg("connection ended")
+		c.frontend.opt.Log.Debug().Err(err).Msg("connection ended")
 	}
 	c.net.Close()
 	c.mu.Lock()
-	c.left = true
-	var left []uint64
+	c.disconnected = true
+	var submitted []uint64
 	for tag, s := range c.open {
 		s.finish(nil)
-		s.over.Store(true)
-		if s.asked {
-			left = append(left, tag)
+		s.canceled.Store(true)
+		if s.submitted {
+			submitted = append(submitted, tag)
 		}
-		if s.owner == "" { // a claimed one may have run: its outcome is awaited and recorded, as a replay is told of it
+		if s.owner == "" { // a claimed one may have run: its outcome is awaited and recorded, so that replays learn it
 			delete(c.open, tag)
 		}
 	}
 	c.mu.Unlock()
-	for _, tag := range left {
-		c.front.box.Put(core.CancelRequest{Frontend: c, RequestTag: tag})
+	for _, tag := range submitted {
+		c.frontend.mailbox.Put(core.CancelRequest{Frontend: c, RequestTag: tag})
 	}
 }
 
 // enqueue appends a request to the order of responses, and reports false if the client has disconnected. It guards against
 // a client that pipelines requests and disconnects: its close follows requests that are not read while responses are pending.
-func (c *conn) push(s *slot) bool {
-	look := time.NewTicker(hungUpLook)
-	defer look.Stop()
+func (c *conn) enqueue(s *slot) bool {
+	poll := time.NewTicker(disconnectPollInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case c.queue <- s:
 			return true
-		case <-look.C:
+		case <-poll.C:
 			if !front.HungUp(c.net) {
 				continue
 			}
-		case <-c.ended:
+		case <-c.writerDone:
 		}
-		c.front.open.Add(-1)
+		c.frontend.open.Add(-1)
 		return false
 	}
 }
@@ -406,31 +406,31 @@
 func (c *conn) write() {
 	defer c.net.Close()
 	defer func() {
-		close(c.ended)
+		close(c.writerDone)
 		for s := range c.queue { // the reader cancels open requests, which completes these slots too
 			<-s.ready
-			c.front.out(s)
-			c.front.intake.Give(s.held)
-			c.front.open.Add(-1)
+			c.frontend.releaseLimits(s)
+			c.frontend.bodyBudget.Give(s.bookedBytes)
+			c.frontend.open.Add(-1)
 		}
 	}()
 	for s := range c.queue {
 		<-s.ready
-		c.front.intake.Give(s.held)
-		c.front.out(s)
-		if s.answer != nil && !c.front.budget.Take(len(s.answer)) {
+		c.frontend.bodyBudget.Give(s.bookedBytes)
+		c.frontend.releaseLimits(s)
+		if s.answer != nil && !c.frontend.responseBudget.Take(len(s.answer)) {
 			// Guards against a client that loses its response and its connection because others leave too much unread. A
 			// connection has only one such error response at a time.
-			c.front.opt.Log.Warn().Msg("response buffer limit reached: response replaced by an error")
-			s.answer = c.front.errorAnswer(s, 502, "crowded", "too much waits to be written", "Retry-After: 1\r\n")
-			c.front.budget.TakeAnyway(len(s.answer))
+			c.frontend.opt.Log.Warn().Msg("response budget exhausted; responding 502 instead")
+			s.answer = c.frontend.errorAnswer(s, 502, "crowded", "too much waits to be written", "Retry-After: 1\r\n")
+			c.frontend.responseBudget.TakeAnyway(len(s.answer))
 		}
-		held := len(s.answer)
-		c.net.SetWriteDeadline(time.Now().Add(writeLimit))
+		booked := len(s.answer)
+		c.net.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, err := c.net.Write(s.answer)
-		c.front.budget.Give(held)
-		c.front.open.Add(-1)
-		c.unwritten.Add(-1)
+		c.frontend.responseBudget.Give(booked)
+		c.frontend.open.Add(-1)
+		c.unanswered.Add(-1)
 		c.report(true)
 		if err != nil || s.msg.Close || s.answer == nil {
 			return
@@ -439,13 +439,13 @@
 }
 
 // handleRequest validates a request, and submits it to the core or answers it at once.
-func (c *conn) take(s *slot) {
-	f, m := c.front, &s.msg
+func (c *conn) handleRequest(s *slot) {
+	f, m := c.frontend, &s.msg
 	if strings.HasPrefix(m.Path, "/-/") || m.Path == "/healthz" {
-		c.reply(s, f.dated(f.manage(m)))
+		c.reply(s, f.withDate(f.handleManagement(m)))
 		return
 	}
-	object, ok := objectPath(m.Path)
+	object, ok := parseObjectPath(m.Path)
 	if !ok {
 		if !token.Canonical(m.Path) {
 			c.fail(s, 400, "malformed", "the path is not in canonical form", "")
@@ -456,7 +456,7 @@
 	}
 	if m.Method == "OPTIONS" {
 		if class, ok := f.classes[object.class]; ok {
-			c.reply(s, f.options(s, class))
+			c.reply(s, f.optionsResponse(s, class))
 		} else {
 			c.fail(s, 404, "unknown_class", "no such class", "")
 		}
@@ -465,11 +465,11 @@
 	now, judgedAt := f.opt.Clock.Unix(), f.opt.Clock.Now()
 	// Guards against clients that guess tokens: a source with too many failures is rejected before its signatures are verified.
 	if ok, wait := f.guard.Check(c.source, f.opt.Clock.Now()); !ok {
-		c.fail(s, 429, "too_many_failures", "too many tokens from this address were not accepted", throttle(wait))
+		c.fail(s, 429, "too_many_failures", "too many tokens from this address were not accepted", retryHeaders(wait))
 		return
 	}
-	grant, rest, err := f.ring.Load().Verify(token.Request{
-		Scheme: f.opt.Scheme, Host: m.Host, Path: m.Path, RawQuery: m.Query, Method: m.Method, Addr: c.from,
+	grant, query, err := f.ring.Load().Verify(token.Request{
+		Scheme: f.opt.Scheme, Host: m.Host, Path: m.Path, RawQuery: m.Query, Method: m.Method, Addr: c.clientAddr,
 		Cookie: m.Cookie, Header: func(name string) string { return m.Header[strings.ToLower(name)] },
 	}, now/1000, f.policy.Load().LeewayMs/1000)
 	if err != nil {
@@ -493,57 +493,57 @@
 		c.fail(s, 405, "method", "this class takes "+method, "Allow: "+allow+"\r\n")
 		return
 	}
-	ask, err := object.ask(rest, m)
+	request, err := object.request(query, m)
 	if err != nil {
 		c.fail(s, 400, "malformed", err.Error(), "")
 		return
 	}
-	if _, refuse := f.server.Draining(); refuse {
-		c.fail(s, 503, "draining", "this gateway is being emptied", throttle(f.opt.RetryAfter))
+	if _, rejecting := f.server.Draining(); rejecting {
+		c.fail(s, 503, "draining", "this gateway is being emptied", retryHeaders(f.opt.RetryAfter))
 		return
 	}
-	ask.Frontend, ask.ReceivedAt, ask.Remaining, ask.Body = c, s.came, timeLeft(ask.Remaining, class), m.Body
-	if f.opt.Clock.Now() >= ask.ReceivedAt+ask.Remaining {
-		c.fail(s, 504, "deadline", "no answer in time; trying again is harmless", throttle(0))
+	request.Frontend, request.ReceivedAt, request.Remaining, request.Body = c, s.receivedAt, timeLeft(request.Remaining, class), m.Body
+	if f.opt.Clock.Now() >= request.ReceivedAt+request.Remaining {
+		c.fail(s, 504, "deadline", "no answer in time; trying again is harmless", retryHeaders(0))
 		return
 	}
-	if !c.within(s, &grant) {
+	if !c.enterLimits(s, &grant) {
 		return
 	}
-	if !f.intake.Take(len(m.Body)) {
+	if !f.bodyBudget.Take(len(m.Body)) {
 		c.fail(s, 503, "crowded", "too many bytes of requests in hand", "Retry-After: 1\r\n")
 		return
 	}
-	s.held = len(m.Body)
-	s.class, s.until, s.vary = class, grant.Until, grant.Vary
-	s.endsAt = judgedAt + grant.Until*1000 - now
+	s.bookedBytes = len(m.Body)
+	s.class, s.grantUntil, s.tokenHeader = class, grant.Until, grant.Vary
+	s.grantExpiresAt = judgedAt + grant.Until*1000 - now
 	if grant.ID != "" {
-		s.use = grant.Use()
+		s.claimName = grant.Use()
 	}
 	if grant.Renewal.Seconds > 0 {
-		kept := grant
-		s.renews = &kept
+		renewable := grant
+		s.renewable = &renewable
 	}
 	// The token was validated above, once; this only prevents attempts that start after its expiry. The time left is a
 	// duration, so a step of the wall clock meanwhile neither shortens nor extends it.
-	ask.AuthorizedUntil = s.endsAt + f.policy.Load().LeewayMs
+	request.AuthorizedUntil = s.grantExpiresAt + f.policy.Load().LeewayMs
 	c.mu.Lock()
-	c.tags++
-	s.tag, s.over = c.tags, new(atomic.Bool)
-	ask.RequestTag, ask.Canceled = s.tag, s.over
+	c.lastTag++
+	s.tag, s.canceled = c.lastTag, new(atomic.Bool)
+	request.RequestTag, request.Canceled = s.tag, s.canceled
 	c.open[s.tag] = s
 	c.mu.Unlock()
 	if !class.Write && grant.Uses != 1 {
-		c.hand(s, ask)
+		c.submit(s, request)
 		return
 	}
 	// The claim is made in another goroutine, so that the reader can detect a client that disconnects meanwhile.
-	ask.ReportAfterCancel = true
+	request.ReportAfterCancel = true
 	f.open.Add(1) // a shutdown also waits for the claim
 	go func() {
 		defer f.open.Add(-1)
-		if c.claim(s, ask.ReceivedAt+ask.Remaining-f.opt.Clock.Now()) {
-			c.hand(s, ask)
+		if c.claim(s, request.ReceivedAt+request.Remaining-f.opt.Clock.Now()) {
+			c.submit(s, request)
 			return
 		}
 		c.mu.Lock()
@@ -554,52 +554,52 @@
 
 // timeLeft returns for how many ms from its request's last byte a client waits: as long as it requested, at most the class's
 // deadline.
-func timeLeft(told float64, class Class) float64 {
-	if told <= 0 {
+func timeLeft(requested float64, class Class) float64 {
+	if requested <= 0 {
 		return class.Deadline
 	}
-	return min(class.Deadline, told)
+	return min(class.Deadline, requested)
 }
 
 // submit passes a request to the core. If the client has disconnected meanwhile, even if its close follows bytes that are not
 // read yet, the request's claim is released instead.
-func (c *conn) hand(s *slot, ask core.Request) {
-	gone := front.HungUp(c.net)
+func (c *conn) submit(s *slot, request core.Request) {
+	disconnected := front.HungUp(c.net)
 	c.mu.Lock()
-	s.asked = !c.left && !gone
-	if !s.asked {
+	s.submitted = !c.disconnected && !disconnected
+	if !s.submitted {
 		delete(c.open, s.tag)
 		s.finish(nil)
 	}
-	owner, asked := s.owner, s.asked
+	owner, submitted := s.owner, s.submitted
 	c.mu.Unlock()
-	if asked {
-		c.front.box.Put(ask)
+	if submitted {
+		c.frontend.mailbox.Put(request)
 	} else if owner != "" {
-		c.front.settle(s.use, claims.Step{Op: claims.Release, Owner: owner})
+		c.frontend.recordOutcome(s.claimName, claims.Step{Op: claims.Release, Owner: owner})
 	}
 }
 
 // claim marks a request's token as used, before the request is sent. If the replicated store gives no result, the request is
 // not sent: the token may be claimed by another, so the client has to retry.
-func (c *conn) claim(s *slot, left float64) bool {
-	f := c.front
-	if s.use == "" {
+func (c *conn) claim(s *slot, remaining float64) bool {
+	f := c.frontend
+	if s.claimName == "" {
 		c.fail(s, 403, "bad_claim", "this class needs a token of a single use, with a jti", "")
 		return false
 	}
 	c.mu.Lock()
 	s.owner = rand.Text()
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), clock.Duration(min(left, f.opt.ClaimMost)))
+	ctx, cancel := context.WithTimeout(context.Background(), clock.Duration(min(remaining, f.opt.ClaimMost)))
 	defer cancel()
-	until := s.until*1000 + 2*f.policy.Load().LeewayMs + claimMargin
+	until := s.grantUntil*1000 + 2*f.policy.Load().LeewayMs + claimMargin
 	for _, step := range []claims.Step{{Op: claims.Hold, Owner: s.owner, Until: until}, {Op: claims.Send, Owner: s.owner}} {
-		r, ok, err := f.opt.Claims.Step(ctx, s.use, step)
+		r, ok, err := f.opt.Claims.Step(ctx, s.claimName, step)
 		if err != nil {
 			f.opt.Log.Warn().Err(err).Str("step", string(step.Op)).Msg("single-use token could not be claimed")
 			if !errors.Is(err, claims.ErrNotProposed) {
-				f.settle(s.use, claims.Step{Op: claims.Release, Owner: s.owner}) // nothing was sent, whether or not the step was applied
+				f.recordOutcome(s.claimName, claims.Step{Op: claims.Release, Owner: s.owner}) // nothing was sent, whether or not the step was applied
 			}
 			c.fail(s, 503, "no_quorum", "the token can't be checked at present", "Retry-After: 1\r\n")
 			return false
@@ -609,7 +609,7 @@
 			return false
 		}
 		if !ok {
-			c.fail(s, 403, "replayed", replayed(r), "X-Claim: "+claimOf(r)+"\r\n")
+			c.fail(s, 403, "replayed", replayDetail(r), "X-Claim: "+claimHeader(r)+"\r\n")
 			return false
 		}
 	}
@@ -626,29 +626,29 @@
 	}
 	delete(c.open, tag)
 	if s.owner != "" { // before the response, so that Open does not return 0 in between
-		c.front.settle(s.use, outcome(s, a))
+		c.frontend.recordOutcome(s.claimName, outcomeStep(s, a))
 	}
 	if !s.done {
-		s.finish(c.front.word(s, a))
+		s.finish(c.frontend.buildResponse(s, a))
 	}
 }
 
 // buildResponse maps a final answer to a response.
-func (f *Front) word(s *slot, a core.Answer) []byte {
+func (f *Front) buildResponse(s *slot, a core.Answer) []byte {
 	head := ""
 	if a.ETag != "" {
 		head = "ETag: \"" + a.ETag + "\"\r\n"
 	}
-	if s.renews != nil && (a.Verdict == core.Served || a.Verdict == core.NotModified) {
-		head += f.renewed(s)
+	if s.renewable != nil && (a.Verdict == core.Served || a.Verdict == core.NotModified) {
+		head += f.renewalHeader(s)
 	}
 	switch a.Verdict {
 	case core.Served:
-		return f.served(s, a, head)
+		return f.buildRepresentation(s, a, head)
 	case core.NotModified:
-		return http1.Answer(304, "", head+f.common(s, a), 0, nil, s.msg.Close)
+		return http1.Answer(304, "", head+f.commonHeaders(s, a), 0, nil, s.msg.Close)
 	case core.Rejected:
-		head := throttle(a.RetryAfter)
+		head := retryHeaders(a.RetryAfter)
 		if a.Reason == core.DeadlineExceeded {
 			return f.errorAnswer(s, 504, "deadline", "no answer in time; trying again is harmless", head)
 		}
@@ -666,13 +666,13 @@
 }
 
 // renewalHeader returns the header with the successor of a request's token, or "" if the token is not renewed.
-func (f *Front) renewed(s *slot) string {
-	next, now := &s.renews.Renewal, f.opt.Clock.Unix()/1000
+func (f *Front) renewalHeader(s *slot) string {
+	next, now := &s.renewable.Renewal, f.opt.Clock.Unix()/1000
 	// Guards against a token that outlives its revocation, which is kept for the maximum lifetime of a token.
-	if float64(next.Seconds) > f.policy.Load().TokenSeconds || !s.renews.Renews(now) {
+	if float64(next.Seconds) > f.policy.Load().TokenSeconds || !s.renewable.Renews(now) {
 		return ""
 	}
-	name, text, err := f.ring.Load().Renewed(s.renews, now)
+	name, text, err := f.ring.Load().Renewed(s.renewable, now)
 	switch {
 	case err != nil:
 		return ""
@@ -684,7 +684,7 @@
 }
 
 // retryHeaders returns the headers that state after how long a client should retry, in whole seconds and in ms.
-func throttle(ms float64) string {
+func retryHeaders(ms float64) string {
 	head := "Retry-After: " + strconv.Itoa(max(1, int((ms+999)/1000))) + "\r\n"
 	if ms > 0 {
 		head += "X-Throttle-Ms: " + strconv.Itoa(max(1, int(ms))) + "\r\n"
@@ -709,10 +709,10 @@
 }
 
 // rejectionResponse returns the contents of the response to a rejected token.
-func rejected(err error) (status int, code, text, head string) {
-	why := token.WhyOf(err)
-	code, text = string(why), strings.TrimPrefix(err.Error(), "token: ")
-	switch why {
+func rejectionResponse(err error) (status int, code, text, head string) {
+	reason := token.WhyOf(err)
+	code, text = string(reason), strings.TrimPrefix(err.Error(), "token: ")
+	switch reason {
 	case token.Missing:
 		return 401, code, text, "WWW-Authenticate: URISigning realm=\"turnfork\"\r\n"
 	case token.Malformed:
--- a/internal/conditional/conditional.go
+++ b/internal/conditional/conditional.go
@@ -41,7 +41,7 @@
 			return Plan{Status: 304}
 		}
 		return Plan{Status: 412}
-	case q.Range == "" || q.Method != "GET" || q.IfRange != "" && !sameRange(q.IfRange, tag):
+	case q.Range == "" || q.Method != "GET" || q.IfRange != "" && !ifRangeMatches(q.IfRange, tag):
 		return Plan{Status: 200}
 	}
 	spans, ok := Ranges(q.Range, size)
@@ -55,7 +55,7 @@
 }
 
 // ifRangeMatches reports whether If-Range holds the same strong tag. A date never matches, as no representation here has one.
-func sameRange(v, tag string) bool { return tag != "" && v == `"`+tag+`"` }
+func ifRangeMatches(v, tag string) bool { return tag != "" && v == `"`+tag+`"` }
 
 // Match reports whether a list of tags, or a star, contains a tag. A strong comparison ignores weak tags. A malformed list
 // matches nothing.
@@ -129,11 +129,11 @@
 		if n++; n > RangesMost {
 			return nil, false
 		}
-		s, in, ok := span(item, size)
+		s, satisfiable, ok := parseSpan(item, size)
 		if !ok {
 			return nil, false
 		}
-		if !in {
+		if !satisfiable {
 			continue
 		}
 		for _, o := range out {
@@ -147,13 +147,13 @@
 }
 
 // parseSpan parses FROM-TO, FROM- or -LAST. satisfiable reports whether the span overlaps the representation.
-func span(item string, size int) (s Span, in, ok bool) {
+func parseSpan(item string, size int) (s Span, satisfiable, ok bool) {
 	from, to, found := strings.Cut(item, "-")
 	if !found || from == "" && to == "" {
 		return s, false, false
 	}
-	a, okA := number(from)
-	b, okB := number(to)
+	a, okA := parseNumber(from)
+	b, okB := parseNumber(to)
 	switch {
 	case from != "" && !okA || to != "" && !okB:
 		return s, false, false
@@ -168,9 +168,9 @@
 }
 
 // maxNumber replaces larger numbers; no representation is this long.
-const numberMost = 1 << 40
+const maxNumber = 1 << 40
 
-func number(text string) (int, bool) {
+func parseNumber(text string) (int, bool) {
 	for _, c := range []byte(text) {
 		if c < '0' || c > '9' {
 			return 0, false
@@ -178,7 +178,7 @@
 	}
 	v, err := strconv.ParseUint(text, 10, 40)
 	if err != nil {
-		return numberMost, text != ""
+		return maxNumber, text != ""
 	}
 	return int(v), true
 }
--- a/internal/conditional/conditional_test.go
+++ b/internal/conditional/conditional_test.go
@@ -11,21 +11,21 @@
 	f.Add("bytes=0-1,5-", `"a", W/"b"`, 7)
 	f.Add("bytes=-99999999999999999999", "*", 7)
 	f.Add("bytes=1-1,,3-3", `"`, 0)
-	f.Fuzz(func(t *testing.T, rng, tags string, size int) {
+	f.Fuzz(func(t *testing.T, rangeHeader, tags string, size int) {
 		if size < 0 || size > 1<<20 {
 			t.Skip()
 		}
-		p := Decide(Request{Method: "GET", Range: rng}, size, "a")
+		p := Decide(Request{Method: "GET", Range: rangeHeader}, size, "a")
 		if (p.Status == 206) != (len(p.Spans) > 0) || len(p.Spans) > RangesMost {
 			t.Errorf("%+v", p)
 		}
-		taken := make([]bool, size)
+		seen := make([]bool, size)
 		for _, s := range p.Spans {
 			for i := s.From; i < s.To; i++ {
-				if taken[i] {
+				if seen[i] {
 					t.Fatalf("byte %d is in two spans: %+v", i, p)
 				}
-				taken[i] = true
+				seen[i] = true
 			}
 			if s.From >= s.To {
 				t.Errorf("empty span: %+v", p)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -14,10 +14,10 @@
 
 // Limits of a request, in addition to that of its body.
 const (
-	lineMost    = 8 << 10  // of a request line or one header
-	headMost    = 16 << 10 // of all headers
-	headersMost = 64
-	chunkLine   = 128 // of the line with the size of a chunk
+	maxLineBytes      = 8 << 10  // of a request line or one header
+	maxHeaderBytes    = 16 << 10 // of all headers
+	maxHeaders        = 64
+	maxChunkLineBytes = 128 // of the line with the size of a chunk
 )
 
 // Message is one HTTP/1.1 request.
@@ -37,16 +37,16 @@
 // Error returns the HTTP status and what is wrong with the request.
 func (b *BadMessage) Error() string { return fmt.Sprintf("%d: %s", b.Status, b.Text) }
 
-func bad(status int, text string) error { return &BadMessage{status, text} }
+func badMessage(status int, text string) error { return &BadMessage{status, text} }
 
 // readLine reads a line of at most maxBytes and removes its CR LF. A longer line is rejected with the status tooLong. A line with
 // a bare CR or a NUL is rejected: parsers that treat it differently would see different requests.
-func readLine(r *bufio.Reader, most int, over int) (string, error) {
+func readLine(r *bufio.Reader, maxBytes int, tooLong int) (string, error) {
 	var line []byte
 	for {
 		part, err := r.ReadSlice('\n')
-		if len(line)+len(part) > most {
-			return "", bad(over, "a line is too long")
+		if len(line)+len(part) > maxBytes {
+			return "", badMessage(tooLong, "a line is too long")
 		}
 		line = append(line, part...)
 		if err == bufio.ErrBufferFull {
@@ -61,27 +61,27 @@
 		break
 	}
 	if len(line) < 2 || line[len(line)-2] != '\r' {
-		return "", bad(400, "a line does not end with CR LF")
+		return "", badMessage(400, "a line does not end with CR LF")
 	}
 	text := string(line[:len(line)-2])
 	if strings.ContainsAny(text, "\r\x00") {
-		return "", bad(400, "a line holds CR or NUL")
+		return "", badMessage(400, "a line holds CR or NUL")
 	}
 	return text, nil
 }
 
 // Read reads one request. It calls sendContinue before it reads a body that the client holds back until 100 Continue.
-func Read(r *bufio.Reader, bodyMost int, cont func()) (m Message, err error) {
-	line, err := readLine(r, lineMost, 414)
+func Read(r *bufio.Reader, maxBodyBytes int, sendContinue func()) (m Message, err error) {
+	line, err := readLine(r, maxLineBytes, 414)
 	if err == nil && line == "" { // one empty line before a request is skipped (RFC 9112, 2.2)
-		line, err = readLine(r, lineMost, 414)
+		line, err = readLine(r, maxLineBytes, 414)
 	}
 	if err != nil {
 		return m, err
 	}
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" {
-		return m, bad(400, "no request line")
+		return m, badMessage(400, "no request line")
 	}
 	m.Method = parts[0]
 	switch {
@@ -89,18 +89,18 @@
 	case parts[2] == "HTTP/1.0":
 		m.Close = true
 	case strings.HasPrefix(parts[2], "HTTP/"):
-		return m, bad(505, "HTTP/1.1 is spoken here")
+		return m, badMessage(505, "HTTP/1.1 is spoken here")
 	default:
-		return m, bad(400, "no request line")
+		return m, badMessage(400, "no request line")
 	}
-	if err := m.target(parts[1]); err != nil {
+	if err := m.parseTarget(parts[1]); err != nil {
 		return m, err
 	}
-	if err := m.headers(r); err != nil {
-		return m, noEnd(err)
+	if err := m.readHeaders(r); err != nil {
+		return m, unexpectedEOF(err)
 	}
 	if parts[2] == "HTTP/1.1" && m.Host == "" {
-		return m, bad(400, "no Host")
+		return m, badMessage(400, "no Host")
 	}
 	for _, v := range strings.Split(m.Header["connection"], ",") {
 		switch strings.ToLower(strings.TrimSpace(v)) {
@@ -110,10 +110,10 @@
 			m.Close = m.Close && parts[2] != "HTTP/1.0"
 		}
 	}
-	return m, noEnd(m.readBody(r, bodyMost, cont))
+	return m, unexpectedEOF(m.readBody(r, maxBodyBytes, sendContinue))
 }
 
-func noEnd(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -121,45 +121,45 @@
 }
 
 // parseTarget parses a request target in origin form, or in absolute form as proxies send it.
-func (m *Message) target(t string) error {
+func (m *Message) parseTarget(target string) error {
 	for _, scheme := range []string{"http://", "https://"} {
-		if rest, ok := strings.CutPrefix(t, scheme); ok {
+		if rest, ok := strings.CutPrefix(target, scheme); ok {
 			host, path, _ := strings.Cut(rest, "/")
-			m.Host, t = host, "/"+path
+			m.Host, target = host, "/"+path
 		}
 	}
-	if t[0] != '/' {
-		return bad(400, "the target is no path")
+	if target[0] != '/' {
+		return badMessage(400, "the target is no path")
 	}
-	for _, c := range []byte(t) {
+	for _, c := range []byte(target) {
 		if c <= ' ' || c >= 0x7f || c == '#' {
-			return bad(400, "the target holds a character it can't")
+			return badMessage(400, "the target holds a character it can't")
 		}
 	}
-	m.Path, m.Query, _ = strings.Cut(t, "?")
+	m.Path, m.Query, _ = strings.Cut(target, "?")
 	return nil
 }
 
-func (m *Message) headers(r *bufio.Reader) error {
+func (m *Message) readHeaders(r *bufio.Reader) error {
 	m.Header = map[string]string{}
-	left := headMost
+	remaining := maxHeaderBytes
 	for n := 0; ; n++ {
-		line, err := readLine(r, min(lineMost, left+2), 431)
+		line, err := readLine(r, min(maxLineBytes, remaining+2), 431)
 		if err != nil || line == "" {
 			return err
 		}
-		if left -= len(line) + 2; left < 0 || n >= headersMost {
-			return bad(431, "the headers are too large")
+		if remaining -= len(line) + 2; remaining < 0 || n >= maxHeaders {
+			return badMessage(431, "the headers are too large")
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) { // this also rejects a folded line and a space before the colon
-			return bad(400, "a header can't be read")
+			return badMessage(400, "a header can't be read")
 		}
 		name, value = strings.ToLower(name), strings.Trim(value, " \t")
-		if old, twice := m.Header[name]; twice {
+		if old, repeated := m.Header[name]; repeated {
 			switch name {
 			case "host", "content-length", "transfer-encoding", "authorization", "if-none-match", "if-match", "if-range", "range", "x-ttl-ms":
-				return bad(400, "a header that stands alone comes twice")
+				return badMessage(400, "a header that stands alone comes twice")
 			case "cookie":
 				value = old + "; " + value
 			default:
@@ -169,7 +169,7 @@
 		m.Header[name] = value
 		if name == "host" {
 			if value == "" || strings.ContainsAny(value, "/?#@ ,\\") {
-				return bad(400, "the Host can't be read")
+				return badMessage(400, "the Host can't be read")
 			}
 			if m.Host == "" { // the host of an absolute target takes precedence
 				m.Host = value
@@ -178,71 +178,71 @@
 	}
 }
 
-func (m *Message) readBody(r *bufio.Reader, most int, cont func()) error {
-	length, sized := m.Header["content-length"]
-	coding, coded := m.Header["transfer-encoding"]
-	if sized && coded { // request smuggling (RFC 9112, 11.2)
-		return bad(400, "both Content-Length and Transfer-Encoding")
+func (m *Message) readBody(r *bufio.Reader, maxBodyBytes int, sendContinue func()) error {
+	length, hasLength := m.Header["content-length"]
+	coding, hasCoding := m.Header["transfer-encoding"]
+	if hasLength && hasCoding { // request smuggling (RFC 9112, 11.2)
+		return badMessage(400, "both Content-Length and Transfer-Encoding")
 	}
-	if coded && !strings.EqualFold(coding, "chunked") {
-		return bad(501, "only chunked is understood")
+	if hasCoding && !strings.EqualFold(coding, "chunked") {
+		return badMessage(501, "only chunked is understood")
 	}
-	if !sized && !coded {
+	if !hasLength && !hasCoding {
 		return nil
 	}
 	n := uint64(0)
-	if sized {
+	if hasLength {
 		var err error
 		if n, err = strconv.ParseUint(length, 10, 63); err != nil || length[0] == '+' {
-			return bad(400, "the Content-Length can't be read")
+			return badMessage(400, "the Content-Length can't be read")
 		}
-		if n > uint64(most) {
-			return bad(413, "the body is too large")
+		if n > uint64(maxBodyBytes) {
+			return badMessage(413, "the body is too large")
 		}
 	}
-	if strings.EqualFold(m.Header["expect"], "100-continue") && (coded || n > 0) {
-		cont()
+	if strings.EqualFold(m.Header["expect"], "100-continue") && (hasCoding || n > 0) {
+		sendContinue()
 	}
-	if sized {
+	if hasLength {
 		m.Body = make([]byte, n)
 		_, err := io.ReadFull(r, m.Body)
 		return err
 	}
 	for {
-		line, err := readLine(r, chunkLine, 400)
+		line, err := readLine(r, maxChunkLineBytes, 400)
 		if err != nil {
 			return err
 		}
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimRight(size, " \t"), 16, 32)
 		if err != nil {
-			return bad(400, "a chunk's size can't be read")
+			return badMessage(400, "a chunk's size can't be read")
 		}
 		if n == 0 {
 			break
 		}
-		if n > uint64(most-len(m.Body)) {
-			return bad(413, "the body is too large")
+		if n > uint64(maxBodyBytes-len(m.Body)) {
+			return badMessage(413, "the body is too large")
 		}
 		at := len(m.Body)
 		m.Body = append(m.Body, make([]byte, n)...)
 		if _, err := io.ReadFull(r, m.Body[at:]); err != nil {
 			return err
 		}
-		if end, err := readLine(r, chunkLine, 400); err != nil || end != "" {
+		if end, err := readLine(r, maxChunkLineBytes, 400); err != nil || end != "" {
 			if err == nil {
-				err = bad(400, "a chunk does not end where it says")
+				err = badMessage(400, "a chunk does not end where it says")
 			}
 			return err
 		}
 	}
 	for n := 0; ; n++ { // trailers are read and ignored
-		line, err := readLine(r, lineMost, 431)
+		line, err := readLine(r, maxLineBytes, 431)
 		if err != nil || line == "" {
 			return err
 		}
-		if n >= headersMost {
-			return bad(431, "the trailers are too large")
+		if n >= maxHeaders {
+			return badMessage(431, "the trailers are too large")
 		}
 	}
 }
@@ -274,7 +274,7 @@
 	return b, ok
 }
 
-var statuses = map[int]string{
+var statusTexts = map[int]string{
 	200: "OK", 201: "Created", 204: "No Content", 206: "Partial Content", 304: "Not Modified", 400: "Bad Request", 401: "Unauthorized",
 	403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 412: "Precondition Failed", 413: "Content Too Large",
 	414: "URI Too Long", 416: "Range Not Satisfiable",
@@ -283,16 +283,16 @@
 }
 
 // Answer returns an encoded response. The response to HEAD has a nil body and the length that GET would return.
-func Answer(status int, kind, head string, length int, body []byte, closes bool) []byte {
+func Answer(status int, contentType, head string, length int, body []byte, closeConn bool) []byte {
 	b := make([]byte, 0, 256+len(head)+len(body))
-	b = append(b, "HTTP/1.1 "+strconv.Itoa(status)+" "+statuses[status]+"\r\n"...)
-	if kind != "" {
-		b = append(b, "Content-Type: "+kind+"\r\n"...)
+	b = append(b, "HTTP/1.1 "+strconv.Itoa(status)+" "+statusTexts[status]+"\r\n"...)
+	if contentType != "" {
+		b = append(b, "Content-Type: "+contentType+"\r\n"...)
 	}
 	if status != 304 && status != 204 {
 		b = append(b, "Content-Length: "+strconv.Itoa(length)+"\r\n"...)
 	}
-	if closes {
+	if closeConn {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	b = append(b, head...)
@@ -301,8 +301,8 @@
 }
 
 // ErrorAnswer returns an encoded response with an error as JSON.
-func ErrorAnswer(status int, code, text, head string, closes bool) []byte {
+func ErrorAnswer(status int, code, text, head string, closeConn bool) []byte {
 	body, _ := json.Marshal(map[string]string{"error": code, "detail": text})
 	body = append(body, '\n')
-	return Answer(status, "application/json", "Cache-Control: no-store\r\n"+head, len(body), body, closes)
+	return Answer(status, "application/json", "Cache-Control: no-store\r\n"+head, len(body), body, closeConn)
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -15,14 +15,14 @@
 	f.Add("\r\nGET http://h/p HTTP/1.0\r\nConnection: keep-alive\r\n\r\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		const next = "NEXT"
-		r := bufio.NewReaderSize(strings.NewReader(in+next), 16)
-		m, err := Read(r, 100, func() {})
-		whole := bufio.NewReaderSize(strings.NewReader(in+next), 64<<10)
-		m2, err2 := Read(whole, 100, func() {})
+		smallBuffer := bufio.NewReaderSize(strings.NewReader(in+next), 16)
+		m, err := Read(smallBuffer, 100, func() {})
+		largeBuffer := bufio.NewReaderSize(strings.NewReader(in+next), 64<<10)
+		m2, err2 := Read(largeBuffer, 100, func() {})
 		if (err == nil) != (err2 == nil) || string(m.Body) != string(m2.Body) || m.Path != m2.Path || m.Close != m2.Close {
 			t.Fatalf("small buffer: %+v, %v; large buffer: %+v, %v", m, err, m2, err2)
 		}
-		if len(m.Body) > 100 || len(m.Header) > headersMost {
+		if len(m.Body) > 100 || len(m.Header) > maxHeaders {
 			t.Errorf("%d bytes, %d headers", len(m.Body), len(m.Header))
 		}
 		if err == nil && (m.Path[0] != '/' || strings.ContainsAny(m.Host, "/ ")) {
@@ -31,13 +31,13 @@
 	})
 }
 
-func TestChunks(t *testing.T) {
+func TestChunkedBody(t *testing.T) {
 	r := bufio.NewReader(strings.NewReader("POST /p HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n" +
 		"3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\nGET /next HTTP/1.1\r\nHost: a\r\n\r\n"))
-	cont := 0
-	m, err := Read(r, 5, func() { cont++ })
-	if err != nil || string(m.Body) != "abcde" || cont != 1 {
-		t.Errorf("%q, %v, 100 Continue was sent %d times", m.Body, err, cont)
+	continued := 0
+	m, err := Read(r, 5, func() { continued++ })
+	if err != nil || string(m.Body) != "abcde" || continued != 1 {
+		t.Errorf("%q, %v, 100 Continue was sent %d times", m.Body, err, continued)
 	}
 	if m, err = Read(r, 5, func() {}); err != nil || m.Path != "/next" {
 		t.Errorf("%+v %v", m, err)
--- a/limits/guard.go
+++ b/limits/guard.go
@@ -21,25 +21,25 @@
 // other requests are rejected unchecked. So a flood costs little, and an honest client behind the same address gets through at
 // the rate of the checks, which it shares with those requests of the flood that are read.
 type Guard struct {
-	opt    GuardOptions
-	fails  *Table
-	checks *Table
+	opt      GuardOptions
+	failures *Table
+	checks   *Table
 }
 
 // NewGuard returns a guard.
 func NewGuard(opt GuardOptions) *Guard {
-	return &Guard{opt: opt, fails: NewTable(opt.Failures, opt.Sources), checks: NewTable(opt.Checks, opt.Sources)}
+	return &Guard{opt: opt, failures: NewTable(opt.Failures, opt.Sources), checks: NewTable(opt.Checks, opt.Sources)}
 }
 
 // Bytes returns the size of the guard's memory.
-func (g *Guard) Bytes() int { return g.fails.Bytes() + g.checks.Bytes() }
+func (g *Guard) Bytes() int { return g.failures.Bytes() + g.checks.Bytes() }
 
 // Failed counts a token of a source that was not accepted.
-func (g *Guard) Failed(source string, now float64) { g.fails.Spend(source, 1, now) }
+func (g *Guard) Failed(source string, now float64) { g.failures.Spend(source, 1, now) }
 
 // Check reports whether a source's token may be checked; if not, after how many ms the source should retry.
 func (g *Guard) Check(source string, now float64) (ok bool, wait float64) {
-	level := g.fails.Level(source, now)
+	level := g.failures.Level(source, now)
 	if level >= 1 { // at least one more failure is tolerated
 		return true, 0
 	}
@@ -52,7 +52,7 @@
 // Pause returns for how many ms a connection of a source is not read after a response.
 func (g *Guard) Pause(source string, now float64) float64 {
 	half := g.opt.Failures.burst() / 2
-	level := g.fails.Level(source, now)
+	level := g.failures.Level(source, now)
 	if level >= half {
 		return 0
 	}
@@ -72,12 +72,12 @@
 
 // Take reports whether an event is let through, and if so how many of its kind were suppressed since the last one. It must not
 // be called concurrently.
-func (s *Sampler) Take(kind string, now float64) (ok bool, left int) {
+func (s *Sampler) Take(kind string, now float64) (ok bool, suppressed int) {
 	if ok, _ = s.table.Take(kind, 1, now); !ok {
 		s.suppressed[kind]++
 		return false, 0
 	}
-	left = s.suppressed[kind]
+	suppressed = s.suppressed[kind]
 	delete(s.suppressed, kind)
-	return true, left
+	return true, suppressed
 }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -12,7 +12,9 @@
 	AtOnce   int  // requests in flight
 }
 
-func (l Limit) on() bool { return l.Requests.PerSecond > 0 || l.Bytes.PerSecond > 0 || l.AtOnce > 0 }
+func (l Limit) enabled() bool {
+	return l.Requests.PerSecond > 0 || l.Bytes.PerSecond > 0 || l.AtOnce > 0
+}
 
 // Options configure the limits of a frontend.
 type Options struct {
@@ -64,7 +66,9 @@
 }
 
 // On reports whether anything is limited.
-func (l *Limits) On() bool { return l.opt.Grant.on() || l.opt.Key.on() || l.opt.Client.on() }
+func (l *Limits) On() bool {
+	return l.opt.Grant.enabled() || l.opt.Key.enabled() || l.opt.Client.enabled()
+}
 
 // Bytes returns the size of the tables.
 func (l *Limits) Bytes() (n int) {
@@ -99,7 +103,7 @@
 
 // busyRetryDelay is the delay, in ms, after which to retry when too many requests are in flight: it can't be predicted when one
 // ends.
-const busyWait = 1000
+const busyRetryDelay = 1000
 
 // Enter admits a request, or returns why it is rejected. Each admitted request must be released once.
 func (l *Limits) Enter(w Who, now float64) *Refusal {
@@ -119,11 +123,11 @@
 
 // enter admits a request to one kind's limits, or returns after how many ms a retry is worthwhile.
 func (l *Limits) enter(k *kind, name string, now float64) float64 {
-	if wait := k.full(name, now); wait > 0 {
+	if wait := k.retryDelay(name, now); wait > 0 {
 		return wait
 	}
 	if !l.inUse.Enter(k.name+"/"+name, k.limit.AtOnce) {
-		return busyWait
+		return busyRetryDelay
 	}
 	ok, wait := k.requests.Take(name, 1, now) // a concurrent request may have taken the last token meanwhile
 	if !ok {
@@ -135,7 +139,7 @@
 func (w Who) names() [3]string { return [3]string{w.Grant, w.Key, w.Client} }
 
 // retryDelay returns after how many ms a name has a token in each table; 0: it has one now.
-func (k *kind) full(name string, now float64) float64 {
+func (k *kind) retryDelay(name string, now float64) float64 {
 	wait := 0.0
 	for _, t := range []*Table{k.requests, k.bytes} {
 		if t.On() {
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -15,8 +15,8 @@
 	f.Add([]byte{5, 5, 5, 5, 5, 255, 5, 5, 5, 128, 5})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		rate := Rate{PerSecond: 10, Burst: 3}
-		wide, tight := NewTable(rate, 1<<12), NewTable(rate, 1)
-		levels, at, now := map[int]float64{}, map[int]float64{}, 1e12
+		large, small := NewTable(rate, 1<<12), NewTable(rate, 1)
+		levels, updatedAt, now := map[int]float64{}, map[int]float64{}, 1e12
 		for i, s := range steps {
 			now += float64(s>>4) * 20
 			if s == 255 {
@@ -27,26 +27,26 @@
 			if s%3 == 0 {
 				text = fmt.Sprintf("%d-%d", name, i) // a name seen once
 			}
-			level, seen := levels[name], at[name]
-			if seen == 0 || text != fmt.Sprint(name) {
-				level, seen = 3, now
+			level, lastUpdate := levels[name], updatedAt[name]
+			if lastUpdate == 0 || text != fmt.Sprint(name) {
+				level, lastUpdate = 3, now
 			}
-			level = math.Min(3, level+math.Max(0, now-seen)/100)
-			ok, wait := wide.Take(text, 1, now)
+			level = math.Min(3, level+math.Max(0, now-lastUpdate)/100)
+			ok, wait := large.Take(text, 1, now)
 			if want := level >= 1; ok != want && math.Abs(level-1) > 1e-3 {
 				t.Fatalf("step %d: %v at level %v", i, ok, level)
 			}
 			if !ok && (wait <= 0 || wait > 100.1) {
 				t.Fatalf("wait %v", wait)
 			}
-			if more, _ := tight.Take(text, 1, now); ok && !more && math.Abs(level-1) > 1e-3 {
+			if okSmall, _ := small.Take(text, 1, now); ok && !okSmall && math.Abs(level-1) > 1e-3 {
 				t.Fatalf("step %d: a full table gave less", i)
 			}
 			if ok {
 				level--
 			}
 			if text == fmt.Sprint(name) {
-				levels[name], at[name] = level, now
+				levels[name], updatedAt[name] = level, now
 			}
 		}
 	})
@@ -59,17 +59,17 @@
 	for range 5 {
 		table.Take("greedy", 1, 0)
 	}
-	forgotten := 0
+	evicted := 0
 	for i := range 1000000 {
 		table.Take(fmt.Sprint(i), 1, float64(i)/1e6)
 		if i%100000 == 0 {
 			if ok, _ := table.Take("greedy", 1, float64(i)/1e6); ok {
-				forgotten++
+				evicted++
 			}
 		}
 	}
-	if n := table.Bytes(); n > 1<<16*bucketSize*2 || forgotten > 0 {
-		t.Errorf("%d bytes, evicted %d times", n, forgotten)
+	if n := table.Bytes(); n > 1<<16*bucketSize*2 || evicted > 0 {
+		t.Errorf("%d bytes, evicted %d times", n, evicted)
 	}
 	t.Logf("%d bytes for a million names", table.Bytes())
 }
@@ -112,33 +112,33 @@
 
 func TestSampler(t *testing.T) {
 	s := NewSampler(Rate{PerSecond: 10, Burst: 10})
-	through, left := 0, 0
+	through, suppressed := 0, 0
 	for i := range 10000 {
 		if ok, n := s.Take("a", float64(i)/10); ok {
 			through++
-			left += n
+			suppressed += n
 		}
 	}
-	if through < 19 || through > 20 || left+through > 10000 || left < 8000 {
-		t.Errorf("%d through, %d counted", through, left)
+	if through < 19 || through > 20 || suppressed+through > 10000 || suppressed < 8000 {
+		t.Errorf("%d through, %d counted", through, suppressed)
 	}
 }
 
 // Concurrent requests take no more tokens than the bucket has.
-func TestLimitsAtOnce(t *testing.T) {
+func TestConcurrentEnter(t *testing.T) {
 	for range 200 {
 		l := New(Options{Grant: Limit{Requests: Rate{1, 3}}})
 		var wg sync.WaitGroup
-		var in atomic.Int64
+		var admitted atomic.Int64
 		for range 16 {
 			wg.Go(func() {
 				if l.Enter(Who{Grant: "g"}, 0) == nil {
-					in.Add(1)
+					admitted.Add(1)
 				}
 			})
 		}
-		if wg.Wait(); in.Load() != 3 {
-			t.Fatalf("%d requests admitted", in.Load())
+		if wg.Wait(); admitted.Load() != 3 {
+			t.Fatalf("%d requests admitted", admitted.Load())
 		}
 	}
 }
@@ -163,16 +163,16 @@
 		l := New(Options{
 			Grant: Limit{Requests: Rate{10, 3}, AtOnce: 2}, Key: Limit{AtOnce: 4, Bytes: Rate{1000, 1000}}, Client: Limit{Requests: Rate{5, 5}},
 		})
-		var in []Who
+		var admitted []Who
 		count := map[string]int{}
 		now := 1e6
 		for _, s := range steps {
-			if s >= 128 && len(in) > 0 {
-				at := int(s) % len(in)
-				l.Release(in[at], float64(s), now)
-				count["g"+in[at].Grant]--
-				count["k"+in[at].Key]--
-				in = append(in[:at], in[at+1:]...)
+			if s >= 128 && len(admitted) > 0 {
+				at := int(s) % len(admitted)
+				l.Release(admitted[at], float64(s), now)
+				count["g"+admitted[at].Grant]--
+				count["k"+admitted[at].Key]--
+				admitted = append(admitted[:at], admitted[at+1:]...)
 				continue
 			}
 			now += float64(s>>3) * 5
@@ -184,7 +184,7 @@
 			case r == nil:
 				count["g"+w.Grant]++
 				count["k"+w.Key]++
-				in = append(in, w)
+				admitted = append(admitted, w)
 			case r.Wait <= 0 || math.Abs(before-after) > 1e-3:
 				t.Fatalf("%+v cost %v", r, before-after)
 			}
@@ -192,7 +192,7 @@
 				t.Fatalf("%v", count)
 			}
 		}
-		for _, w := range in {
+		for _, w := range admitted {
 			l.Release(w, 0, now)
 		}
 		if len(l.inUse.open) > 0 {
--- a/limits/table.go
+++ b/limits/table.go
@@ -53,9 +53,9 @@
 // NewTable returns a table for about the given number of names.
 func NewTable(rate Rate, names int) *Table {
 	t := &Table{rate: rate}
-	each := max(1, (names+shards*ways-1)/(shards*ways))
+	setsPerShard := max(1, (names+shards*ways-1)/(shards*ways))
 	for i := range t.shards {
-		t.shards[i].sets = make([][ways]bucket, each)
+		t.shards[i].sets = make([][ways]bucket, setsPerShard)
 	}
 	return t
 }
@@ -77,13 +77,13 @@
 	if !t.On() {
 		return true, 0
 	}
-	return t.use(name, n, now, math.Min(n, t.rate.burst()))
+	return t.consume(name, n, now, math.Min(n, t.rate.burst()))
 }
 
 // Spend takes n tokens from a name's bucket whether or not it has them: missing tokens are owed, up to a burst.
 func (t *Table) Spend(name string, n, now float64) {
 	if t.On() {
-		t.use(name, n, now, math.Inf(-1))
+		t.consume(name, n, now, math.Inf(-1))
 	}
 }
 
@@ -109,7 +109,7 @@
 	return hash, s, &s.sets[(hash>>1)%uint64(len(s.sets))]
 }
 
-func (t *Table) use(name string, n, now, required float64) (ok bool, wait float64) {
+func (t *Table) consume(name string, n, now, required float64) (ok bool, wait float64) {
 	hash, s, set := t.find(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
