--- a/front/signed/claim_test.go
+++ b/front/signed/claim_test.go
@@ -68,7 +68,7 @@
 	claimName string
 	mu        sync.Mutex
 	runs      int
-	answer    func() core.Answer // of the core
+	answer    func() core.Answer // returns the core's next answer
 	submitted chan core.Request
 }
 
@@ -101,7 +101,7 @@
 	return d
 }
 
-// post acts as the core: each request that it does not reject runs once.
+// submit acts as the core: each request that it does not reject runs once.
 func (d *gatewayPair) submit(ev core.Event) {
 	a, ok := ev.(core.Request)
 	if !ok {
@@ -175,7 +175,8 @@
 					if want == 0 {
 						want = 200
 					}
-					lostRelease := op == claims.Release && strings.HasPrefix(name, "rejected") // the release is never applied, as if its gateway had crashed
+					// The release is never applied, as if its gateway had crashed.
+					lostRelease := op == claims.Release && strings.HasPrefix(name, "rejected")
 					if lostRelease && when == "before" {
 						if code != 403 || claim != "sent" || d.runs != 0 {
 							t.Errorf("%d %s %s, %d runs", code, claim, text, d.runs)
--- a/front/signed/signed.go
+++ b/front/signed/signed.go
@@ -136,8 +136,10 @@
 			Max: opt.MaxConns, FirstByteTimeout: firstByteTimeout, IdleTimeout: idleTimeout, ReadTimeout: readTimeout, RequestTimeout: requestTimeout,
 			Clock: opt.Clock, Log: opt.Log, Tap: opt.Tap,
 		},
-		responseBudget: front.Budget{Most: opt.MaxBytes}, bodyBudget: front.Budget{Most: maxTotalBodyBytes}, classes: map[string]Class{}, outcomeSlots: make(chan struct{}, maxPendingOutcomes),
-		guard: limits.NewGuard(guardOptions(opt.Guard)), limits: limits.New(opt.Limits), sampler: limits.NewSampler(limits.Rate{PerSecond: maxLogsPerSecond, Burst: maxLogsPerSecond}),
+		responseBudget: front.Budget{Most: opt.MaxBytes}, bodyBudget: front.Budget{Most: maxTotalBodyBytes},
+		classes: map[string]Class{}, outcomeSlots: make(chan struct{}, maxPendingOutcomes),
+		guard: limits.NewGuard(guardOptions(opt.Guard)), limits: limits.New(opt.Limits),
+		sampler: limits.NewSampler(limits.Rate{PerSecond: maxLogsPerSecond, Burst: maxLogsPerSecond}),
 	}
 	f.mailbox.Post = func(ev core.Event) { f.opt.Post(ev) }
 	for _, c := range opt.Classes {
@@ -215,7 +217,7 @@
 	clientAddr netip.Addr // address of the client
 	source     string     // key under which its failures are counted
 
-	lingering  bool         // used by the reader only: no further request is read
+	lingering  bool         // no further request is read; used by the reader only
 	unanswered atomic.Int64 // complete or malformed requests whose response is not yet written
 
 	mu              sync.Mutex
@@ -227,7 +229,8 @@
 
 func (f *Front) handle(nc net.Conn, serverConn *front.Conn) {
 	c := &conn{
-		frontend: f, net: nc, serverConn: serverConn, queue: make(chan *slot, maxPipelined), writerDone: make(chan struct{}), open: map[uint64]*slot{},
+		frontend: f, net: nc, serverConn: serverConn,
+		queue: make(chan *slot, maxPipelined), writerDone: make(chan struct{}), open: map[uint64]*slot{},
 	}
 	if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
 		c.clientAddr = a.AddrPort().Addr().Unmap()
@@ -251,7 +254,7 @@
 		}
 		c.setRequestDeadline(c.frontend.opt.Clock.Now() + requestTimeout)
 		m, err := http1.Read(r, maxBodyBytes, c.sendContinue)
-		c.unanswered.Add(1) // before the report below: an unanswered request keeps the connection open
+		c.unanswered.Add(1) // before the report by setRequestDeadline: an unanswered request keeps the connection open
 		c.setRequestDeadline(0)
 		s := &slot{msg: m, receivedAt: c.serverConn.Arrived(), ready: make(chan struct{})}
 		if b, ok := http1.IsBad(err); ok {
@@ -341,7 +344,7 @@
 	}
 }
 
-// disconnect closes the connection and cancels its open requests: the client no longer reads.
+// disconnect closes a connection whose client no longer reads, and cancels its open requests.
 func (c *conn) disconnect(err error) {
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 		c.frontend.opt.Log.Debug().Err(err).Msg("connection ended")
@@ -419,8 +422,8 @@
 		c.frontend.bodyBudget.Give(s.bookedBytes)
 		c.frontend.releaseLimits(s)
 		if s.answer != nil && !c.frontend.responseBudget.Take(len(s.answer)) {
-			// Guards against a client that loses its response and its connection because others leave too much unread. A
-			// connection has only one such error response at a time.
+			// A client must not lose its connection because others leave too much unread, so it gets a small error response
+			// beyond the budget. Each connection has only one such response at a time.
 			c.frontend.opt.Log.Warn().Msg("response budget exhausted; responding 502 instead")
 			s.answer = c.frontend.errorAnswer(s, 502, "crowded", "too much waits to be written", "Retry-After: 1\r\n")
 			c.frontend.responseBudget.TakeAnyway(len(s.answer))
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -17,7 +17,7 @@
 	maxLineBytes      = 8 << 10  // of a request line or one header
 	maxHeaderBytes    = 16 << 10 // of all headers
 	maxHeaders        = 64
-	maxChunkLineBytes = 128 // of the line with the size of a chunk
+	maxChunkLineBytes = 128 // of the line that states the size of a chunk
 )
 
 // Message is one HTTP/1.1 request.
