--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-// FuzzApply has requests for one token take any steps in any order, some twice, and holds the records to the promise: no
-// two requests are ever about to send at once, and none after one that ran or may have.
+// FuzzApply applies steps of several requests for one token in any order, some of them twice. It checks that no two requests
+// may ever send at once, and that none may send after one that ran or may have run.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte{0, 1, 4, 5, 1, 0, 8, 9})
 	f.Add([]byte{0, 16, 4, 20, 8, 0, 16})
 	f.Add([]byte{0, 4, 12, 16, 20, 24})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		var r Record
-		there := false
+		exists := false
 		type request struct{ sends, ended, released bool }
-		all := map[string]*request{}
+		requests := map[string]*request{}
 		for i, b := range steps {
 			owner := string('a' + rune(b>>4))
-			q := all[owner]
+			q := requests[owner]
 			if q == nil {
 				q = &request{}
-				all[owner] = q
+				requests[owner] = q
 			}
 			s := Step{Owner: owner, Until: float64(i)}
 			switch b % 16 / 4 {
@@ -37,22 +37,22 @@
 					continue
 				}
 				s.Op, s.To, s.Outcome = Settle, []Stage{Ran, Doubt}[b%2], "200"
-			case 3: // nothing ran: it was refused, or never knew that it might send
+			case 3: // nothing ran: the request was rejected, or it never learned that it may send
 				if q.ended {
 					continue
 				}
 				s.Op = Release
 			}
 			before := r
-			next, stays, ok := Apply(r, there, s)
-			if again, stays2, ok2 := Apply(next, stays, s); ok && (again != next || stays2 != stays || !ok2) && s.Op != Hold {
-				t.Fatalf("step %d: made again it differs: %+v %+v", i, next, again)
+			next, keep, ok := Apply(r, exists, s)
+			if repeated, keepRepeated, okRepeated := Apply(next, keep, s); ok && (repeated != next || keepRepeated != keep || !okRepeated) && s.Op != Hold {
+				t.Fatalf("step %d: repeated, its result differs: %+v %+v", i, next, repeated)
 			}
 			if !ok && next != before {
-				t.Fatalf("step %d: refused, yet it changed %+v to %+v", i, before, next)
+				t.Fatalf("step %d: not granted, but it changed %+v to %+v", i, before, next)
 			}
-			r, there = next, stays
-			if !stays {
+			r, exists = next, keep
+			if !keep {
 				r = Record{}
 			}
 			if !ok {
@@ -60,9 +60,9 @@
 			}
 			switch s.Op {
 			case Send:
-				for other, o := range all {
+				for other, o := range requests {
 					if other != owner && o.sends && !o.released {
-						t.Fatalf("step %d: %s may send beside %s", i, owner, other)
+						t.Fatalf("step %d: %s may send while %s may send", i, owner, other)
 					}
 				}
 				q.sends = true
--- a/front/signed/object.go
+++ b/front/signed/object.go
@@ -13,14 +13,14 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// path is /v1/CLASS/OBJECT/PART; the query may tell the object's group and size, under the signature.
-type path struct {
+// objectPath is a path /v1/CLASS/OBJECT/PART. The query may contain the object's group and size, covered by the signature.
+type objectPath struct {
 	class, object, part string
 }
 
 const objectDigits = 16
 
-func objectPath(p string) (o path, ok bool) {
+func parseObjectPath(p string) (o objectPath, ok bool) {
 	rest, ok := strings.CutPrefix(p, "/v1/")
 	if !ok || !token.Canonical(p) {
 		return o, false
@@ -29,11 +29,11 @@
 	if len(parts) != 3 {
 		return o, false
 	}
-	return path{parts[0], parts[1], parts[2]}, true
+	return objectPath{parts[0], parts[1], parts[2]}, true
 }
 
-// objectNumber reads an object as paths name it.
-func objectNumber(text string) (uint64, error) {
+// parseObjectID parses the ID of an object as it is written in paths.
+func parseObjectID(text string) (uint64, error) {
 	object, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != objectDigits {
 		return 0, fmt.Errorf("the object is no %d hexadecimal digits", objectDigits)
@@ -41,13 +41,13 @@
 	return object, nil
 }
 
-// ask words the request for the core.
-func (o path) ask(q token.Query, m *http1.Message) (a core.Request, err error) {
+// request builds the request for the core.
+func (o objectPath) request(q token.Query, m *http1.Message) (a core.Request, err error) {
 	a.Class, a.Name = o.class, o.object
-	if a.Object, err = objectNumber(o.object); err != nil {
+	if a.Object, err = parseObjectID(o.object); err != nil {
 		return a, err
 	}
-	part, ok := token.Number(o.part, 32) // one spelling for one part
+	part, ok := token.Number(o.part, 32) // accepts one spelling for each part only
 	if !ok {
 		return a, fmt.Errorf("the part is no number")
 	}
@@ -69,8 +69,8 @@
 			return a, fmt.Errorf("X-Ttl-Ms: no time")
 		}
 	}
-	if m.Header["if-match"] == "" { // that is judged by the answer, which must then be whole
-		a.ClientETag = known(m.Header["if-none-match"])
+	if m.Header["if-match"] == "" { // If-Match is evaluated when the response arrives, which must then be complete
+		a.ClientETag = singleETag(m.Header["if-none-match"])
 	}
 	var txn [8]byte
 	rand.Read(txn[:])
@@ -78,8 +78,9 @@
 	return a, nil
 }
 
-// known gives the one tag of a client's copy, which goes to the store. A list or a star is compared with the answer.
-func known(v string) string {
+// singleETag returns the tag of the client's copy if there is exactly one: it is sent to the endpoint. A list or a star is
+// compared when the response arrives.
+func singleETag(v string) string {
 	tags, ok := conditional.Tags(v)
 	if !ok || len(tags) != 1 {
 		return ""
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -1,5 +1,3 @@
-// Package http1 reads HTTP/1.1 requests for the signed front and the console: every length is bounded, and what
-// two readers could understand differently is refused.
 package http1
 
 import (
@@ -8,8 +6,8 @@
 	"testing"
 )
 
-// What is read must not depend on how the bytes are cut, nothing may be longer than its bound, and a
-// request that is taken leaves the next one where it begins.
+// The result must not depend on how the bytes are split into reads, no part may exceed its limit, and an accepted request has
+// a valid path and host.
 func FuzzMessage(f *testing.F) {
 	f.Add("GET /v1/a/b/0?x=1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	f.Add("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
@@ -17,14 +15,14 @@
 	f.Add("\r\nGET http://h/p HTTP/1.0\r\nConnection: keep-alive\r\n\r\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		const next = "NEXT"
-		r := bufio.NewReaderSize(strings.NewReader(in+next), 16)
-		m, err := Read(r, 100, func() {})
-		whole := bufio.NewReaderSize(strings.NewReader(in+next), 64<<10)
-		m2, err2 := Read(whole, 100, func() {})
+		smallBuffer := bufio.NewReaderSize(strings.NewReader(in+next), 16)
+		m, err := Read(smallBuffer, 100, func() {})
+		largeBuffer := bufio.NewReaderSize(strings.NewReader(in+next), 64<<10)
+		m2, err2 := Read(largeBuffer, 100, func() {})
 		if (err == nil) != (err2 == nil) || string(m.Body) != string(m2.Body) || m.Path != m2.Path || m.Close != m2.Close {
-			t.Fatalf("%+v %v, then %+v %v", m, err, m2, err2)
+			t.Fatalf("small buffer: %+v, %v; large buffer: %+v, %v", m, err, m2, err2)
 		}
-		if len(m.Body) > 100 || len(m.Header) > headersMost {
+		if len(m.Body) > 100 || len(m.Header) > maxHeaders {
 			t.Errorf("%d bytes, %d headers", len(m.Body), len(m.Header))
 		}
 		if err == nil && (m.Path[0] != '/' || strings.ContainsAny(m.Host, "/ ")) {
@@ -33,13 +31,13 @@
 	})
 }
 
-func TestChunks(t *testing.T) {
+func TestChunkedBody(t *testing.T) {
 	r := bufio.NewReader(strings.NewReader("POST /p HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n" +
 		"3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\nGET /next HTTP/1.1\r\nHost: a\r\n\r\n"))
-	cont := 0
-	m, err := Read(r, 5, func() { cont++ })
-	if err != nil || string(m.Body) != "abcde" || cont != 1 {
-		t.Errorf("%q %v, continued %d times", m.Body, err, cont)
+	continued := 0
+	m, err := Read(r, 5, func() { continued++ })
+	if err != nil || string(m.Body) != "abcde" || continued != 1 {
+		t.Errorf("%q, %v, 100 Continue was sent %d times", m.Body, err, continued)
 	}
 	if m, err = Read(r, 5, func() {}); err != nil || m.Path != "/next" {
 		t.Errorf("%+v %v", m, err)
