--- a/control/actions.go
+++ b/control/actions.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// Action is something the host does, in the order given; see the types below.
+// Action is an operation that the host carries out. Actions are carried out in the order in which they are
+// returned.
 type Action interface{ action() }
 
-// Attempt asks an endpoint for an object. A miss is filled from Source; one that equals To asks only for
-// what is cached.
+// Attempt sends a request to endpoint To. If that is a cache which lacks the object, the object is filled
+// from Source. If Source equals To, nothing is filled: the endpoint answers by itself.
 type Attempt struct {
 	ID           RequestID
 	To           EndpointID
 	Source       EndpointID
-	CacheRank    uint8 // at which the object is cached, 1 to 3; 0: not at all
-	JoinFill     bool  // it may join a fill in flight
-	CachedOnly   bool  // the source answers only from its cache, and asks nobody for the rest
+	CacheRank    uint8 // rank at which the response is cached, 1 to 3; 0: it is not cached
+	JoinFill     bool  // the endpoint may join the attempt to a fill in flight for the same object
+	CachedOnly   bool  // the source answers only from its cache and fills nothing itself
 	Timeout      time.Duration
-	MaxAge       time.Duration // age of the oldest copy that will do; 0: as long as the class's copies are fresh
-	SendDeadline time.Duration // clock time from which on it must not be sent; far off where there is none
+	MaxAge       time.Duration // maximum age of a copy that may be served; 0: the freshness of the class
+	SendDeadline time.Duration // clock time from which it must not be sent; math.MaxInt64: none
 }
 
-// Reject is a final answer, with the promise that trying again is harmless.
+// Reject is a final response which promises the client that a retry is safe.
 type Reject struct {
 	ID         RequestID
-	RetryAfter time.Duration // 0: no advice
+	RetryAfter time.Duration // 0: no Retry-After is given
 }
 
-// Fail is a final answer without that promise.
+// Fail is a final response without that promise.
 type Fail struct{ ID RequestID }
 
 // Cancel ends an attempt in flight.
--- a/control/admission.go
+++ b/control/admission.go
@@ -1,11 +1,11 @@
 package control
 
-// Admission: whether a request is sent at once, waits, or is rejected.
+// Admission: whether a request is sent at once, queued or rejected.
 //
-// A request that can still be answered in time is sent as soon as its cache's link and the fill window
-// allow, and waits in the fair queue before that. It is rejected as soon as waiting is of no use: its
-// latency objective can no longer be met, or more is queued than the caches can send in time. A rejection
-// promises that trying again is harmless; where that does not hold, the request fails.
+// A request that can still be answered in time is sent as soon as the link of its cache and the fill window
+// allow it. Until then it waits in the fair queue. It is rejected as soon as its latency objective can no
+// longer be met, or when more is queued than the caches can transfer in time. A rejection promises that a
+// retry is safe; where that does not hold, the request fails instead.
 
 import (
 	"math"
@@ -13,16 +13,16 @@
 )
 
 const (
-	retryRemainingShare = 0.9 // a client with less of the longest time left is on a retry
-	transferHeadroom    = 1.9 // transfer times left to the latency objective while it is of use to send
-	maxQueueShare       = 0.3 // part of the latency objective for which queued requests may keep the caches busy
-	fillWaitDeviations  = 1.0 // mean deviations of a fill's lateness, kept free after a confirmed miss
+	retryRemainingShare = 0.9 // a request with less of the longest remaining time counts as a retry
+	transferHeadroom    = 1.9 // transfer times that must be left before the latency objective to send a request
+	maxQueueShare       = 0.3 // the queue may keep the caches busy for this share of the latency objective
+	fillWaitDeviations  = 1.0 // mean deviations of fill lateness reserved after a confirmed miss
 
-	answerBatches = 3 // batch intervals before the client's deadline at which the final answer is given
-	dedupBatches  = 2 // batch intervals before the end of the dedup window at which the last repeat is sent
+	answerBatches = 3 // the final response is given this many batch intervals before the client's deadline
+	dedupBatches  = 2 // no repeat is sent in this many last batch intervals of the dedup window
 )
 
-// admitRequest takes a client's request and sends, queues or rejects it.
+// admitRequest handles a new client request: it sends, queues or rejects it.
 func (c *Controller) admitRequest(ev Request) {
 	if c.requests[ev.ID] != nil {
 		return
@@ -39,15 +39,15 @@
 	c.setDeadlines(r)
 	c.limitRepeats(r)
 	c.requests[ev.ID] = r
-	c.earnHealthChecks()
+	c.accrueHealthCheckBudget()
 	c.observeDemand(r, transferSeconds)
 	copies.requestCount++
 	c.setTimer(r.deadline, r.ID, timerDeadline)
 	c.sendOrQueue(r)
 }
 
-// expectedTransfer returns how many seconds the response takes to transfer at a client's pace: by its size,
-// else as short as it ever took, else the mean of its class.
+// expectedTransfer returns the transfer time of the response at a client's pace, in seconds: computed from
+// its size if that is known, else the shortest transfer seen for this object, else the mean of its class.
 func (c *Controller) expectedTransfer(r *request, copies *object) float64 {
 	mean := c.meanTransfer[r.Class]
 	switch {
@@ -62,12 +62,13 @@
 	}
 }
 
-// setDeadlines sets when a request must be answered, and until when it is of use to send it.
+// setDeadlines sets the time by which a request must be answered, and the time after which sending it is no
+// longer useful.
 //
-// A client's retry is late already: it is sent if that is possible at once, but takes no place in the queue
-// before requests that are in time. It is marked, or has clearly less time left than the longest; delays on
-// the way make first tries differ a little. Clients whose own timeouts differ by more than that are
-// mistaken for retries.
+// A client's retry has already missed its objective: it is sent if that is possible at once, but is not
+// queued ahead of requests that are in time. A request counts as a retry if it is marked as one, or if it
+// has clearly less time left than the longest of its class; network delays make first tries differ a little.
+// Clients whose own timeouts differ by more than that are mistaken for retries.
 func (c *Controller) setDeadlines(r *request) {
 	r.deadline = c.now + r.Remaining - answerBatches*c.settings.BatchInterval
 	headroom := time.Duration(transferHeadroom * float64(r.transferTime))
@@ -79,8 +80,9 @@
 	}
 }
 
-// limitRepeats sets until when a request with an idempotency key may be sent. An earlier try of the client,
-// through whichever gateway, may have run. It began no longer ago than one deadline before this one ends.
+// limitRepeats sets the time until which a request with an idempotency key may be sent. An earlier try of
+// the client may have run, through any gateway. It began at the earliest one class deadline before the
+// deadline of this try.
 func (c *Controller) limitRepeats(r *request) {
 	r.sendDeadline = noDeadline
 	if r.class.Idempotency != IdempotentByKey {
@@ -94,14 +96,14 @@
 	}
 }
 
-// observeDemand adds a request to the demand for its object, which fades over time.
+// observeDemand adds a request to the demand for its object, which decays exponentially.
 func (c *Controller) observeDemand(r *request, transferSeconds float64) {
 	o := c.objectEntry(r.demandKey())
-	o.demand = o.demand*math.Exp(-(c.now-o.demandAt).Seconds()/demandFadeTime.Seconds()) + transferSeconds
+	o.demand = o.demand*math.Exp(-(c.now-o.demandAt).Seconds()/demandDecayTime.Seconds()) + transferSeconds
 	o.demandAt = c.now
 }
 
-// sendOrQueue sends a request if it may be sent now, ends it if there is no time left to answer it, and
+// sendOrQueue sends a request if it may be sent now, ends it if too little time is left to answer it, and
 // queues it otherwise.
 func (c *Controller) sendOrQueue(r *request) {
 	if !c.mayAttempt(r) || c.missesDeadline(r) {
@@ -122,8 +124,8 @@
 	}
 }
 
-// missesDeadline reports whether a request of known size has too little time left for even a hit to be
-// transferred.
+// missesDeadline reports whether too little time is left to transfer even a hit, for a request of known
+// size.
 func (c *Controller) missesDeadline(r *request) bool {
 	sizeKnown := r.SizeKB > 0 && c.settings.ClientKBps > 0
 	return sizeKnown && !r.ClientHasCopy && c.now+r.transferTime > r.deadline
@@ -132,7 +134,7 @@
 // trySend sends a request if its cache's link and the fill window allow, and reports whether it did.
 func (c *Controller) trySend(r *request) bool {
 	if r.Write && c.settings.CanBypassCaches {
-		// A write is no fill: it needs neither a slot nor a cache.
+		// A write is not a fill: it needs neither a slot of the fill window nor a cache.
 		if origin := c.readyOrigin(); origin != nil {
 			return c.send(r, origin, origin, modeDirect)
 		}
@@ -158,9 +160,9 @@
 	return c.send(r, cache, source, modeFill)
 }
 
-// sendLookup asks a request's cache whether it has the object, while no fill may start: so hits never wait
-// for a slot. While late fills alone close the window, the cache may ask its parent for a copy too, as that
-// asks no origin.
+// sendLookup asks the cache of a request whether it holds the object while no fill may start, so that hits
+// never wait for a slot. If only late fills close the window, the cache may ask its parent for a copy as
+// well, as that causes no request to the origin.
 func (c *Controller) sendLookup(r *request, cache, source *endpoint) bool {
 	if c.isOrigin(source) || !c.window.admits(c.linkUtilization()) {
 		source = cache
@@ -168,7 +170,7 @@
 	return !r.missConfirmed && c.send(r, cache, source, modeLookup)
 }
 
-// sendDirect bypasses the caches if none may take the request.
+// sendDirect sends a request past the caches, if none of them can take it.
 func (c *Controller) sendDirect(r *request) bool {
 	if !c.settings.CanBypassCaches || !c.fillMayStart() || r.inFlight > 0 {
 		return false
@@ -177,13 +179,14 @@
 	return source != nil && c.send(r, source, source, modeFill)
 }
 
-// shedLoad rejects queued requests at once while more is queued than the caches can send in time, the least
-// valuable first: else they would wait and then be rejected, along with many small ones.
+// shedLoad rejects the least valuable queued requests at once while more is queued than the caches can
+// transfer in time. Otherwise they would wait first and be rejected later, together with many small
+// requests.
 func (c *Controller) shedLoad() {
 	if !c.settings.WeightsKnown {
 		return
 	}
-	capacity := 0.0 // transfers at a time, of the caches summed up so far: no more of them than the queue needs
+	capacity := 0.0 // concurrent transfers of the caches counted so far; counting stops when they suffice
 	summed := 0
 	for {
 		backlog, leastValuable := c.queue.backlog(c.meanTransfer)
@@ -191,20 +194,20 @@
 			return
 		}
 		objective := leastValuable.class.LatencyObjective.Seconds()
-		enough := func() bool { return capacity > 0 && backlog <= capacity*objective*maxQueueShare }
-		for ; summed < len(c.endpoints) && !enough(); summed++ {
+		backlogFits := func() bool { return capacity > 0 && backlog <= capacity*objective*maxQueueShare }
+		for ; summed < len(c.endpoints) && !backlogFits(); summed++ {
 			if e := c.endpoints[summed]; c.isCache(e) && e.available(c.now) {
 				capacity += e.linkQuota
 			}
 		}
-		if capacity == 0 || enough() {
+		if capacity == 0 || backlogFits() {
 			return
 		}
 		c.rejectOrFail(leastValuable)
 	}
 }
 
-// rejectOrFail ends a request at once: rejected if trying again is harmless, else failed.
+// rejectOrFail ends a request at once: it is rejected if a retry by the client is safe, and fails otherwise.
 func (c *Controller) rejectOrFail(r *request) {
 	if r.answered {
 		return
@@ -217,8 +220,8 @@
 	c.finish(r)
 }
 
-// retryAfter returns the time after which a rejected client is advised to try again: as long as its request
-// has waited.
+// retryAfter returns the Retry-After delay for a rejected client: the time that its request has waited,
+// within bounds.
 func (c *Controller) retryAfter(r *request) time.Duration {
 	if !c.settings.CanRetryAfter {
 		return 0
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -1,10 +1,10 @@
 package control
 
-// Attempts: what is sent for a request, what its result shows, and when silence counts as a failure.
+// Attempts: sending them, handling their results, and detecting timeouts.
 //
-// Every attempt leaves through send, which checks the rules of the settings. The timeout of an attempt
-// follows RFC 6298: the mean lateness and some mean deviations of it, backed off while fills are given up.
-// A result updates what is known of the endpoints, the link and the copies; then the request is finished or
+// Every attempt is sent through send, which enforces the rules of the settings. The timeout of an attempt
+// follows RFC 6298: the mean lateness plus a multiple of its mean deviation, with a backoff while fills time
+// out. A result updates the state of the endpoints, the link and the copies; then the request is finished or
 // retried (retry.go).
 
 import (
@@ -13,43 +13,43 @@
 )
 
 const (
-	minTimeoutSlack   = 100 * time.Millisecond // least time beyond the expected answer in a timeout
+	minTimeoutSlack   = 100 * time.Millisecond // minimum time after the expected response in a timeout
 	timeoutDeviations = 4.0                    // mean deviations of lateness in a timeout: K of RFC 6298
-	fullLinkSlowdown  = 1.5                    // fills on a full link take this many transfer times on average
-	fillBackoffDecay  = 8                      // each completed fill takes this part of the fill backoff away
-	maxLossRetries    = 4                      // attempts of a request after which none is presumed lost
+	fullLinkSlowdown  = 1.5                    // mean duration of a fill on a full link, in transfer times
+	fillBackoffDecay  = 8                      // a completed fill reduces the backoff by one part in this many
+	maxLossRetries    = 4                      // from this many attempts of a request on, none is presumed lost
 
-	// Lost connections to an endpoint within this span have one cause and count as one failure.
+	// Connections to an endpoint that are lost within this interval have one cause and count as one failure.
 	connectionLossWindow = tickInterval
 )
 
-// request is a client's request that this gateway has yet to finish.
+// request is a client's request that is not finished yet.
 type request struct {
 	Request
 	class         *Class
 	arrivedAt     time.Duration
-	deadline      time.Duration // the final answer is given before it
+	deadline      time.Duration // the final response is given before this time
 	sendBy        time.Duration // a fill that starts later misses the latency objective
-	dedupWindow   time.Duration // how long after a first attempt that may have run a repeat is dropped; 0: never
+	dedupWindow   time.Duration // how long after a first attempt caches drop repeats; 0: they do not
 	sendDeadline  time.Duration // no attempt starts later, as an earlier try of the client may have run
-	transferTime  time.Duration // of the response at a client's pace: as told, else the mean of the class
-	attempts      []*attempt    // all that were ever made, by number
+	transferTime  time.Duration // expected transfer time of the response at a client's pace
+	attempts      []*attempt    // every attempt so far, by number
 	inFlight      int           // attempts without a result
-	answered      bool          // the final answer is given
-	streaming     bool          // the response has begun: no other attempt may answer
+	answered      bool          // the final response was given
+	streaming     bool          // the response has begun: no other attempt may serve it
 	queued        bool          // it waits in the fair queue
-	missConfirmed bool          // its cache has said that it lacks the object
+	missConfirmed bool          // its cache has reported a miss
 	notBefore     time.Duration // no attempt starts earlier
-	retryAt       time.Duration // when it is retried after a local failure; 0: it does not wait for that
+	retryAt       time.Duration // when it is retried after a local failure; 0: no such retry is pending
 	localFailures int           // attempts that ended in a local failure
 }
 
-// latencyObjective returns the time within which an answer earns the whole priority weight.
+// latencyObjective returns the time within which a response earns the full priority weight.
 func (r *request) latencyObjective() time.Duration {
 	return r.class.LatencyObjective + time.Duration(r.class.ObjectiveStretch*float64(r.transferTime))
 }
 
-// openAttempt returns the attempt of a number if its result is still owed, and nil otherwise.
+// openAttempt returns the attempt with this number if it has no result yet, and nil otherwise.
 func (r *request) openAttempt(number int) *attempt {
 	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].ended {
 		return nil
@@ -57,8 +57,8 @@
 	return r.attempts[number]
 }
 
-// failedAt reports whether the request has failed at an endpoint. One lost connection is not counted: the
-// endpoint may be up and hold the object as before.
+// failedAt reports whether the request has failed at an endpoint. A single lost connection does not count,
+// as the endpoint may be up and still hold the object.
 func (r *request) failedAt(e *endpoint) bool {
 	lostConnections := 0
 	for _, a := range r.attempts {
@@ -72,8 +72,8 @@
 			}
 			continue
 		}
-		silent := a.suspected && e.lastHeardAt < a.sentAt
-		failed := silent || a.ended && a.outcome != Canceled
+		unresponsive := a.suspected && e.lastResponseAt < a.sentAt
+		failed := unresponsive || a.ended && a.outcome != Canceled
 		if failed && a.outcome != Miss && a.outcome != LocalFailure {
 			return true
 		}
@@ -84,13 +84,13 @@
 // attempt is one try of a request at an endpoint.
 type attempt struct {
 	request        *request
-	target, source *endpoint // where it was sent, and from where a miss is filled; equal: no fill
+	target, source *endpoint // the endpoint it was sent to, and the source of a fill; equal: no fill
 	sentAt         time.Duration
-	lastCheckedAt  time.Duration   // when its timer last fired with both endpoints alive
-	holdsSlot      bool            // it counts in the fill window
+	lastCheckedAt  time.Duration   // when its timer last fired with both endpoints responsive
+	holdsSlot      bool            // it occupies a slot of the fill window
 	sourceCost     float64         // charged to the source's slow-start budget, refunded on a hit
 	budgetCharges  [2]budgetCharge // to the slow-start budgets of target and source
-	ended          bool            // its result is known
+	ended          bool            // its result was received
 	outcome        Outcome
 	mayHaveRun     bool // its result does not prove that the request did not run
 	suspected      bool // it has timed out
@@ -101,13 +101,13 @@
 
 // ---- Sending ----
 
-// attemptMode says how an attempt uses the location's link for fills.
+// attemptMode is the use that an attempt makes of the location's link for fills.
 type attemptMode uint8
 
 const (
-	modeDirect attemptMode = iota // the target is expected to answer by itself
-	modeFill                      // the answer comes through the link: it takes a slot of the fill window
-	modeLookup                    // only what target and source have cached will do
+	modeDirect attemptMode = iota // the target is expected to answer without a fill
+	modeFill                      // the response passes through the link: it takes a slot of the fill window
+	modeLookup                    // target and source answer only from their caches
 )
 
 // send starts an attempt if the rules allow it, and reports whether it did.
@@ -131,9 +131,9 @@
 	return true
 }
 
-// maySend reports whether the rules allow a further attempt at these endpoints: none after the final answer
-// or beyond the allowed number, no repeat of what may have run and is unsafe, none at endpoints that take
-// no requests.
+// maySend reports whether a further attempt at these endpoints is allowed. It is not allowed after the final
+// response or beyond the maximum number of attempts, for a request that may have run and must not run again,
+// or at endpoints that accept no requests.
 func (c *Controller) maySend(r *request, target, source *endpoint) bool {
 	if r.answered || r.streaming || r.attemptsUsed() >= c.settings.MaxAttempts || c.now >= r.deadline {
 		return false
@@ -141,7 +141,7 @@
 	return c.mayAttempt(r) && c.withinDedupScope(r, target) && c.permitted(r, target, source)
 }
 
-// attemptAction describes the next attempt of a request to the host.
+// attemptAction returns the action that starts the next attempt of a request.
 func (c *Controller) attemptAction(r *request, target, source *endpoint, mode attemptMode) Attempt {
 	if c.isParent(target) { // a parent fills from the origin
 		source = c.readyOrigin()
@@ -163,8 +163,8 @@
 	}
 }
 
-// cacheRank returns the rank at which the response is to be cached: higher for an object asked for before,
-// 0 for a write, which is never cached.
+// cacheRank returns the rank at which the response is to be cached: 2 for an object that was requested
+// before, 1 for others, and 0 for a write, which is never cached.
 func (c *Controller) cacheRank(r *request) uint8 {
 	switch {
 	case r.Write:
@@ -178,7 +178,7 @@
 
 // ---- Results ----
 
-// attemptEnded takes the result of an attempt, and finishes or retries its request.
+// attemptEnded handles the result of an attempt, and finishes or retries its request.
 func (c *Controller) attemptEnded(ev AttemptResult) {
 	c.recordResultReport(ev)
 	r := c.requests[ev.ID]
@@ -201,8 +201,8 @@
 	c.dispatch()
 }
 
-// recordResultReport takes the load report that came with a result. A cache's tells how full the location's
-// link is.
+// recordResultReport stores the load report that came with a result. The report of a cache also contains the
+// utilization of the location's link.
 func (c *Controller) recordResultReport(ev AttemptResult) {
 	e := c.endpoint(ev.Endpoint)
 	if e == nil || !c.recordReport(e, ev.Load) {
@@ -214,7 +214,7 @@
 	}
 }
 
-// end notes the result of an attempt, which is in flight no more.
+// end records the outcome of an attempt, which is no longer in flight.
 func (a *attempt) end(outcome Outcome) {
 	a.ended = true
 	a.outcome = outcome
@@ -223,14 +223,14 @@
 	a.target.inFlight = slices.DeleteFunc(a.target.inFlight, func(other *attempt) bool { return other == a })
 }
 
-// usedLink reports whether an answer with this note came through the location's link for fills.
+// usedLink reports whether a response with this note passed through the location's link for fills.
 func (c *Controller) usedLink(a *attempt, note Note) bool {
 	fromCache := note == Hit || note == StaleCopy
 	bypassedCaches := a.holdsSlot && !c.isCache(a.target)
 	return !fromCache && a.source != a.target || bypassedCaches
 }
 
-// observe learns from a result what it shows of the endpoints, the link and the object.
+// observe updates the statistics of the endpoints, the link and the object from a result.
 func (c *Controller) observe(r *request, a *attempt, ev AttemptResult, filled bool) {
 	o := c.objectEntry(r.copyKey())
 	switch ev.Outcome {
@@ -249,7 +249,7 @@
 	}
 }
 
-// observeResponse learns from a response.
+// observeResponse updates the statistics from a successful response.
 func (c *Controller) observeResponse(r *request, a *attempt, o *object, ev AttemptResult, filled bool) {
 	transferTime := r.answerTransferTime(ev)
 	o.observeTransferTime(transferTime)
@@ -272,12 +272,12 @@
 	o.heldAt = a.sentAt
 	if filled {
 		c.creditFill(r, a, o, ev)
-	} else if a.sourceCost > 0 { // a hit asked nothing of the source
+	} else if a.sourceCost > 0 { // a hit caused no work at the source
 		a.source.slowStartBudget += a.sourceCost
 	}
 }
 
-// observeFillTime learns from a completed fill how long fills wait for their source and take on the link.
+// observeFillTime records how long a completed fill waited for its source and took on the link.
 func (c *Controller) observeFillTime(r *request, ev AttemptResult) {
 	c.meanSourceWait += meanGain * (ev.FirstByte.Seconds() - c.meanSourceWait)
 	c.link.fillTimes.observe(r.transferTime.Seconds(), ev.Latency.Seconds())
@@ -285,20 +285,20 @@
 	c.fillLateness[r.Class].observe(max(0, ev.Latency-r.transferTime).Seconds())
 }
 
-// creditFill notes the new copy, charges the fill to its class and counts it as a success of its source.
+// creditFill records the new copy, charges the fill to its class and counts it as a success of its source.
 func (c *Controller) creditFill(r *request, a *attempt, o *object, ev AttemptResult) {
 	o.copiedAt = c.now - ev.Latency
 	size := max(r.SizeKB, r.transferTime.Seconds()*c.settings.ClientKBps, 1)
-	// Weights follow the priority per transfer time: a class of small requests earns more with each byte.
+	// Weights are priorities per transfer time, so a class of small requests earns more with each byte.
 	c.queue.charge(r.Class, size*c.meanTransfer[r.Class])
 	a.source.recordSuccess(c.now)
 	a.source.lastAnsweredSendAt = max(a.source.lastAnsweredSendAt, a.sentAt)
 }
 
-// observeMiss learns that a cache lacks the object. The fill must fit in what is left of the request's
-// time.
+// observeMiss records that a cache lacks the object. The fill must fit into the remaining time of the
+// request.
 func (c *Controller) observeMiss(r *request, a *attempt, o *object) {
-	a.target.lastHeardAt = c.now
+	a.target.lastResponseAt = c.now
 	a.target.consecutiveErrors = 0
 	a.target.recordAnswer(a)
 	o.heldAt = -1
@@ -307,14 +307,14 @@
 	r.sendBy = min(r.sendBy, r.arrivedAt+r.latencyObjective()-r.transferTime-wait)
 }
 
-// observeError learns from an error, which may be the target's or that of the source behind it.
+// observeError attributes an error to the target or to the source behind it.
 func (c *Controller) observeError(a *attempt, ev AttemptResult) {
-	a.target.lastHeardAt = c.now
+	a.target.lastResponseAt = c.now
 	sourceFailed := ev.Note == OriginFailed || ev.Note == SourceRefused
 	if sourceFailed {
 		c.observeOrigin(true)
 	}
-	// Without details, overload is more likely the source's: caches are sent no more than they have
+	// Without detailed notes, overload is attributed to the source: caches are sent no more than they have
 	// capacity for.
 	unexplained := !c.settings.AnswersDetailed && ev.Outcome == Overloaded
 	failed := a.target
@@ -326,20 +326,20 @@
 	}
 }
 
-// observeLostConnection counts a broken connection once for all attempts that were on it. It is one
-// failure, not an ejection: an endpoint that is down refuses the next connection.
+// observeLostConnection counts one failure for a lost connection, whatever the number of attempts that were
+// on it. The endpoint is not ejected: if it is down, it refuses the next connection.
 func (c *Controller) observeLostConnection(e *endpoint) {
-	if c.now >= e.lastBrokenAt+connectionLossWindow {
-		e.lastBrokenAt = c.now
+	if c.now >= e.lastConnectionLossAt+connectionLossWindow {
+		e.lastConnectionLossAt = c.now
 		e.recordFailure(c.now)
 	}
 }
 
 // ---- Timeouts ----
 
-// attemptTimeout returns the time within which an attempt has its answer if all is well. Where hedged
-// requests are allowed, the size is known and the cache has capacity, it leaves time to ask again within
-// the latency objective: the answer is more likely lost than slow.
+// attemptTimeout returns the time within which an attempt normally has its response. Where hedging is
+// allowed, the size is known and the cache has capacity, the timeout is short enough to ask again within the
+// latency objective, as the response is more likely lost than slow.
 func (c *Controller) attemptTimeout(r *request, a *attempt) time.Duration {
 	lateness := c.lateness[r.Class].upperBound(timeoutDeviations)
 	if a.source != a.target {
@@ -353,8 +353,9 @@
 	return r.transferTime + slack
 }
 
-// fillLatenessBound returns how much later than its transfer time a fill may be answered. It is that of
-// fills on a full link, as a gateway that sends little hears nothing else of the endpoint meanwhile.
+// fillLatenessBound returns how much longer than its transfer time a fill may take. The bound is that of
+// fills on a full link, because a gateway with little traffic receives no other responses from the endpoint
+// in the meantime.
 func (c *Controller) fillLatenessBound(r *request) time.Duration {
 	slowdown := time.Duration((fullLinkSlowdown - 1) * float64(r.transferTime))
 	learned := c.fillLateness[r.Class].upperBound(timeoutDeviations) + slowdown
@@ -362,25 +363,25 @@
 	return max(learned, min(c.fillBackoff, longestBackoff))
 }
 
-// attemptTimedOut handles an attempt that should have its answer by now. An endpoint that was silent since
-// is charged with a failure and ejected only when that repeats: one answer may be lost while the work runs.
-// If both endpoints are alive a further copy would only add work, so the attempt waits on, unless it is
-// presumed lost or may be hedged.
+// attemptTimedOut handles an attempt whose response is overdue. An endpoint that has not responded since the
+// attempt was sent is charged with one failure and ejected only after several: one response may be lost
+// while the request runs. If both endpoints are responsive, another copy of the request would only add load,
+// so the attempt stays in flight, unless it is presumed lost or may be hedged.
 func (c *Controller) attemptTimedOut(r *request, number int) {
 	a := r.openAttempt(number)
 	if a == nil || a.suspected {
 		return
 	}
-	since := max(a.sentAt, a.lastCheckedAt) // silence counts from the last check
+	since := max(a.sentAt, a.lastCheckedAt) // the endpoint must have responded since the last check
 	a.lastCheckedAt = c.now
 	switch {
-	case a.target.lastHeardAt < since:
+	case a.target.lastResponseAt < since:
 		a.target.recordFailure(c.now)
 		c.releaseSlot(a)
-	case since == a.sentAt && c.sourceSilent(a):
+	case since == a.sentAt && c.sourceUnresponsive(a):
 		a.source.recordFailure(c.now)
 	case !c.presumeLost(r, a) && !c.mayHedge(r, number):
-		// The endpoint may have fallen silent after it was heard, so the attempt is checked again.
+		// The endpoint may have stopped responding after its last response, so the attempt is checked again.
 		c.setTimer(c.now+c.attemptTimeout(r, a), r.ID, uint64(number))
 		return
 	}
@@ -389,28 +390,28 @@
 	c.replaceAttempt(r, number)
 }
 
-// sourceSilent reports whether the source of a fill, other than the origin, was not heard of since the
+// sourceUnresponsive reports whether the source of a fill, other than the origin, has not responded since the
 // attempt was sent.
-func (c *Controller) sourceSilent(a *attempt) bool {
-	return a.source != a.target && a.source.lastHeardAt < a.sentAt && !c.isOrigin(a.source)
+func (c *Controller) sourceUnresponsive(a *attempt) bool {
+	return a.source != a.target && a.source.lastResponseAt < a.sentAt && !c.isOrigin(a.source)
 }
 
-// mayHedge reports whether a slow attempt at a live endpoint may get a second one beside it: once, and only
-// while that can meet the latency objective. The cache should hold the object by now.
+// mayHedge reports whether a slow attempt at a responsive endpoint may be hedged with a second one: once,
+// and only while that can meet the latency objective. The cache should hold the object by then.
 func (c *Controller) mayHedge(r *request, number int) bool {
 	return c.settings.CanHedge && number == 0 && !c.missesObjective(r)
 }
 
-// backOffFills lengthens the timeout of fills after one has timed out: those given up are in no mean, so
-// the timer backs off instead (RFC 6298, 5.5).
+// backOffFills lengthens the timeout of fills after one has timed out. Fills that timed out are in no mean,
+// so the timer backs off instead (RFC 6298, 5.5).
 func (c *Controller) backOffFills(r *request, a *attempt) {
 	if a.source != a.target {
 		c.fillBackoff = max(c.fillBackoff, 2*(c.now-a.sentAt-r.transferTime))
 	}
 }
 
-// replaceAttempt starts another attempt beside one that has timed out, or cancels that one, whose end is
-// then followed by a retry.
+// replaceAttempt starts another attempt in parallel to one that has timed out, or cancels the timed-out one,
+// whose result then triggers a retry.
 func (c *Controller) replaceAttempt(r *request, number int) {
 	if c.settings.CanHedge && c.mayAttempt(r) {
 		c.trySend(r)
@@ -419,9 +420,10 @@
 	}
 }
 
-// presumeLost reports whether a timed-out attempt at a live endpoint is presumed lost and may be retried in
-// time: the endpoint has answered what was sent later. It counts the loss. A fill may just be slower than
-// others, so it is presumed lost only at an endpoint that is known to lose requests.
+// presumeLost reports whether a timed-out attempt at a responsive endpoint is presumed lost and may be
+// retried in time, because the endpoint has answered an attempt that was sent later. It also updates the
+// loss rate. A fill may just be slower than others, so it is presumed lost only at an endpoint with a high
+// loss rate.
 func (c *Controller) presumeLost(r *request, a *attempt) bool {
 	if !c.settings.CanCancel || a.target.lastAnsweredSendAt <= a.sentAt {
 		return false
--- a/control/cache_selection.go
+++ b/control/cache_selection.go
@@ -2,16 +2,16 @@
 
 // Cache selection: which cache a request goes to.
 //
-// Weighted rendezvous hashing ("highest random weight"): each endpoint of a set gets a score from the
-// object's hash, the endpoint's hash and its weight, and the endpoints are asked in the order of their
-// scores. Every gateway computes the same order and none keeps a table of objects. A hot object, whose
-// demand is more than a share of one cache's link, is spread over as many caches from the top of its order,
-// and goes to the one with the least load.
+// Weighted rendezvous hashing ("highest random weight"): each endpoint of a set gets a score from the hash
+// of the object, the hash of the endpoint and its weight, and the endpoints are tried in the order of their
+// scores. All gateways compute the same order, and none keeps a table of objects. A hot object, whose demand
+// exceeds a share of one cache's link, is spread over several caches from the top of its order, and each
+// request goes to the one of them with the least load.
 //
-// The order is the one that sorting all scores gives, but only its beginning is computed: the logarithm
-// that a score takes is left out for all endpoints whose hash alone shows that they score below a cut. The
-// cut is chosen such that a few endpoints are expected above it; where those do not suffice, it is lowered
-// step by step until all are in.
+// The order is the same as sorting all scores gives, but only its beginning is computed. A score takes a
+// logarithm, which is skipped for all endpoints whose hash alone shows that they score below a cut. The cut
+// is chosen such that a few endpoints are expected above it; if these do not suffice, the cut is lowered
+// step by step until all endpoints are included.
 
 import (
 	"cmp"
@@ -21,27 +21,28 @@
 )
 
 const (
-	hotObjectShare = 0.25            // demand of this share of a cache's link takes one more cache
-	demandFadeTime = 2 * time.Second // time constant with which an object's demand fades
+	hotObjectShare  = 0.25            // each such share of a cache's link in demand adds one cache
+	demandDecayTime = 2 * time.Second // time constant of the decay of an object's demand
 )
 
 const (
 	prefixExpected        = 8       // endpoints expected above the first cut
-	minPrefix             = 3       // a prefix that changes of the sets have left with fewer is computed anew
-	maxPrefix             = 4 * 8   // as is one that has grown beyond this
-	cutFactor             = 8       // each further cut lets so many times more in
-	maxRecentChanges      = 64      // changes of the sets that rankings are corrected for one by one
-	maxRankings           = 1 << 11 // objects whose rankings are remembered
-	rankingsClearInterval = 1 << 10 // changes of the sets after which rankings are dropped, with their endpoints
-	minCut                = 1e-290  // below it scores have too few bits for a cut on the hash
-	hashMargin            = 1e-12   // taken off a cut on the hash: far more than its rounding
+	minPrefix             = 3       // a prefix with fewer endpoints is recomputed
+	maxPrefix             = 4 * 8   // a prefix with more endpoints is recomputed
+	cutFactor             = 8       // each further cut is expected to include this many times more endpoints
+	maxRecentChanges      = 64      // set changes that are applied to a ranking one by one
+	maxRankings           = 1 << 11 // capacity of the table of rankings
+	rankingsClearInterval = 1 << 10 // set changes between clears of all rankings, to free endpoints
+	minCut                = 1e-290  // below this cut, scores are too imprecise to skip endpoints by their hash
+	hashMargin            = 1e-12   // safety margin on the hash bound, far above its rounding error
 	endpointHashKey       = 0x9e3779b97f4a7c15
 )
 
-// ---- The choice ----
+// ---- Selection ----
 
-// selectCache returns the cache for a request, nil if none may take it. If that cache's link is full, the
-// cache known to hold the object takes its place, or the second of the order if no fill is late.
+// selectCache returns the cache for a request, or nil if none can take it. If the link of that cache is
+// full, it returns the cache that is known to hold the object, or the second one of the order if no fill is
+// late.
 func (c *Controller) selectCache(r *request) *endpoint {
 	c.accrueBudgets(r)
 	caches := c.firstCaches(r, 2)
@@ -49,7 +50,7 @@
 		return nil
 	}
 	o := c.objectEntry(r.demandKey())
-	spread := 1 + int(o.demand/demandFadeTime.Seconds()/(hotObjectShare*caches[0].Weight))
+	spread := 1 + int(o.demand/demandDecayTime.Seconds()/(hotObjectShare*caches[0].Weight))
 	if spread > len(caches) {
 		caches = c.firstCaches(r, spread)
 	}
@@ -69,12 +70,12 @@
 }
 
 // firstCaches returns the first caches of the request's order that may take it, at most limit of them. The
-// slice is reused by the next call.
+// next call reuses the slice.
 func (c *Controller) firstCaches(r *request, limit int) []*endpoint {
 	caches := c.candidates[:0]
-	able := func(e *endpoint) bool { return e.available(c.now) && !r.failedAt(e) }
+	eligible := func(e *endpoint) bool { return e.available(c.now) && !r.failedAt(e) }
 	rankings := c.rankingsOf(r)
-	c.visitRanked(&rankings.caches, rankings.hash, setPair{&c.caches}, able, func(e *endpoint) bool {
+	c.visitRanked(&rankings.caches, rankings.hash, setPair{&c.caches}, eligible, func(e *endpoint) bool {
 		if c.permitted(r, e, e) {
 			caches = append(caches, e)
 		}
@@ -84,8 +85,8 @@
 	return r.withoutLocalFailure(caches)
 }
 
-// knownHolder returns the cache that is known to hold the requested part, nil if none is or it may not take
-// the request.
+// knownHolder returns the cache that is known to hold the requested part, or nil if there is none or it
+// cannot take the request.
 func (c *Controller) knownHolder(r *request) *endpoint {
 	e := c.endpoint(c.objectEntry(r.copyKey()).holder)
 	if e == nil || !c.isCache(e) || !e.available(c.now) || r.failedAt(e) {
@@ -124,7 +125,7 @@
 	return weight / -math.Log(u)
 }
 
-// rankWeight is the weight that counts in the ranking: that of the endpoint, halved for each level of
+// rankWeight returns the weight used in the ranking: the weight of the endpoint, halved for each level of
 // slowdown.
 func (e *endpoint) rankWeight() float64 { return e.Weight * math.Exp2(-e.slowdownLevel) }
 
@@ -134,8 +135,8 @@
 	score    float64
 }
 
-// byScore is the order of the ranking: the highest score first; of equal ones, which are rare, the lowest
-// id.
+// byScore compares by descending score. Endpoints with equal scores, which are rare, are ordered by
+// ascending id.
 func byScore(a, b scored) int {
 	if order := cmp.Compare(b.score, a.score); order != 0 {
 		return order
@@ -143,7 +144,7 @@
 	return cmp.Compare(a.endpoint.ID, b.endpoint.ID)
 }
 
-// rank returns the whole order of the endpoints for which include holds.
+// rank returns the complete order of the endpoints for which include returns true.
 func (c *Controller) rank(object uint64, include func(*endpoint) bool) []*endpoint {
 	var all []scored
 	for _, e := range c.endpoints {
@@ -161,26 +162,27 @@
 
 // ---- The sets, as the endpoint list changes ----
 
-// hashSet is a set of endpoints that objects are hashed to.
-type hashSet struct {
+// rendezvousSet is a set of endpoints that are ranked together by rendezvous hashing.
+type rendezvousSet struct {
 	classes []*weightClass
 	size    int
 }
 
-// weightClass holds the endpoints of a set whose weights lie between two powers of two. Keys stand side by
-// side, as each request passes over all of them, and an endpoint is not touched before its score is known.
+// weightClass holds the endpoints of a set whose weights lie between two powers of two. The keys are stored
+// contiguously, as each request scans all of them, and an endpoint is not accessed before its score is
+// known.
 type weightClass struct {
 	exponent    int
-	maxWeight   float64 // no weight in the class is above it
+	maxWeight   float64 // upper bound of the weights in the class
 	totalWeight float64
 	keys        []uint64
 	weights     []float64
 	endpoints   []*endpoint
 }
 
-// placement tells where an endpoint stands among the sets.
+// placement records the sets and lists that an endpoint is in.
 type placement struct {
-	set          *hashSet
+	set          *rendezvousSet
 	class        *weightClass
 	index        int // in the class
 	weight       float64
@@ -189,8 +191,9 @@
 	reporting    bool // it is in the list of endpoints with recent load reports
 }
 
-// place puts an endpoint where it belongs after a change of its entry, its weight or its start.
-func (c *Controller) place(e *endpoint) {
+// updatePlacement updates the sets and lists that an endpoint is in after a change of its list entry, its
+// weight or its start time.
+func (c *Controller) updatePlacement(e *endpoint) {
 	set := c.setOf(e)
 	weight := e.rankWeight()
 	if set != e.placement.set || weight != e.placement.weight {
@@ -209,7 +212,7 @@
 	}
 }
 
-// removeFromSets takes out an endpoint that is no longer listed.
+// removeFromSets removes an endpoint that is no longer listed.
 func (c *Controller) removeFromSets(e *endpoint) {
 	if e.placement.set != nil {
 		e.placement.remove()
@@ -221,7 +224,7 @@
 	}
 }
 
-// recordChange counts a change of a set and notes whose it was.
+// recordChange increments the version of the sets and records which endpoint changed.
 func (c *Controller) recordChange(e *endpoint) {
 	c.setVersion++
 	c.recentChanges[c.setVersion%maxRecentChanges] = e
@@ -230,8 +233,8 @@
 	}
 }
 
-// setOf returns the set that an endpoint belongs to, nil if it is hashed to from no set.
-func (c *Controller) setOf(e *endpoint) *hashSet {
+// setOf returns the set that an endpoint belongs to, or nil if it belongs to none.
+func (c *Controller) setOf(e *endpoint) *rendezvousSet {
 	switch {
 	case c.isCache(e):
 		return &c.caches
@@ -243,8 +246,8 @@
 	return nil
 }
 
-// add puts an endpoint into the set, in the class of its weight. A nil set takes none.
-func (s *hashSet) add(e *endpoint) {
+// add inserts an endpoint into the set, in the class of its weight. A nil set ignores it.
+func (s *rendezvousSet) add(e *endpoint) {
 	p := &e.placement
 	p.set = s
 	if s == nil {
@@ -261,8 +264,8 @@
 	s.size++
 }
 
-// classOf returns the class for a weight, a new one if there is none yet.
-func (s *hashSet) classOf(weight float64) *weightClass {
+// classOf returns the class for a weight, and creates it if needed.
+func (s *rendezvousSet) classOf(weight float64) *weightClass {
 	_, exponent := math.Frexp(weight)
 	for _, class := range s.classes {
 		if class.exponent == exponent {
@@ -274,7 +277,7 @@
 	return class
 }
 
-// remove takes the endpoint out of its set. The last one of its class takes its place there.
+// remove removes the endpoint from its set. The last endpoint of its class is moved to the freed index.
 func (p *placement) remove() {
 	if p.set == nil {
 		return
@@ -302,12 +305,12 @@
 // ---- The order for one object ----
 
 // setPair is the one or two sets whose endpoints are ranked together.
-type setPair [2]*hashSet
+type setPair [2]*rendezvousSet
 
-// ranking is the beginning of the order of some sets' endpoints for one object: all whose score is not
-// below the cut.
+// ranking is the beginning of the order of the endpoints of some sets for one object: all endpoints whose
+// score is not below the cut.
 type ranking struct {
-	version int // the change of the sets up to which it holds; 0: not computed yet
+	version int // version of the sets for which it is valid; 0: not computed yet
 	sets    setPair
 	cut     float64
 	prefix  []scored
@@ -315,14 +318,14 @@
 
 // objectRankings are the rankings for one object.
 type objectRankings struct {
-	hash       uint64 // of the object
-	caches     ranking
-	parents    ranking
-	farParents ranking // asked where none of parents may be
+	hash            uint64 // of the object
+	caches          ranking
+	parents         ranking
+	fallbackParents ranking // used if no parent in parents is available
 }
 
-// cutFor returns the score above which about so many endpoints of the sets are expected; minus infinity
-// where that is a good part of all.
+// cutFor returns the score above which about the expected number of endpoints of the sets lies. It returns
+// minus infinity, which includes all endpoints, if that number is a large part of them.
 func (sets setPair) cutFor(expected int) float64 {
 	size := 0
 	weight := 0.0
@@ -342,40 +345,40 @@
 	return cut
 }
 
-// leastHash returns a hash below which no endpoint of the class scores as high as the cut.
-func (class *weightClass) leastHash(cut float64) uint64 {
+// minHash returns a hash below which no endpoint of the class can score as high as the cut.
+func (class *weightClass) minHash(cut float64) uint64 {
 	if !(cut > 0) {
 		return 0
 	}
 	return uint64(max(0, math.Exp(-class.maxWeight/cut)-hashMargin) * (1 << 64))
 }
 
-// scan appends, in their order, the endpoints that score at least the cut, but less than below (NaN: no
-// bound), and of which able holds where it is given.
+// scan appends, in ranking order, the endpoints with a score of at least cut and less than below (NaN: no
+// upper bound) for which eligible returns true. A nil eligible accepts all endpoints.
 func (sets setPair) scan(
-	list []scored, object uint64, cut, below float64, able func(*endpoint) bool,
+	list []scored, object uint64, cut, below float64, eligible func(*endpoint) bool,
 ) []scored {
 	for _, set := range sets {
 		if set == nil {
 			continue
 		}
 		for _, class := range set.classes {
-			list = class.scan(list, object, cut, below, able)
+			list = class.scan(list, object, cut, below, eligible)
 		}
 	}
 	slices.SortFunc(list, byScore)
 	return list
 }
 
-// scan appends the endpoints of the class in no order.
+// scan appends the matching endpoints of the class, unsorted.
 func (class *weightClass) scan(
-	list []scored, object uint64, cut, below float64, able func(*endpoint) bool,
+	list []scored, object uint64, cut, below float64, eligible func(*endpoint) bool,
 ) []scored {
-	least := class.leastHash(cut)
+	least := class.minHash(cut)
 	keys := class.keys
 	for i := nextAtLeast(keys, 0, object, least); i < len(keys); i = nextAtLeast(keys, i+1, object, least) {
 		s := score(class.weights[i], splitmix(object+keys[i]))
-		if s < cut || s >= below || able != nil && !able(class.endpoints[i]) {
+		if s < cut || s >= below || eligible != nil && !eligible(class.endpoints[i]) {
 			continue
 		}
 		list = append(list, scored{class.endpoints[i], s})
@@ -383,12 +386,12 @@
 	return list
 }
 
-// nextAtLeast returns the first index, not below from, of a key whose hash with the object may be the least
-// one or more. Only the upper 31 bits are compared.
+// nextAtLeast returns the first index, starting at from, of a key whose hash with the object may be at least
+// the given minimum. Only the upper 31 bits are compared.
 func nextAtLeast(keys []uint64, from int, object, least uint64) int {
 	least &^= 1<<33 - 1
 	i := from
-	for ; i+4 <= len(keys); i += 4 { // four at a time: a third less time than one by one
+	for ; i+4 <= len(keys); i += 4 { // unrolled: takes a third less time than one key at a time
 		four := keys[i : i+4 : i+4]
 		if splitmixHighBits(object+four[0]) >= least || splitmixHighBits(object+four[1]) >= least ||
 			splitmixHighBits(object+four[2]) >= least || splitmixHighBits(object+four[3]) >= least {
@@ -403,40 +406,40 @@
 	return i
 }
 
-// splitmixHighBits is splitmix without its last step, which the upper 31 bits do not need.
+// splitmixHighBits is splitmix without its last step, which does not affect the upper 31 bits.
 func splitmixHighBits(x uint64) uint64 {
 	x = (x ^ x>>30) * splitmixMultiplier1
 	return (x ^ x>>27) * splitmixMultiplier2
 }
 
-// rankingsOf returns the rankings for the requested part. Objects share the places they are kept in, so a
-// ranking may have to be computed anew.
+// rankingsOf returns the rankings for the requested part. The table is direct-mapped: objects that share an
+// entry replace each other, and a replaced ranking is recomputed.
 func (c *Controller) rankingsOf(r *request) *objectRankings {
 	if c.rankings == nil {
 		c.rankings = make([]*objectRankings, maxRankings)
 	}
 	hash := objectHash(r.Object, r.Part)
-	place := &c.rankings[splitmix(hash)%maxRankings]
-	if *place == nil {
-		*place = &objectRankings{}
+	entry := &c.rankings[splitmix(hash)%maxRankings]
+	if *entry == nil {
+		*entry = &objectRankings{}
 	}
-	rankings := *place
+	rankings := *entry
 	if rankings.hash != hash {
 		rankings.hash = hash
 		rankings.caches.version = 0
 		rankings.parents.version = 0
-		rankings.farParents.version = 0
+		rankings.fallbackParents.version = 0
 	}
 	return rankings
 }
 
-// updateRanking brings a ranking up to date: by the changes of the sets one by one where they are few, else
-// anew.
+// updateRanking brings a ranking up to date: it applies the changes of the sets one by one if they are few,
+// and recomputes the ranking otherwise.
 func (c *Controller) updateRanking(rank *ranking, object uint64, sets setPair) {
 	known := rank.version > 0 && rank.sets == sets && c.setVersion-rank.version <= maxRecentChanges
 	for known && rank.version < c.setVersion {
 		rank.version++
-		rank.correct(c.recentChanges[rank.version%maxRecentChanges], object)
+		rank.applyChange(c.recentChanges[rank.version%maxRecentChanges], object)
 	}
 	complete := math.IsInf(rank.cut, -1)
 	if known && len(rank.prefix) <= maxPrefix && (len(rank.prefix) >= minPrefix || complete) {
@@ -449,8 +452,8 @@
 	rank.prefix = append(rank.prefix[:0], c.scanned...)
 }
 
-// correct takes the change of one endpoint into the ranking.
-func (rank *ranking) correct(e *endpoint, object uint64) {
+// applyChange applies the change of one endpoint to the ranking.
+func (rank *ranking) applyChange(e *endpoint, object uint64) {
 	rank.prefix = slices.DeleteFunc(rank.prefix, func(s scored) bool { return s.endpoint == e })
 	set := e.placement.set
 	if set == nil || set != rank.sets[0] && set != rank.sets[1] {
@@ -464,15 +467,15 @@
 	rank.prefix = slices.Insert(rank.prefix, i, s)
 }
 
-// visitRanked yields the endpoints of the sets of which able holds, in the order of their scores for an
-// object, until yield returns false. Able must have no effects: it is asked of more endpoints than are
-// yielded.
+// visitRanked calls yield for the endpoints of the sets for which eligible returns true, in the order of
+// their scores for an object, until yield returns false. eligible must have no side effects: it is called
+// for more endpoints than are yielded.
 func (c *Controller) visitRanked(
-	rank *ranking, object uint64, sets setPair, able, yield func(*endpoint) bool,
+	rank *ranking, object uint64, sets setPair, eligible, yield func(*endpoint) bool,
 ) {
 	c.updateRanking(rank, object, sets)
 	for _, s := range rank.prefix {
-		if able(s.endpoint) && !yield(s.endpoint) {
+		if eligible(s.endpoint) && !yield(s.endpoint) {
 			return
 		}
 	}
@@ -480,7 +483,7 @@
 	for expected := prefixExpected * cutFactor; !math.IsInf(cut, -1); expected *= cutFactor {
 		below := cut
 		cut = min(cut, sets.cutFor(expected))
-		c.scanned = sets.scan(c.scanned[:0], object, cut, below, able)
+		c.scanned = sets.scan(c.scanned[:0], object, cut, below, eligible)
 		for _, s := range c.scanned {
 			if !yield(s.endpoint) {
 				return
--- a/control/controller.go
+++ b/control/controller.go
@@ -1,6 +1,6 @@
 package control
 
-// Controller: the state of the decision module, its dispatch of events to the decisions, and its timers.
+// Controller: the state of the decision module, its event dispatch and its timers.
 
 import (
 	"fmt"
@@ -12,18 +12,18 @@
 )
 
 const (
-	tickInterval = 50 * time.Millisecond // waiting requests, purges and health checks are looked at this often
+	tickInterval = 50 * time.Millisecond // interval of the tick, which checks queued requests, purges and health
 
-	// noDeadline is a time that never comes.
+	// noDeadline is a time that is never reached.
 	noDeadline = math.MaxInt64 * time.Nanosecond
 )
 
-// The token of a timer is a request's id and, in the low byte, the number of the attempt that may time out
-// or one of these.
+// The token of a timer consists of the request id and, in the low byte, the number of the attempt that may
+// time out or one of these kinds.
 const (
 	timerDeadline = 0xff // the request must be answered
-	timerQueue    = 0xfe // it is of no use to wait any longer
-	timerTick     = 0xfd // of no request
+	timerQueue    = 0xfe // a queued request can no longer be sent in time
+	timerTick     = 0xfd // the periodic tick, which belongs to no request
 	timerRetry    = 0xfc // the backoff after a local failure is over
 
 	timerKindBits = 8
@@ -33,65 +33,65 @@
 // Controller is one gateway's decision module.
 type Controller struct {
 	settings  Settings
-	now       time.Duration // of the event that is handled
-	actions   []Action      // that it calls for so far
-	started   bool          // the first event was handled
-	processes int           // that make up this gateway
+	now       time.Duration // time of the current event
+	actions   []Action      // actions appended for the current event
+	started   bool          // whether the first event was handled
+	processes int           // number of processes of this gateway
 	random    *rand.Rand    // for the jitter of retries
 
 	// Requests (admission.go, fair_queue.go).
 	requests         map[RequestID]*request
 	queue            fairQueue
-	longestRemaining []time.Duration // by class: the most time that a client gave a request
+	longestRemaining []time.Duration // by class: the longest time that a client has allowed
 
 	// Endpoints (endpoints.go, outlier.go, load_report.go, slow_start.go).
 	endpoints         []*endpoint                // sorted by id
-	knownIDs          [2]map[EndpointID]struct{} // that were listed, in two generations
+	knownIDs          [2]map[EndpointID]struct{} // ids that were listed, in two generations
 	excluded          map[EndpointID]struct{}    // by the operators
 	origins           []*endpoint                // sorted by id
-	reporting         []*endpoint                // with recent load reports, and some others; sorted by id
-	slowStarting      []*endpoint                // caches that are in slow start, or were
+	reporting         []*endpoint                // all with a recent report, maybe others; sorted by id
+	slowStarting      []*endpoint                // caches in slow start; ended ones are removed later
 	healthCheckBudget float64                    // health checks that may be sent
 
 	// Selection (cache_selection.go, fill_source.go).
-	caches           hashSet
-	hubParents       hashSet                     // of this zone's hub
-	otherParents     hashSet                     // of the other hubs
-	setVersion       int                         // counts the changes of the sets, from 1
-	recentChanges    [maxRecentChanges]*endpoint // whose the last changes were, by version
-	rankings         []*objectRankings           // of the objects asked for last
+	caches           rendezvousSet
+	hubParents       rendezvousSet               // of this zone's hub
+	otherParents     rendezvousSet               // of the other hubs
+	setVersion       int                         // incremented on each change of the sets, starting at 1
+	recentChanges    [maxRecentChanges]*endpoint // endpoints that changed last, by version
+	rankings         []*objectRankings           // direct-mapped table, by object hash
 	candidates       []*endpoint                 // reused by firstCaches
 	scanned          []scored                    // reused by scans of the sets
-	originCongestion float64                     // share of fills by way of the origin that are late or fail
+	originCongestion float64                     // share of fills from the origin that are late or fail
 	poolParents      bool                        // fills hash over the parents of all hubs
 
 	// Fills (fill_window.go).
 	window         fillWindow
 	link           linkMeter
-	fillsInFlight  []*attempt    // that hold a slot of the window
-	lateCountedAt  time.Duration // when the next two were counted
+	fillsInFlight  []*attempt    // fills that hold a slot of the window
+	lateCountedAt  time.Duration // when the next two fields were counted
 	lateFills      int           // fills in flight past their latency objective
-	countedFills   int           // fills in flight that were looked at for it
-	missShare      float64       // share of lookups without a confirmed miss whose answer came through the link
+	countedFills   int           // fills in flight that were considered for lateFills
+	missShare      float64       // share of lookups without a confirmed miss whose response came over the link
 	meanSourceWait float64       // mean wait of a fill for its source, in seconds
 
-	// Timeouts (attempts.go): how much later than its transfer time an answer comes.
+	// Timeouts (attempts.go): how much longer than the transfer time a response takes.
 	lateness     []meanEstimator // by class
 	fillLateness []meanEstimator // by class, of fills alone
-	fillBackoff  time.Duration   // lateness allowed to fills since some have timed out
+	fillBackoff  time.Duration   // additional lateness allowed after fills have timed out
 
 	// Transfer times, in seconds.
 	meanTransfer           []float64 // by class
-	longestInitialTransfer float64   // the longest of these by the settings alone
+	longestInitialTransfer float64   // the longest initial value, which follows from the settings
 
 	// Objects (freshness.go).
 	objects  [2]map[objectKey]*object // in two generations
 	purges   map[purgeKey]purge
-	purgeLog []purgeKey // in the order in which they were heard, to expire them
+	purgeLog []purgeKey // keys in the order of arrival, for expiry
 }
 
-// New returns a controller, or an error that names the setting that makes no sense. The seed is for what is
-// left to chance: the jitter of retries after local failures.
+// New returns a controller, or an error that names the invalid setting. The seed determines the jitter of
+// retries after local failures, which is the only use of random numbers.
 func New(s Settings, seed uint64) (*Controller, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -111,8 +111,8 @@
 	c.objects[0] = map[objectKey]*object{}
 	c.objects[1] = map[objectKey]*object{}
 	for _, class := range s.Classes {
-		// Until answers are seen a class's transfer time is taken to be its latency objective: too long, so
-		// budgets err on the safe side.
+		// Until responses are observed, the transfer time of a class is assumed to be its latency objective.
+		// That is too long, so slow-start budgets err on the safe side.
 		c.meanTransfer = append(c.meanTransfer, max(class.LatencyObjective, time.Millisecond).Seconds())
 		c.lateness = append(c.lateness, meanEstimator{mean: class.LatencyObjective.Seconds()})
 		c.fillLateness = append(c.fillLateness, meanEstimator{})
@@ -125,7 +125,8 @@
 
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, jitterStream)) }
 
-// Handle takes one event at the clock time now, appends the actions it calls for and returns the result.
+// Handle processes one event at clock time now, appends the resulting actions and returns the extended
+// slice.
 func (c *Controller) Handle(now time.Duration, ev Event, actions []Action) []Action {
 	c.now = now
 	c.actions = actions
@@ -140,7 +141,7 @@
 	return actions
 }
 
-// handleEvent passes an event to the decision it is about.
+// handleEvent dispatches an event to its handler.
 func (c *Controller) handleEvent(ev Event) {
 	switch ev := ev.(type) {
 	case EndpointList:
@@ -167,7 +168,7 @@
 	case Purged:
 		isGroup := ev.Object == 0
 		if c.recordPurge(ev) && isGroup {
-			c.expectOriginCongestion()
+			c.assumeOriginCongestion()
 		}
 	case TimerFired:
 		c.timerFired(ev.Token)
@@ -179,17 +180,17 @@
 
 // ---- Timers ----
 
-// setTimer asks for a timer of a request, no sooner than the next batch of events.
+// setTimer requests a timer, no earlier than the next batch of events.
 func (c *Controller) setTimer(at time.Duration, id RequestID, kind uint64) {
 	c.emit(SetTimer{At: max(at, c.now+c.settings.BatchInterval), Token: timerToken(id, kind)})
 }
 
 func timerToken(id RequestID, kind uint64) uint64 { return uint64(id)<<timerKindBits | kind }
 
-// TimeUp is the event that a request's time has run out, which ends it at once.
+// TimeUp returns the event that the deadline of a request is reached, which ends the request at once.
 func TimeUp(id RequestID) TimerFired { return TimerFired{Token: timerToken(id, timerDeadline)} }
 
-// timerFired handles a timer that is due.
+// timerFired handles an expired timer.
 func (c *Controller) timerFired(token uint64) {
 	kind := token & timerKindMask
 	if kind == timerTick {
@@ -210,7 +211,7 @@
 	}
 }
 
-// tick does what is due from time to time.
+// tick runs the periodic work.
 func (c *Controller) tick() {
 	c.setTimer(c.now+tickInterval, 0, timerTick)
 	c.expirePurges()
@@ -220,9 +221,9 @@
 
 // ---- For logs ----
 
-// Explain returns, for logs, what decides where a part of an object could go now: each cache in the order
-// of its ranking, with its health, capacity and report, and the fill window. It decides nothing and changes
-// nothing that a decision reads.
+// Explain returns a description, for logs, of the state that decides where a part of an object is sent now:
+// the fill window, and each cache in the order of its ranking with its health, capacity and load report. It
+// has no effect on later decisions.
 func (c *Controller) Explain(object ObjectID, part uint32) string {
 	var b strings.Builder
 	waiting := 0
@@ -237,7 +238,7 @@
 	return b.String()
 }
 
-// explainEndpoint writes what decides whether a cache may take a request.
+// explainEndpoint appends the state that decides whether a cache may take a request.
 func (c *Controller) explainEndpoint(b *strings.Builder, e *endpoint) {
 	quota := e.linkQuota
 	hasCapacity := c.hasLinkCapacity(e)
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Long random sequences of events, with no model of caches, on several kinds of site.
+// Checks the rules on long random sequences of events, without a model of caches, for several kinds of site.
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := range uint64(36) {
 		results := int(NotSent) + 1
-		if seed >= 24 { // calls of this host fail as well
+		if seed >= 24 { // with local failures as well
 			results = int(LocalFailure) + 1
 		}
 		rng := rand.New(rand.NewPCG(seed, 7))
 		set := testSettings()
 		set.CanHedge, set.CanBypassCaches, set.CanCheckHealth = seed%2 == 0, seed%3 != 0, seed%5 == 0
 		set.AnswersDetailed, set.CanCancel = seed%4 != 1, seed%7 != 0
-		members := testEndpoints()
-		h := newHarness(t, set, members)
+		list := testEndpoints()
+		h := newHarness(t, set, list)
 		next := RequestID(1)
 		served := 0
 		for range 1500 {
@@ -34,7 +34,7 @@
 				h.request(q)
 				next++
 			case k < 64:
-				m := members[rng.IntN(len(members))]
+				m := list[rng.IntN(len(list))]
 				m.State = State(1 + rng.IntN(2))
 				if m.ID != originID && rng.IntN(2) == 0 {
 					m.StartedAt = h.now
@@ -67,7 +67,7 @@
 		}
 		h.advance(5 * time.Second)
 		if served == 0 || len(h.requests) < 500 {
-			t.Errorf("seed %d: %d served of %d: the sequence tests nothing", seed, served, len(h.requests))
+			t.Errorf("seed %d: %d served of %d requests: too few for a test", seed, served, len(h.requests))
 		}
 		for id := range h.requests {
 			for n, s := range h.attempts[id] {
@@ -77,17 +77,17 @@
 			}
 		}
 		if len(h.controller.requests) != 0 || h.controller.window.inFlight != 0 || len(h.controller.fillsInFlight) != 0 {
-			t.Errorf("seed %d: at the end %d requests, %d slots, %d fills are still held", seed, len(h.controller.requests), h.controller.window.inFlight, len(h.controller.fillsInFlight))
+			t.Errorf("seed %d: at the end %d requests, %d slots and %d fills remain", seed, len(h.controller.requests), h.controller.window.inFlight, len(h.controller.fillsInFlight))
 		}
 		for _, e := range h.controller.endpoints {
 			if len(e.inFlight) != 0 {
-				t.Errorf("seed %d: member %d keeps %d attempts", seed, e.ID, len(e.inFlight))
+				t.Errorf("seed %d: endpoint %d keeps %d attempts", seed, e.ID, len(e.inFlight))
 			}
 		}
 	}
 }
 
-// A late answer to a request that is over must do no harm, nor must events for what is unknown.
+// A late result for a finished request has no effect, nor have events for unknown requests or endpoints.
 func TestStrayEvents(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints())
 	for _, ev := range []Event{
@@ -97,11 +97,11 @@
 		h.handle(ev)
 	}
 	if !h.answered[3] {
-		t.Error("a request of an unknown class got no answer")
+		t.Error("a request of an unknown class got no response")
 	}
 }
 
-// Memory stays bounded on endless distinct objects and purges.
+// Memory stays bounded with any number of distinct objects and purges.
 func TestMemoryIsBounded(t *testing.T) {
 	set := testSettings()
 	h := newHarness(t, set, testEndpoints())
@@ -116,13 +116,13 @@
 		}
 	}
 	if n := len(h.controller.objects[0]) + len(h.controller.objects[1]); n > 2*maxObjects {
-		t.Errorf("%d objects are remembered, %d at most", n, 2*maxObjects)
+		t.Errorf("%d objects are kept, %d at most", n, 2*maxObjects)
 	}
 	if most := int((set.PurgeCompletion+2*time.Second)/(5*ms)) + 20; len(h.controller.purges) > most || len(h.controller.purgeLog) > most {
-		t.Errorf("%d purges are remembered, %d at most", len(h.controller.purges), most)
+		t.Errorf("%d purges are kept, %d at most", len(h.controller.purges), most)
 	}
 	if len(h.controller.requests) > 0 {
-		t.Errorf("%d requests are held after their answers", len(h.controller.requests))
+		t.Errorf("%d requests are kept after their responses", len(h.controller.requests))
 	}
 }
 
@@ -169,8 +169,8 @@
 	}
 }
 
-// BenchmarkLargeFleet has 200 endpoints, of which a location's few count: a request may cost one pass over the list more
-// than with seven endpoints, and no allocation more.
+// BenchmarkLargeFleet has 200 endpoints, of which few are in the gateway's location. A request may cost one pass
+// over the list more than with seven endpoints, and no further allocation.
 func BenchmarkLargeFleet(b *testing.B) {
 	set := testSettings()
 	set.Gateways, set.GatewaysByZone = 240, []int{0, 0, 10, 230}
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -1,10 +1,10 @@
 package control
 
-// Endpoints: who there is, by the endpoint list and the operators' word, and who may be sent a request.
+// Endpoints: the endpoint list, operators' exclusions, and which endpoints may be sent a request.
 //
-// The list gives each endpoint's state. An endpoint that the operators exclude counts as draining, whatever
-// the list says. One that was restarted or readmitted is a new process: its faults are forgotten, and it is
-// in slow start.
+// The list gives the state of each endpoint. An endpoint that the operators have excluded counts as
+// draining, whatever its listed state. An endpoint that was restarted or readmitted is a new process: its
+// failures are cleared, and it is in slow start.
 
 import (
 	"cmp"
@@ -14,52 +14,52 @@
 )
 
 const (
-	maxKnownIDs   = 1 << 13 // endpoint ids remembered in each of two generations
-	defaultWeight = 1       // of an endpoint whose listed weight makes no sense
+	maxKnownIDs   = 1 << 13 // endpoint ids kept in each of two generations
+	defaultWeight = 1       // weight of an endpoint whose listed weight is not positive and finite
 )
 
-// endpoint is a cache, a parent or an origin, with what this gateway has learned of it.
+// endpoint is a cache, a parent or an origin, with the state that this gateway keeps about it.
 type endpoint struct {
-	Endpoint                   // its State is the effective one: an excluded endpoint drains
-	advertised   State         // the list's word
+	Endpoint                   // State is the effective state: an excluded endpoint is draining
+	listedState  State         // the state in the list
 	excludedAt   time.Duration // when the operators excluded it
-	readmittedAt time.Duration // when they let it serve again
-	inFlight     []*attempt    // attempts of this gateway, as target
-	generation   int           // how often it was reset
+	readmittedAt time.Duration // when the operators readmitted it
+	inFlight     []*attempt    // attempts of this gateway with this endpoint as target
+	generation   int           // number of health resets
 	placement    placement
 
 	// Health (outlier.go).
-	lastHeardAt        time.Duration
-	lastAnsweredSendAt time.Duration // the latest send that it has answered, as target or source
-	lastBrokenAt       time.Duration // when a connection to it was last lost
-	lastCheckedAt      time.Duration // when its health was last checked
-	consecutiveErrors  int
-	ejections          int // in a row
-	ejectedUntil       time.Duration
-	probation          bool    // back from ejection without a success yet: one attempt at a time
-	latencyRatio       float64 // mean of a hit's latency over its transfer time
-	slowdownLevel      float64 // the power of two of latencyRatio
-	lossRate           float64 // share of lookups and hits that got no answer though later ones did
+	lastResponseAt       time.Duration
+	lastAnsweredSendAt   time.Duration // latest send time of an attempt that it has answered
+	lastConnectionLossAt time.Duration // when the last connection loss was counted
+	lastCheckedAt        time.Duration // when its health was last checked
+	consecutiveErrors    int
+	ejections            int // consecutive ejections
+	ejectedUntil         time.Duration
+	probation            bool    // no success since its ejection: it gets one attempt at a time
+	latencyRatio         float64 // mean of a hit's latency over its transfer time
+	slowdownLevel        float64 // log2 of latencyRatio, rounded down
+	lossRate             float64 // share of lookups and hits without a response although later ones had one
 
 	// Load (load_report.go).
 	load           LoadReport
 	reportedAt     time.Duration
-	othersInFlight float64 // requests of other gateways there, by its reports
-	linkQuota      float64 // transfers that this gateway may have on its link
+	othersInFlight float64 // requests in flight from other gateways, by its reports
+	linkQuota      float64 // transfers that this gateway may have in flight on its link
 
 	// Slow start (slow_start.go).
 	slowStartBudget float64 // transfer-seconds that may be sent
 	budgetUpdatedAt time.Duration
 }
 
-// newEndpoint returns an endpoint of which nothing is known.
+// newEndpoint returns an endpoint without any history.
 func newEndpoint() *endpoint { return &endpoint{load: noLoadReport, latencyRatio: 1} }
 
-// resetHealth forgets what was learned of an endpoint but the attempts in flight.
+// resetHealth clears the learned state of an endpoint, except for its attempts in flight.
 func (e *endpoint) resetHealth() {
 	*e = endpoint{
 		Endpoint:     e.Endpoint,
-		advertised:   e.advertised,
+		listedState:  e.listedState,
 		excludedAt:   e.excludedAt,
 		readmittedAt: e.readmittedAt,
 		inFlight:     e.inFlight,
@@ -70,8 +70,8 @@
 	}
 }
 
-// unused reports whether an endpoint has gone and no result from it is owed.
-func (e *endpoint) unused() bool { return e.State == Gone && len(e.inFlight) == 0 }
+// removable reports whether an endpoint is gone and has no attempts in flight.
+func (e *endpoint) removable() bool { return e.State == Gone && len(e.inFlight) == 0 }
 
 func (c *Controller) isParent(e *endpoint) bool { return e.Kind == c.settings.ParentKind }
 func (c *Controller) isOrigin(e *endpoint) bool { return e.Kind == c.settings.OriginKind }
@@ -83,31 +83,31 @@
 
 // ---- The list ----
 
-// updateEndpoints takes a snapshot or a delta of the endpoint list.
+// updateEndpoints applies a snapshot or a delta of the endpoint list.
 func (c *Controller) updateEndpoints(ev EndpointList) {
 	if ev.Failed {
 		c.refreshEndpoints()
 		return
 	}
-	if ev.Snapshot { // what it lacks is gone; entries stay while results from them are owed
+	if ev.Snapshot { // missing endpoints are gone; their entries stay while attempts are in flight
 		for _, e := range c.endpoints {
 			e.State = Gone
-			e.advertised = Gone
+			e.listedState = Gone
 		}
 	}
 	for _, listed := range ev.Endpoints {
 		c.updateEndpoint(listed)
 	}
 	for _, e := range c.endpoints {
-		if e.unused() {
+		if e.removable() {
 			c.removeFromSets(e)
 		}
 	}
-	c.endpoints = slices.DeleteFunc(c.endpoints, (*endpoint).unused)
+	c.endpoints = slices.DeleteFunc(c.endpoints, (*endpoint).removable)
 	c.dispatch()
 }
 
-// updateEndpoint takes one entry of the list.
+// updateEndpoint applies one entry of the list.
 func (c *Controller) updateEndpoint(listed Endpoint) {
 	if !(listed.Weight > 0) || math.IsInf(listed.Weight, 0) {
 		listed.Weight = defaultWeight
@@ -120,26 +120,26 @@
 	if known && listed.StartedAt > e.StartedAt {
 		e.resetHealth()
 	}
-	if listed.StartedAt <= e.excludedAt { // the list may not know yet that it was restarted while excluded
+	if listed.StartedAt <= e.excludedAt { // the list may not yet show a restart during the exclusion
 		listed.StartedAt = max(listed.StartedAt, e.readmittedAt)
 	}
 	e.Endpoint = listed
-	e.advertised = listed.State
+	e.listedState = listed.State
 	c.rememberID(listed.ID)
 	c.updateState(e)
-	c.place(e)
+	c.updatePlacement(e)
 }
 
-// refreshEndpoints asks for the list where it does not come by itself.
+// refreshEndpoints requests the list, if it is polled and not pushed.
 func (c *Controller) refreshEndpoints() {
 	if c.settings.PollEndpoints {
 		c.emit(RefreshEndpoints{})
 	}
 }
 
-// setExcluded takes the operators' word that an endpoint is excluded or readmitted. A readmitted one was
-// restarted meanwhile: its faults are forgotten, and it is in slow start. The list's word counts again from
-// then on.
+// setExcluded excludes or readmits an endpoint on behalf of the operators. A readmitted endpoint was
+// restarted in the meantime: its failures are cleared, and it is in slow start. From then on its listed
+// state counts again.
 func (c *Controller) setExcluded(ev Excluded) {
 	_, wasExcluded := c.excluded[ev.Endpoint]
 	if ev.On {
@@ -155,17 +155,17 @@
 		e.excludedAt = c.now
 	} else {
 		e.resetHealth()
-		e.StartedAt = max(c.now, 1) // 0 would be long ago
+		e.StartedAt = max(c.now, 1) // 0 means long ago
 		e.readmittedAt = c.now
 	}
 	c.updateState(e)
-	c.place(e)
+	c.updatePlacement(e)
 	c.dispatch()
 }
 
 // updateState sets the effective state of an endpoint.
 func (c *Controller) updateState(e *endpoint) {
-	e.State = e.advertised
+	e.State = e.listedState
 	if _, excluded := c.excluded[e.ID]; excluded && e.State == Ready {
 		e.State = Draining
 	}
@@ -173,14 +173,14 @@
 
 // ---- Look-ups ----
 
-// search returns the index of an endpoint, or the one at which it would be inserted and false.
+// search returns the index of an endpoint and true, or the index at which to insert it and false.
 func (c *Controller) search(id EndpointID) (int, bool) {
 	return slices.BinarySearchFunc(c.endpoints, id, func(e *endpoint, id EndpointID) int {
 		return cmp.Compare(e.ID, id)
 	})
 }
 
-// endpoint returns an endpoint by its id, nil if it is unknown.
+// endpoint returns the endpoint with this id, or nil if it is unknown.
 func (c *Controller) endpoint(id EndpointID) *endpoint {
 	if i, ok := c.search(id); ok {
 		return c.endpoints[i]
@@ -188,8 +188,7 @@
 	return nil
 }
 
-// WasListed reports whether the list has named an endpoint, now or not too long ago, or the operators
-// exclude it.
+// WasListed reports whether the endpoint is or recently was in the list, or is excluded by the operators.
 func (c *Controller) WasListed(id EndpointID) bool {
 	_, recently := c.knownIDs[0][id]
 	_, before := c.knownIDs[1][id]
@@ -197,8 +196,8 @@
 	return recently || before || excluded
 }
 
-// rememberID remembers that an id was listed. Two generations bound the memory; the ids of present
-// endpoints are carried over.
+// rememberID records that an id was listed. Two generations bound the memory; the ids of all current
+// endpoints are copied into the new generation.
 func (c *Controller) rememberID(id EndpointID) {
 	if len(c.knownIDs[0]) >= maxKnownIDs {
 		c.knownIDs[1] = c.knownIDs[0]
@@ -210,7 +209,7 @@
 	c.knownIDs[0][id] = struct{}{}
 }
 
-// hubOf returns the hub zone of a zone, -1 if it has none.
+// hubOf returns the hub zone of a zone, or -1 if it has none.
 func (c *Controller) hubOf(zone int) int {
 	if zone >= 0 && zone < len(c.settings.HubOfZone) {
 		return c.settings.HubOfZone[zone]
@@ -218,7 +217,7 @@
 	return -1
 }
 
-// readyOrigin returns the ready origin with the lowest id, nil if there is none.
+// readyOrigin returns the ready origin with the lowest id, or nil if there is none.
 func (c *Controller) readyOrigin() *endpoint {
 	for _, e := range c.origins {
 		if e.State == Ready {
@@ -228,7 +227,7 @@
 	return nil
 }
 
-// rebuildOrigins lists the origins in the order of their ids.
+// rebuildOrigins rebuilds the list of origins, sorted by id.
 func (c *Controller) rebuildOrigins() {
 	c.origins = c.origins[:0]
 	for _, e := range c.endpoints {
@@ -238,10 +237,10 @@
 	}
 }
 
-// ---- Who may be sent a request ----
+// ---- Permission to send ----
 
-// permitted reports whether a request may go to a target (nil: the source alone is asked) and have its
-// source there: none that drains or has gone, and none beyond its slow-start budget.
+// permitted reports whether a request may be sent to target with this source: both must be ready and within
+// their slow-start budgets. A nil target means that the request goes directly to the source.
 func (c *Controller) permitted(r *request, target, source *endpoint) bool {
 	if target != nil {
 		if target.State != Ready || !c.withinSlowStartBudget(target, c.meanTransfer[r.Class]) {
@@ -254,7 +253,7 @@
 	return source.State == Ready && c.withinSlowStartBudget(source, r.transferTime.Seconds())
 }
 
-// processesInZone returns the number of gateway processes in this gateway's zone, which use the same
+// processesInZone returns the number of gateway processes in this gateway's zone. They share the same
 // caches.
 func (c *Controller) processesInZone() int {
 	if c.settings.Zone < len(c.settings.GatewaysByZone) {
@@ -263,8 +262,8 @@
 	return c.processes
 }
 
-// processesSendingTo returns the number of gateway processes that may send to an endpoint, if every gateway
-// is made up of as many as this one.
+// processesSendingTo returns the number of gateway processes that may send to an endpoint, assuming that
+// every gateway has as many processes as this one.
 func (c *Controller) processesSendingTo(e *endpoint) int {
 	if !c.isParent(e) && e.Zone < len(c.settings.GatewaysByZone) {
 		return max(1, c.settings.GatewaysByZone[e.Zone]) * c.processes
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// While a store is out nothing goes there, as target, source or health check, whatever the list says meanwhile; calls may
-// come twice. After the call back it is used again within seconds, its old faults forgotten, and no faster than a
-// cold one may be: it was restarted, and the list may not know yet.
-func TestExcludedWhateverTheListSays(t *testing.T) {
+// While an endpoint is excluded nothing is sent to it, as target, source or health check, whatever its listed state.
+// Commands may be repeated. After its readmission it is used again within seconds, its failures are cleared, and it
+// is in slow start: it was restarted, and the list may not show this yet.
+func TestExcludedEndpointIsUnusedInAnyListedState(t *testing.T) {
 	set := testSettings()
 	set.CanCheckHealth = true
-	for _, out := range []EndpointID{10, parentID} {
+	for _, excludedID := range []EndpointID{10, parentID} {
 		h := newHarness(t, set, testEndpoints())
 		id := RequestID(0)
 		uses := func(d time.Duration) (n int) {
@@ -19,7 +19,7 @@
 				id++
 				h.request(Request{ID: id, Object: ObjectID(id % 50), SizeKB: 300, Remaining: time.Second})
 				for i, s := range h.attempts[id] {
-					if s.To == out || s.Source == out {
+					if s.To == excludedID || s.Source == excludedID {
 						n++
 					}
 					if !s.ended {
@@ -30,38 +30,38 @@
 			return n
 		}
 		if uses(2*time.Second) == 0 {
-			t.Fatalf("member %d is not used at all", out)
+			t.Fatalf("endpoint %d is not used at all", excludedID)
 		}
-		h.handle(Excluded{Endpoint: out, On: true})
-		h.handle(Excluded{Endpoint: out, On: true})
-		h.notReady[out] = h.now - time.Hour // the book holds the rule on drains to it
-		m := h.endpoints[out]
+		h.handle(Excluded{Endpoint: excludedID, On: true})
+		h.handle(Excluded{Endpoint: excludedID, On: true})
+		h.notReady[excludedID] = h.now - time.Hour // makes the harness check the drain rule
+		m := h.endpoints[excludedID]
 		for _, state := range []State{Ready, Draining, Gone, Ready} {
 			m.State = state
 			if h.handle(EndpointList{Endpoints: []Endpoint{m}}); uses(300*ms) > 0 {
-				t.Errorf("member %d is used while it is out, listed as %d", out, state)
+				t.Errorf("endpoint %d is used while it is excluded, listed as %d", excludedID, state)
 			}
 		}
-		if !h.controller.WasListed(out) || h.controller.WasListed(4242) {
-			t.Error("what was listed is not remembered")
+		if !h.controller.WasListed(excludedID) || h.controller.WasListed(4242) {
+			t.Error("WasListed does not match the list")
 		}
-		if i, ok := h.controller.search(out); ok { // faults of its restart
+		if i, ok := h.controller.search(excludedID); ok { // failures caused by its restart
 			for range maxConsecutiveErrors {
 				h.controller.endpoints[i].eject(h.now + time.Hour)
 			}
 		}
-		h.handle(Excluded{Endpoint: out})
-		h.handle(Excluded{Endpoint: out})
-		delete(h.notReady, out)
-		m.StartedAt = h.now // coldWork of the book checks the budget from here on
-		h.endpoints[out] = m
+		h.handle(Excluded{Endpoint: excludedID})
+		h.handle(Excluded{Endpoint: excludedID})
+		delete(h.notReady, excludedID)
+		m.StartedAt = h.now // the harness checks the slow-start budget from here on
+		h.endpoints[excludedID] = m
 		if uses(3*time.Second) == 0 {
-			t.Errorf("member %d is left unused after the call back", out)
+			t.Errorf("endpoint %d is not used after its readmission", excludedID)
 		}
 	}
 }
 
-// The ids that were listed are remembered within a bound, those of present endpoints for good.
+// The number of listed ids that are kept is bounded; those of current endpoints are always kept.
 func TestKnownIDsAreBounded(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints())
 	for i := range 4 * maxKnownIDs {
@@ -72,8 +72,8 @@
 	}
 }
 
-// A drain is obeyed at once, as target and as source.
-func TestDrainAsTargetAndSource(t *testing.T) {
+// A draining endpoint is used neither as target nor as source, with immediate effect.
+func TestDrainingEndpointIsNeitherTargetNorSource(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints())
 	for _, id := range []EndpointID{10, 11, parentID} {
 		m := h.endpoints[id]
@@ -93,7 +93,7 @@
 	}
 }
 
-// No ready cache, no parent, no origin: every request still has its answer, and none is sent wrongly.
+// With no ready cache, parent or origin every request still gets a response, and none is sent to a wrong endpoint.
 func TestMissingTiers(t *testing.T) {
 	all := testEndpoints()
 	for name, list := range map[string][]Endpoint{
@@ -107,7 +107,7 @@
 		h.advance(2 * time.Second)
 		for id := range h.requests {
 			if !h.answered[id] {
-				t.Errorf("%s: request %d has no answer", name, id)
+				t.Errorf("%s: request %d has no response", name, id)
 			}
 		}
 	}
--- a/control/estimators_test.go
+++ b/control/estimators_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A trend tells the slope whatever the offset, and follows when it changes; without spread it tells nothing.
+// The slope is found whatever the offset, and follows a change. Samples without spread give slope 1.
 func TestLineEstimator(t *testing.T) {
 	var l lineEstimator
 	for _, want := range []float64{1, 2.5, 1} {
@@ -23,11 +23,12 @@
 		flat.observe(0.1, 0.4)
 	}
 	if got := flat.slope(); got != 1 {
-		t.Errorf("slope %v of samples at one place", got)
+		t.Errorf("slope %v of samples with the same x", got)
 	}
 }
 
-// Where sizes are not told, a part's transfer time is the least that it took; where they are, it is what they say.
+// If sizes are unknown, the transfer time of a part is the shortest one observed; otherwise it follows from the
+// size.
 func TestTransferTimesAreLearned(t *testing.T) {
 	for _, x := range []struct {
 		kb   float64
@@ -42,18 +43,18 @@
 		}
 		h.request(Request{ID: 9, Object: 7, SizeKB: x.kb, Remaining: 3 * time.Second})
 		if got := h.controller.requests[9].transferTime; got != x.want {
-			t.Errorf("told %v KB: sending takes %v, want %v", x.kb, got, x.want)
+			t.Errorf("size %v KB: transfer time %v, want %v", x.kb, got, x.want)
 		}
 	}
 }
 
-// Where an answer's bytes tell its size, that is the part's transfer time, not how long it took.
-func TestSizeTellsTheTransferTime(t *testing.T) {
+// If the size of a response gives its transfer time, that value is used instead of the measured duration.
+func TestReportedSizeGivesTheTransferTime(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints())
 	h.request(Request{ID: 1, Object: 7, Remaining: 3 * time.Second})
 	h.handle(AttemptResult{ID: 1, Endpoint: h.attempts[1][0].To, Outcome: OK, Note: Hit, Latency: 900 * ms, TransferTime: 250 * ms, RequestClosed: true})
 	h.request(Request{ID: 2, Object: 7, Remaining: 3 * time.Second})
 	if got := h.controller.requests[2].transferTime; got != 250*ms {
-		t.Errorf("sending takes %v, want 250ms", got)
+		t.Errorf("transfer time %v, want 250ms", got)
 	}
 }
--- a/control/events.go
+++ b/control/events.go
@@ -1,33 +1,33 @@
 package control
 
-// Events: what the host tells the module.
+// Events: what the host reports to the module.
 
 import (
 	"time"
 )
 
 type (
-	// RequestID names a client's request; it never comes twice.
+	// RequestID identifies a client's request and is never reused.
 	RequestID uint64
-	// EndpointID names a cache, a parent or the origin.
+	// EndpointID identifies a cache, a parent or the origin.
 	EndpointID uint32
-	// ObjectID names an object; all its parts share it. Zero is "no object".
+	// ObjectID identifies an object; all its parts share it. Zero means "no object".
 	ObjectID uint64
 )
 
-// Event is something that happened; see the types below.
+// Event is an occurrence that the host reports; see the types below.
 type Event interface{ event() }
 
-// Request is a client's request, now owed one final answer.
+// Request is a new client request. It must get exactly one final response.
 type Request struct {
 	ID            RequestID
 	Class         int
 	Object        ObjectID
 	Part          uint32
 	ObjectGroup   uint16
-	SizeKB        float64       // of the response; 0: not told
-	ClientHasCopy bool          // a copy that may be current, in which case few bytes are sent
-	Remaining     time.Duration // until the client gives up
+	SizeKB        float64       // size of the response; 0: unknown
+	ClientHasCopy bool          // the client has a copy; if it is current, few bytes are sent
+	Remaining     time.Duration // time until the client's deadline
 	Retry         bool          // the client has marked it as a retry
 	Write         bool
 }
@@ -36,36 +36,36 @@
 type Outcome uint8
 
 // The outcomes. Overloaded, ConnectFailed, NotSent, LocalFailure and Miss prove that the request did not
-// run. LocalFailure is a system call that failed on the gateway's own host, such as for want of
-// descriptors: it says nothing about the endpoint.
+// run. LocalFailure is a failed system call on the gateway's own host, such as for lack of file descriptors.
+// It carries no information about the endpoint.
 const (
 	OK             Outcome = iota
-	Miss                   // a cache lacks the object and was not to fill it
+	Miss                   // the cache lacks the object and was not allowed to fill it
 	ServerError            // an error response
-	Overloaded             // the endpoint has shed the request
-	TimedOut               // no answer in time
-	ConnectFailed          // no connection was made
-	ConnectionLost         // the connection broke before the whole response was read
-	Canceled               // by the gateway
-	NotSent                // the send deadline or the request's end came first
-	LocalFailure           // the gateway's own host failed
+	Overloaded             // the endpoint rejected the request because of overload
+	TimedOut               // no response within the timeout
+	ConnectFailed          // no connection could be established
+	ConnectionLost         // the connection was lost before the complete response was read
+	Canceled               // the gateway canceled the attempt
+	NotSent                // the send deadline passed or the request ended before it was sent
+	LocalFailure           // a system call failed on the gateway's own host
 )
 
-// Note says how an answer came about, where the endpoint tells.
+// Note describes how a response was produced, if the endpoint reports it.
 type Note uint8
 
 // The notes.
 const (
 	NoNote         Note = iota
-	Hit                 // answered from the cache
-	Filled              // by the source, from its cache
-	FilledByOrigin      // by way of the origin
-	Joined              // with a fill that was in flight for another request
-	StaleCopy           // answered from a stale copy
+	Hit                 // served from the cache
+	Filled              // filled from the source, which had it cached
+	FilledByOrigin      // filled from the origin, directly or through a parent
+	Joined              // joined a fill in flight for another request
+	StaleCopy           // served from a stale copy
 	SourceRefused       // the source was overloaded
-	SourceLost          // the source did not answer
+	SourceLost          // the source did not respond
 	SourceLacks         // the source lacks the object
-	NoPlace             // the cache found no place for the object
+	NoPlace             // the cache had no space for the object
 	OriginFailed        // the origin failed
 )
 
@@ -77,7 +77,7 @@
 		"source-lost", "source-lacks", "no-place", "origin-failed"}
 )
 
-// String returns the outcome's name in logs and reports.
+// String returns the name of the outcome in logs and reports.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -85,7 +85,7 @@
 	return "result?"
 }
 
-// String returns the note's name in logs and reports; "" for none.
+// String returns the name of the note in logs and reports, or "" for NoNote.
 func (n Note) String() string {
 	if int(n) < len(noteNames) {
 		return noteNames[n]
@@ -93,15 +93,15 @@
 	return "note?"
 }
 
-// LoadReport is an endpoint's own report; a value that it lacks is negative.
+// LoadReport is a load report of an endpoint. Values that are not reported are negative.
 type LoadReport struct {
-	InFlight        float64 // requests in flight there
-	Utilization     float64 // share of its cores in use
-	HitRate         float64 // share of hits lately
+	InFlight        float64 // requests in flight at the endpoint
+	Utilization     float64 // CPU utilization, as a share of its cores
+	HitRate         float64 // recent cache hit rate
 	LinkUtilization float64 // of a cache: utilization of its location's link; of a parent: its fills in flight
 }
 
-// AttemptResult ends an attempt; every attempt gets exactly one.
+// AttemptResult reports the end of an attempt. Every attempt gets exactly one.
 type AttemptResult struct {
 	ID            RequestID
 	Attempt       int
@@ -109,13 +109,13 @@
 	Outcome       Outcome
 	Note          Note
 	Latency       time.Duration
-	TransferTime  time.Duration // of the response at a client's pace; 0: not told
-	FirstByte     time.Duration // of a fill: time to the source's first byte or to its failure; 0: not told
-	RequestClosed bool          // the request has its final answer
+	TransferTime  time.Duration // of the response at a client's pace; 0: unknown
+	FirstByte     time.Duration // of a fill: time to the source's first byte or failure; 0: unknown
+	RequestClosed bool          // the final response was sent
 	Load          *LoadReport
 }
 
-// HealthCheckResult is the result of one health check.
+// HealthCheckResult reports the result of one health check.
 type HealthCheckResult struct {
 	Endpoint EndpointID
 	Outcome  Outcome
@@ -123,34 +123,34 @@
 	Load     *LoadReport
 }
 
-// ClientGone says that a client has gone: no answer is owed any more.
+// ClientGone reports that a client has disconnected: no response is needed any more.
 type ClientGone struct{ ID RequestID }
 
-// ResponseStarted says that a streamed response has begun: no other attempt may answer the request.
+// ResponseStarted reports that a streamed response has begun: no other attempt may serve the request.
 type ResponseStarted struct {
 	ID      RequestID
 	Attempt int
 }
 
-// TimerFired says that a timer is due.
+// TimerFired reports that a timer has expired.
 type TimerFired struct{ Token uint64 }
 
-// Purged says that an object, or with no object a whole group, was purged at the origin the time Ago
-// before.
+// Purged reports that an object, or without an object a whole group, was purged at the origin, the duration
+// Ago before the event.
 type Purged struct {
 	Object ObjectID
 	Group  uint16
 	Ago    time.Duration
 }
 
-// State is that of an endpoint, as the list has it.
+// State is the state of an endpoint in the list.
 type State uint8
 
 // The states of an endpoint.
 const (
-	Gone     State = iota // it is sent nothing
-	Ready                 // it takes requests
-	Draining              // it finishes what it has and is sent nothing new
+	Gone     State = iota // it receives nothing
+	Ready                 // it accepts requests
+	Draining              // it finishes its requests and receives no new ones
 )
 
 // Endpoint is one entry of the endpoint list.
@@ -159,27 +159,27 @@
 	Cell      int
 	Zone      int
 	Kind      int
-	Weight    float64 // transfers at a client's pace that its link carries
+	Weight    float64 // number of transfers at a client's pace that its link can carry
 	State     State
 	StartedAt time.Duration // clock time of its last start; 0: long ago
 }
 
-// EndpointList is what service discovery knows: a snapshot, which replaces the list, or a delta, which
-// changes it.
+// EndpointList is an update from service discovery: a snapshot, which replaces the list, or a delta, which
+// changes entries of it.
 type EndpointList struct {
 	Snapshot  bool
-	Failed    bool // the list could not be had; the old one stands
+	Failed    bool // the list could not be read; the previous one stays valid
 	Endpoints []Endpoint
 }
 
-// Excluded is the operators' order that nothing more is sent to an endpoint, whatever the list says, or
-// with On false that it may serve again.
+// Excluded is an operators' command: with On, the endpoint receives nothing whatever its listed state;
+// without On, it may serve again.
 type Excluded struct {
 	Endpoint EndpointID
 	On       bool
 }
 
-// ProcessCount says how many processes make up this gateway at present: they share what one gateway may
+// ProcessCount is the current number of processes of this gateway. They share the load that one gateway may
 // send.
 type ProcessCount struct{ Processes int }
 
--- a/control/fair_queue.go
+++ b/control/fair_queue.go
@@ -1,11 +1,11 @@
 package control
 
-// Fair queue: which waiting request is sent next (FQRS, "RFQ", paper 3.2).
+// Fair queue: which queued request is sent next (FQRS, "RFQ", paper 3.2).
 //
-// Each class of requests has a queue and an accumulated cost, ACC: the bytes of its fills over its weight.
-// The next request is the first of the class with the least ACC (eq. 1). A class whose queue was empty
-// starts at the least ACC of the other classes, and never below its own: it saves up no credit while idle
-// (eq. 2, 3).
+// Each class of requests has a queue and an accumulated cost, ACC: the bytes of its fills divided by its
+// weight. The next request is the first of the class with the lowest ACC (eq. 1). A class whose queue was
+// empty starts at the lowest ACC of the other classes, but never below its own previous ACC, so it
+// accumulates no credit while idle (eq. 2, 3).
 
 import (
 	"math"
@@ -17,10 +17,10 @@
 	classes []classQueue
 }
 
-// classQueue holds the waiting requests of one class, in the order of their arrival.
+// classQueue holds the queued requests of one class, in the order of arrival.
 type classQueue struct {
 	waiting []*request
-	acc     float64 // ACC: filled bytes over weight
+	acc     float64 // ACC: filled bytes divided by weight
 	weight  float64
 }
 
@@ -36,7 +36,7 @@
 func (q *fairQueue) push(r *request) {
 	class := &q.classes[r.Class]
 	if len(class.waiting) == 0 {
-		if least := q.leastOtherACC(r.Class); !math.IsInf(least, 1) {
+		if least := q.minOtherACC(r.Class); !math.IsInf(least, 1) {
 			class.acc = max(class.acc, least)
 		}
 	}
@@ -44,8 +44,8 @@
 	r.queued = true
 }
 
-// leastOtherACC returns the least ACC of the other classes, infinity if there are none.
-func (q *fairQueue) leastOtherACC(class int) float64 {
+// minOtherACC returns the lowest ACC of the other classes, or infinity if there are none.
+func (q *fairQueue) minOtherACC(class int) float64 {
 	least := math.Inf(1)
 	for i := range q.classes {
 		if i != class {
@@ -55,7 +55,7 @@
 	return least
 }
 
-// remove takes a request out of the queue, if it is there.
+// remove removes a request from the queue, if it is queued.
 func (q *fairQueue) remove(r *request) {
 	if !r.queued {
 		return
@@ -70,8 +70,8 @@
 	q.classes[class].acc += bytes / q.classes[class].weight
 }
 
-// head returns the next request: of the class with the least ACC, behind the ones of each class that were
-// skipped. It returns nil if all were.
+// head returns the next request: of the class with the lowest ACC, the first one after those of the class
+// that were skipped. It returns nil if all were skipped.
 func (q *fairQueue) head(skipped []int) *request {
 	var next *request
 	least := math.Inf(1)
@@ -85,10 +85,11 @@
 	return next
 }
 
-// backlog returns the transfer time of all waiting requests, in seconds, and the least valuable of them:
-// with the lowest priority weight per transfer time, the latest of equals. A request counts there for no
-// longer than meanTransfer of its class, also in seconds: else all large ones would be rejected before
-// others of their class, and their clients would see nothing but rejections.
+// backlog returns the total transfer time of all queued requests, in seconds, and the least valuable
+// request: the one with the lowest priority weight per transfer time, and the latest of equals. For this
+// comparison the transfer time of a request is capped at the mean of its class (meanTransfer, in seconds).
+// Without the cap all large requests would be rejected before the others of their class, and their clients
+// would get nothing but rejections.
 func (q *fairQueue) backlog(meanTransfer []float64) (seconds float64, leastValuable *request) {
 	leastValue := math.Inf(1)
 	for i := range q.classes {
@@ -105,8 +106,8 @@
 	return seconds, leastValuable
 }
 
-// dispatch sends the waiting requests that may be sent, least ACC first. A request whose own cache is full
-// is skipped, so that it does not hold up those for other caches.
+// dispatch sends the queued requests that may be sent, lowest ACC first. A request whose own cache is full
+// is skipped, so that it does not block requests for other caches.
 func (c *Controller) dispatch() {
 	skipped := make([]int, len(c.settings.Classes))
 	for r := c.queue.head(skipped); r != nil; r = c.queue.head(skipped) {
--- a/control/fair_queue_test.go
+++ b/control/fair_queue_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// The worked example of the paper's 3.4.1: weights 4:2:1, three outstanding answers.
+// The worked example of the paper's 3.4.1: weights 4:2:1, three outstanding responses.
 func TestLeastACCIsSentFirst(t *testing.T) {
 	var q fairQueue
 	for _, w := range []float64{4, 2, 1} {
@@ -28,8 +28,9 @@
 	}
 }
 
-// The example of 3.4.2, and equation 2: a reviving class rises to the least other ACC, never falls.
-func TestRevivingClass(t *testing.T) {
+// The example of 3.4.2, and equation 2: a class that was idle rises to the lowest ACC of the others, and never
+// falls.
+func TestClassAfterIdlePeriod(t *testing.T) {
 	var q fairQueue
 	for range 4 {
 		q.addClass(1)
@@ -39,20 +40,20 @@
 	}
 	q.push(&request{Request: Request{Class: 3}})
 	if got := q.classes[3].acc; got != 5 {
-		t.Errorf("ACC of the reviving class is %v, want 5", got)
+		t.Errorf("ACC of the class after its idle period is %v, want 5", got)
 	}
 	q.classes[0].acc = 30
 	q.push(&request{Request: Request{Class: 0}})
 	if got := q.classes[0].acc; got != 30 {
 		t.Errorf("ACC fell to %v", got)
 	}
-	// A second request of a class with backlog moves nothing.
+	// A second request of a class with a backlog does not change its ACC.
 	q.classes[1].acc, q.classes[2].acc = 50, 60
 	q.push(&request{Request: Request{Class: 3}})
 	if got := q.classes[3].acc; got != 5 {
-		t.Errorf("ACC of a backlogged class moved to %v", got)
+		t.Errorf("ACC of a class with a backlog changed to %v", got)
 	}
-	// A class that alone has traffic keeps its ACC as there is nothing to rise to.
+	// The only class keeps its ACC, as there is no other ACC to rise to.
 	var one fairQueue
 	one.addClass(1)
 	one.charge(0, 7)
--- a/control/fill_source_test.go
+++ b/control/fill_source_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// While fills by way of the origin are late, or a group has just been purged, the hubs' parents are one pool, so the
-// origin is asked for an object once; and each late fill takes one off the window (kcf-branch-cache-later, big-2).
+// While fills from the origin are late, or after the purge of a group, the hubs pool their parents, so that the
+// origin is asked for an object once. Each late fill shrinks the window by one (kcf-branch-cache-later, big-2).
 func TestOriginCongestionPoolsParents(t *testing.T) {
 	c, err := New(testSettings(), 3)
 	if err != nil {
@@ -35,7 +35,7 @@
 		return k
 	}
 	if k := other(100*ms, 40); k != 0 {
-		t.Errorf("%d of 40 fills came from the other hub while all is well", k)
+		t.Errorf("%d of 40 fills came from the other hub without origin congestion", k)
 	}
 	c.window.max = 20
 	other(time.Second, 10)
@@ -43,11 +43,11 @@
 		t.Errorf("after ten late fills the window is %d, from 20", c.window.max)
 	}
 	if k := other(100*ms, 10); k == 0 {
-		t.Error("no fill came from the other hub while the origin is late")
+		t.Error("no fill came from the other hub while the origin is slow")
 	}
 	other(100*ms, 60)
 	if k := other(100*ms, 40); k != 0 {
-		t.Errorf("%d of 40 fills came from the other hub after the origin was well again", k)
+		t.Errorf("%d of 40 fills came from the other hub after the origin recovered", k)
 	}
 	c.Handle(now, Purged{Group: 3}, nil)
 	if k := other(100*ms, 10); k == 0 {
--- a/control/fill_window.go
+++ b/control/fill_window.go
@@ -2,40 +2,41 @@
 
 // Fill window: when a fill may start (FQRS, "WRC", paper 3.3).
 //
-// All fills of a location share one link. The window bounds how many this gateway has in flight: W of Wmax.
-// After every F x Wmax completed fills a full window moves by the utilization U of the link (eq. 4): it
-// doubles in fast start, then grows by one below Umax and shrinks by one above it. Caches report U, or it
-// is estimated from this gateway's own fills. Beside the paper, late fills close the window: the link then
-// has capacity only because the sources are slow.
+// All fills of a location share one link. The window limits the number of fills that this gateway has in
+// flight: W of at most Wmax. After every F x Wmax completed fills, a full window is adjusted by the
+// utilization U of the link (eq. 4): Wmax doubles in fast start, and later grows by one if U is below Umax
+// and shrinks by one if it is above. U is reported by caches, or estimated from this gateway's own fills. In
+// addition to the paper, late fills close the window: if the link has capacity then, it is only because the
+// sources are slow.
 
 import (
 	"slices"
 )
 
 const (
-	fillsPerWindowStep = 4    // F: the paper (4.5) finds 4 to 8 best
-	fullUtilization    = 1.1  // Umax: U counts transfers here and may pass 1, which the byte rate of 4.5 can not
-	lateFillRatio      = 4    // one late fill in so many closes the window beyond Wmax
-	lostFillObjectives = 2    // a fill that takes so many times its latency objective is lost, not late
-	minTransferSeconds = 1e-3 // the least that a transfer counts for
+	fillsPerWindowStep = 4    // F: 4 to 8 is best by the paper (4.5)
+	fullUtilization    = 1.1  // Umax: U counts transfers, so unlike the byte rate in 4.5 it may exceed 1
+	lateFillRatio      = 4    // one late fill in this many keeps the window from exceeding Wmax
+	lostFillObjectives = 2    // a fill that takes this multiple of its latency objective is lost, not late
+	minTransferSeconds = 1e-3 // minimum duration that a transfer counts for
 
-	unknownUtilization = -1 // of a link that may not be taken to have capacity
+	unknownUtilization = -1 // no capacity may be assumed beyond Wmax
 )
 
-// fillWindow bounds the fills in flight.
+// fillWindow limits the number of fills in flight.
 type fillWindow struct {
 	inFlight  int  // W
 	max       int  // Wmax
-	fastStart bool // Wmax doubles until the link is half used
-	completed int  // fills completed in this interval
+	fastStart bool // Wmax doubles until U reaches half of Umax
+	completed int  // fills completed in the current interval
 }
 
-// linkMeter is what is known of the location's link for fills.
+// linkMeter holds the measurements of the location's link for fills.
 type linkMeter struct {
-	reported    bool          // caches report its utilization with their answers
-	utilization float64       // as they last did
+	reported    bool          // caches report its utilization with their responses
+	utilization float64       // the last reported utilization
 	capacity    float64       // transfers at a client's pace that it carries, by the settings; 0: unknown
-	fillTimes   lineEstimator // latency of fills over their transfer time, in seconds
+	fillTimes   lineEstimator // latency of fills as a function of their transfer time, in seconds
 }
 
 // admits reports whether a fill may start: a slot is free, or the link is known to have capacity.
@@ -43,9 +44,9 @@
 	return w.inFlight < w.max || utilization >= 0 && utilization < fullUtilization
 }
 
-// giveBackSlot returns a slot. A completed fill counts toward the interval at whose end a full window moves
-// (eq. 4).
-func (w *fillWindow) giveBackSlot(filled bool, utilization float64) {
+// release frees a slot. A completed fill counts toward the interval at the end of which a full window
+// is adjusted (eq. 4).
+func (w *fillWindow) release(filled bool, utilization float64) {
 	full := w.inFlight >= w.max
 	w.inFlight--
 	if !filled {
@@ -60,12 +61,12 @@
 		w.fastStart = false
 	}
 	if full && utilization >= 0 {
-		w.move(utilization)
+		w.adjust(utilization)
 	}
 }
 
-// move changes Wmax by the utilization of the link (eq. 4).
-func (w *fillWindow) move(utilization float64) {
+// adjust changes Wmax by the utilization of the link (eq. 4).
+func (w *fillWindow) adjust(utilization float64) {
 	switch {
 	case w.fastStart:
 		w.max *= 2
@@ -76,11 +77,11 @@
 	}
 }
 
-// shrink lowers Wmax by one, to no less than one.
+// shrink decreases Wmax by one, but not below one.
 func (w *fillWindow) shrink() { w.max = max(1, w.max-1) }
 
-// fillMayStart asks the window. It must have a free slot where fills in flight are late: then the link has
-// capacity only because the sources are slow, and more fills would pile up at those.
+// fillMayStart reports whether a fill may start. While fills in flight are late, a slot must be free: the
+// link has capacity then only because the sources are slow, and more fills would pile up at them.
 func (c *Controller) fillMayStart() bool {
 	if c.fillsRunLate() {
 		return c.window.admits(unknownUtilization)
@@ -88,8 +89,8 @@
 	return c.window.admits(c.linkUtilization())
 }
 
-// fillEnded returns the slot of a fill. One that was late or failed while fills pile up behind the link
-// lowers the window, as a whole interval above Umax does.
+// fillEnded frees the slot of a fill. A fill that was late or failed while fills pile up behind the link
+// shrinks the window, as a full interval above Umax does.
 func (c *Controller) fillEnded(r *request, a *attempt, ev AttemptResult, filled bool) {
 	if ev.Outcome == OK && !r.missConfirmed && c.isCache(a.target) {
 		c.missShare += meanGain * (indicator(filled) - c.missShare)
@@ -97,7 +98,7 @@
 	notLost := ev.Outcome == OK && c.now > a.sentAt+lostFillObjectives*r.latencyObjective()
 	congested := c.fillsRunLate() || notLost
 	c.removeFill(a)
-	c.window.giveBackSlot(filled, c.linkUtilization())
+	c.window.release(filled, c.linkUtilization())
 	late := c.now > a.sentAt+r.latencyObjective() && ev.Outcome != LocalFailure
 	failed := ev.Note == SourceRefused || ev.Note == OriginFailed
 	if congested && (late || failed) {
@@ -105,8 +106,9 @@
 	}
 }
 
-// releaseSlot takes an attempt at a silent cache out of the window. It brings no bytes through the link: if
-// kept, a few of them would look like slow sources and hold up the fills of every live cache.
+// releaseSlot removes an attempt at an unresponsive cache from the window. It transfers no bytes over the
+// link: if it kept its slot, a few such attempts would look like slow sources and block the fills of all
+// responsive caches.
 func (c *Controller) releaseSlot(a *attempt) {
 	if !a.holdsSlot {
 		return
@@ -116,12 +118,13 @@
 	c.window.inFlight--
 }
 
-// removeFill takes an attempt off the list of fills that hold a slot.
+// removeFill removes an attempt from the list of fills that hold a slot.
 func (c *Controller) removeFill(a *attempt) {
 	c.fillsInFlight = slices.DeleteFunc(c.fillsInFlight, func(other *attempt) bool { return other == a })
 }
 
-// fillsRunLate reports whether enough fills in flight are past their latency objective to close the window.
+// fillsRunLate reports whether enough fills in flight have exceeded their latency objective to close the
+// window.
 func (c *Controller) fillsRunLate() bool {
 	if c.lateCountedAt != c.now {
 		c.countLateFills()
@@ -129,9 +132,9 @@
 	return c.lateFills > 0 && lateFillRatio*c.lateFills >= c.countedFills
 }
 
-// countLateFills counts the fills in flight and those of them past their latency objective. It leaves out
-// the ones that tell nothing of the link that all fills share: at a cache that is slow itself or loses
-// answers, and so late that they must be lost.
+// countLateFills counts the fills in flight and those of them that have exceeded their latency objective. It
+// leaves out fills that say nothing about the shared link: those at a cache that is slow itself or loses
+// responses, and those that are so late that they must be lost.
 func (c *Controller) countLateFills() {
 	c.lateCountedAt = c.now
 	c.lateFills = 0
@@ -149,9 +152,9 @@
 	}
 }
 
-// linkUtilization returns U: as caches report it, else this gateway's fills over its part of the link's
-// capacity, as soon as fills are slowed. A fill counts by the part of its time in which bytes come, and by
-// how often it is no hit.
+// linkUtilization returns U: the value that caches report, or, once fills are slowed down, this gateway's
+// fills divided by its share of the link's capacity. A fill is weighted by the fraction of its time in which
+// bytes are transferred, and, unless its miss is confirmed, by the probability that it is not a hit.
 func (c *Controller) linkUtilization() float64 {
 	if c.link.reported || c.link.capacity == 0 || c.link.fillTimes.slope() < fullUtilization {
 		return c.link.utilization
@@ -168,8 +171,8 @@
 	return transfers * c.activeGateways() / c.link.capacity
 }
 
-// activeGateways estimates by how many gateways with as much traffic as this one the location's traffic is
-// sent: this one among them, and no more than there are.
+// activeGateways estimates the number of gateways that carry the location's traffic, if each carries as much
+// as this one. It includes this one and does not exceed the number of gateways that exist.
 func (c *Controller) activeGateways() float64 {
 	gateways := float64(c.processesInZone())
 	own := 1.0
--- a/control/freshness.go
+++ b/control/freshness.go
@@ -1,36 +1,36 @@
 package control
 
-// Freshness: which copies may be served, and where one is known to be.
+// Freshness: which copies may be served, and which cache is known to hold one.
 //
-// After a purge no copy that is older will do; every attempt says how old its copy may be. A cache that has
-// answered with an object is known to hold it for a while, unless the object was purged since or the cache
-// restarted.
+// After a purge no older copy may be served, so every attempt carries the maximum age of a copy. A cache
+// that has served an object is known to hold it for a limited time, unless the object is purged or the cache
+// restarts.
 
 import (
 	"time"
 )
 
 const (
-	holderTTL      = 5 * time.Second       // how long an answer shows that a cache holds the object
-	purgeMargin    = 20 * time.Millisecond // taken off the age of a copy: purges and copies travel
-	purgeRetention = time.Second           // for which a purge is remembered once it is complete
-	minCopyAge     = time.Microsecond      // the least age asked for, as 0 means no limit
-	maxObjects     = 1 << 14               // entries remembered in each of two generations
+	holderTTL      = 5 * time.Second       // how long a cache is assumed to hold an object that it has served
+	purgeMargin    = 20 * time.Millisecond // subtracted from a copy's age, for the delay of purges and copies
+	purgeRetention = time.Second           // how long a purge is kept after its completion
+	minCopyAge     = time.Microsecond      // minimum age in an attempt, as 0 means no limit
+	maxObjects     = 1 << 14               // entries kept in each of two generations
 )
 
-// purge is the last purge of an object or a group.
+// purge is the latest purge of an object or a group.
 type purge struct {
-	at      time.Duration // when it was made at the origin
-	heardAt time.Duration // when this gateway heard of it
+	at         time.Duration // when it took place at the origin
+	notifiedAt time.Duration // when this gateway was notified
 }
 
-// purgeKey names what was purged.
+// purgeKey identifies a purged object or group.
 type purgeKey struct {
 	object ObjectID // 0: the whole group
 	group  uint16
 }
 
-// recordPurge takes a purge and reports whether it is news.
+// recordPurge records a purge and reports whether it is newer than the known one.
 func (c *Controller) recordPurge(ev Purged) bool {
 	key := purgeKey{object: ev.Object}
 	if ev.Object == 0 {
@@ -40,13 +40,12 @@
 	if last, ok := c.purges[key]; ok && at <= last.at {
 		return false
 	}
-	c.purges[key] = purge{at: at, heardAt: c.now}
+	c.purges[key] = purge{at: at, notifiedAt: c.now}
 	c.purgeLog = append(c.purgeLog, key)
 	return true
 }
 
-// latestPurge returns the last purge of the request's object or its group, false if there is none that
-// matters still.
+// latestPurge returns the latest purge of the request's object or its group, or false if none is recorded.
 func (c *Controller) latestPurge(r *request) (purge, bool) {
 	ofObject, objectPurged := c.purges[purgeKey{object: r.Object}]
 	ofGroup, groupPurged := c.purges[purgeKey{group: r.ObjectGroup}]
@@ -56,7 +55,7 @@
 	return ofObject, objectPurged
 }
 
-// expirePurges forgets the purges that all endpoints have completed.
+// expirePurges removes the purges that all endpoints have completed.
 func (c *Controller) expirePurges() {
 	for len(c.purgeLog) > 0 {
 		key := c.purgeLog[0]
@@ -70,7 +69,8 @@
 	}
 }
 
-// maxCopyAge returns the age of the oldest copy that will do for a request; 0: the class's own limit.
+// maxCopyAge returns the maximum age of a copy that may be served for a request; 0: the limit of the class
+// applies.
 func (c *Controller) maxCopyAge(r *request) time.Duration {
 	last, purged := c.latestPurge(r)
 	if !purged {
@@ -83,8 +83,8 @@
 	return age
 }
 
-// OldestCopy returns the age of the oldest copy that will do now for a request in hand; 0: the class's own
-// limit.
+// OldestCopy returns the maximum age of a copy that may be served now for a request that is not finished; 0:
+// the limit of the class applies.
 func (c *Controller) OldestCopy(id RequestID) time.Duration {
 	if r := c.requests[id]; r != nil {
 		return c.maxCopyAge(r)
@@ -92,33 +92,33 @@
 	return 0
 }
 
-// objectKey names an entry of what is remembered of objects.
+// objectKey identifies an entry in the table of objects.
 type objectKey struct {
 	object ObjectID
 	part   uint32
-	demand bool // the entry measures demand; else it tells of copies
+	demand bool // the entry tracks demand; otherwise it tracks copies
 }
 
-// copyKey returns the key of the entry that tells of copies of the requested part.
+// copyKey returns the key of the entry that tracks copies of the requested part.
 func (r *request) copyKey() objectKey { return objectKey{object: r.Object, part: r.Part} }
 
-// demandKey returns the key of the entry that measures the demand for the requested part.
+// demandKey returns the key of the entry that tracks the demand for the requested part.
 func (r *request) demandKey() objectKey {
 	return objectKey{object: r.Object, part: r.Part, demand: true}
 }
 
-// object is what this gateway remembers of a part of an object.
+// object is an entry in the table of objects: the state of one part of an object.
 type object struct {
-	demand       float64       // transfer-seconds asked for lately, fading over demandFadeTime
+	demand       float64       // recently requested transfer-seconds, decaying over demandDecayTime
 	demandAt     time.Duration // when demand was last updated
 	requestCount int
-	holder       EndpointID    // the cache that answered last
+	holder       EndpointID    // the cache that last served it
 	heldAt       time.Duration // when that attempt was sent; -1: no cache is known to hold a copy
 	transferTime time.Duration // the shortest transfer seen; 0: none seen
-	copiedAt     time.Duration // no copy that is older is known to be cached
+	copiedAt     time.Duration // earliest possible creation time of the last filled copy
 }
 
-// objectEntry returns the entry of a key, a new one if there is none. Two generations bound the memory.
+// objectEntry returns the entry of a key and creates it if needed. Two generations bound the memory.
 func (c *Controller) objectEntry(key objectKey) *object {
 	if o := c.objects[0][key]; o != nil {
 		return o
@@ -135,8 +135,8 @@
 	return o
 }
 
-// knownToHold reports whether a recent answer showed that a cache holds the requested part, in a copy that
-// may be served.
+// knownToHold reports whether a recent response showed that a cache holds the requested part, in a copy that
+// may still be served.
 func (c *Controller) knownToHold(r *request, e *endpoint) bool {
 	o := c.objectEntry(r.copyKey())
 	if o.heldAt < 0 || o.holder != e.ID {
@@ -145,7 +145,7 @@
 	if c.now >= o.heldAt+holderTTL || o.heldAt < e.StartedAt {
 		return false
 	}
-	if last, purged := c.latestPurge(r); purged && o.heldAt <= last.heardAt {
+	if last, purged := c.latestPurge(r); purged && o.heldAt <= last.notifiedAt {
 		return false
 	}
 	return r.class.FreshFor == 0 || c.now < o.copiedAt+r.class.FreshFor
--- a/control/layout_test.go
+++ b/control/layout_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// decisionFiles lists the package's source files outside tests that hold decisions: all but the package comment.
+// decisionFiles returns the package's source files that contain code, outside tests: all but doc.go.
 func decisionFiles(t *testing.T) []string {
 	t.Helper()
 	sources, err := filepath.Glob("*.go")
@@ -26,11 +26,11 @@
 	return files
 }
 
-// Decisions are read in a side-by-side view, so no line is wider than that shows.
+// The decision code is read in a side-by-side view, so its lines must not exceed the width of that view.
 func TestDecisionsStaySmall(t *testing.T) {
 	files := decisionFiles(t)
 	if len(files) < 17 {
-		t.Errorf("%d files hold decisions, one for each concern expected: %v", len(files), files)
+		t.Errorf("%d decision files, fewer than one for each concern: %v", len(files), files)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -45,7 +45,7 @@
 	}
 }
 
-// A function has one job, and is read on one screen.
+// A function has one purpose and fits on one screen.
 func TestFunctionsStayShort(t *testing.T) {
 	const maxLines = 50
 	for _, file := range decisionFiles(t) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// The deploy file names the files that hold decisions: all of this package.
+// The deploy file lists all decision files of this package as policy.
 func TestDeployFileNamesDecisionFiles(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/control/load_report.go
+++ b/control/load_report.go
@@ -1,11 +1,11 @@
 package control
 
-// Load reports: what an endpoint's own report and the attempts in flight tell of the capacity of its link.
+// Load reports: how much capacity the link of an endpoint has, by its own report and the attempts in flight.
 //
-// A cache's weight is the number of transfers at a client's pace that its link carries. Beyond that each
-// transfer slows all others, and all end late instead of some being rejected. A report tells how much of
-// the link others use; it is out of date by the time it arrives, so this gateway never takes all that it
-// shows to be free.
+// The weight of a cache is the number of transfers at a client's pace that its link carries. Each transfer
+// beyond that slows down all others, so that all end late instead of some being rejected. A report shows how
+// much of the link is used by others. It is out of date when it arrives, so a gateway never uses all of the
+// capacity that it shows to be free.
 
 import (
 	"cmp"
@@ -15,18 +15,18 @@
 )
 
 const (
-	linkOvercommit          = 1.3             // transfers sent to a cache, over those that its link carries
-	reportTTL               = 2 * time.Second // an older load report tells nothing of the present
-	reportedFullUtilization = 0.75            // a report of less utilization shows capacity
-	lowUseQuotaShare        = 0.5             // part of a link that one gateway may fill by such a report
-	maxQuotaShare           = 0.85            // part of a link that one gateway may fill if the others leave it
-	othersInFlightGain      = 0.5             // weight of a new report in what other gateways have in flight
+	linkOvercommit          = 1.3             // transfers allowed at a cache, per transfer that its link carries
+	reportTTL               = 2 * time.Second // an older load report is ignored
+	reportedFullUtilization = 0.75            // a report of less utilization shows free capacity
+	lowUseQuotaShare        = 0.5             // share of a link that one gateway may use by such a report
+	maxQuotaShare           = 0.85            // share of a link that one gateway may use if the others do not
+	othersInFlightGain      = 0.5             // weight of a new report in othersInFlight
 )
 
-// noLoadReport is the load of an endpoint that has not reported: values that it lacks are negative.
+// noLoadReport is the load of an endpoint that has not reported. Unknown values are negative.
 var noLoadReport = LoadReport{InFlight: -1, Utilization: -1, HitRate: -1, LinkUtilization: -1}
 
-// recordReport takes an endpoint's load report and reports whether there was one.
+// recordReport stores the load report of an endpoint and reports whether there was one.
 func (c *Controller) recordReport(e *endpoint, report *LoadReport) bool {
 	if !e.recordReport(report, c.now) {
 		return false
@@ -44,9 +44,9 @@
 	return true
 }
 
-// recordReport takes a load report and reports whether there was one. Where it lacks the requests in
-// flight, its utilization of the transfers that it can send stands for them; those beyond this gateway's
-// own are of other gateways.
+// recordReport stores a load report and reports whether there was one. If it lacks the requests in flight,
+// they are estimated from the utilization and the weight. Those beyond this gateway's own attempts belong to
+// other gateways.
 func (e *endpoint) recordReport(report *LoadReport, now time.Duration) bool {
 	if report == nil {
 		return false
@@ -63,7 +63,7 @@
 	return true
 }
 
-// reportsCapacity reports whether a recent load report shows capacity on a cache's link.
+// reportsCapacity reports whether a recent load report shows free capacity on a cache's link.
 func (c *Controller) reportsCapacity(e *endpoint) bool {
 	if c.now >= e.reportedAt+reportTTL {
 		return false
@@ -73,13 +73,13 @@
 		return e.load.Utilization < reportedFullUtilization
 	case e.load.Utilization < 0:
 		return e.load.InFlight >= 0 && e.load.InFlight < linkOvercommit*e.Weight
-	default: // not a number
+	default: // NaN
 		return false
 	}
 }
 
-// hasLinkCapacity reports whether a cache's link has capacity for one more transfer. Where weights mean
-// nothing, nothing is known of links and none is taken to be full. It sets the cache's link quota.
+// hasLinkCapacity reports whether the link of a cache has capacity for one more transfer. If weights do not
+// state link capacities, no link is considered full. It also updates the cache's link quota.
 func (c *Controller) hasLinkCapacity(e *endpoint) bool {
 	capacity := linkOvercommit * e.Weight
 	transfers := c.transfersOnLink(e)
@@ -90,8 +90,9 @@
 	return c.reportsCapacity(e) && transfers < lowUseQuotaShare*capacity || transfers < e.linkQuota
 }
 
-// transfersOnLink counts the attempts of this gateway that use a cache's link. Those past their time wait
-// for a source, or their answer is lost, and do not use it, unless the cache itself is slow.
+// transfersOnLink counts the attempts of this gateway that use the link of a cache. An overdue attempt is
+// waiting for its source, or its response is lost, so it does not use the link, unless the cache itself is
+// slow.
 func (c *Controller) transfersOnLink(e *endpoint) float64 {
 	transfers := 0.0
 	for _, a := range e.inFlight {
@@ -103,20 +104,21 @@
 	return transfers
 }
 
-// shareOfLink returns the part of a link's capacity that this gateway may use: by a recent report its even
-// part and of what the other gateways leave, as all of them see it; else its even part and one (binomial)
+// shareOfLink returns the share of a link's capacity that this gateway may use. With a recent report it is
+// the gateway's even share plus a part of the capacity that the other gateways leave unused; all gateways
+// see that capacity, so it is divided among them. Without a report it is the even share plus one (binomial)
 // standard deviation, as gateways do not send in step.
 func (c *Controller) shareOfLink(e *endpoint, capacity float64) float64 {
 	gateways := float64(c.processesSendingTo(e))
-	even := capacity / gateways
+	evenShare := capacity / gateways
 	if c.now >= e.reportedAt+reportTTL {
-		return even + math.Sqrt(even*(1-1/gateways))
+		return evenShare + math.Sqrt(evenShare*(1-1/gateways))
 	}
-	left := min(maxQuotaShare*capacity, capacity-e.othersInFlight)
-	return even + max(0, left-even)/max(1, gateways-1)
+	unused := min(maxQuotaShare*capacity, capacity-e.othersInFlight)
+	return evenShare + max(0, unused-evenShare)/max(1, gateways-1)
 }
 
-// relativeLoad returns the requests known to be at an endpoint, over its weight.
+// relativeLoad returns the number of requests known to be in flight at an endpoint, divided by its weight.
 func (e *endpoint) relativeLoad() float64 {
 	return (float64(len(e.inFlight)) + max(0, e.load.InFlight)) / e.Weight
 }
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -1,15 +1,15 @@
 package control
 
-// Outlier ejection: when an endpoint is sent nothing for a while, and how it comes back.
+// Outlier ejection: when an endpoint receives no requests for a while, and how it returns to service.
 //
-// Several consecutive failures (errors, overload, silence, lost connections) eject an endpoint, as do a
-// failed connect and a failed health check. The ejection doubles each time until the endpoint answers
-// again. After an ejection the endpoint is on probation: it gets one attempt at a time and no further
-// credit for failures. Slow or lossy endpoints are not ejected: a cache's weight in the ranking is reduced
-// by how much slower its hits have become.
+// An endpoint is ejected after several consecutive failures (errors, overload, timeouts, lost connections),
+// and at once after a failed connect or a failed health check. The ejection time doubles until the endpoint
+// responds again. After an ejection the endpoint is on probation: it gets one attempt at a time, and its
+// first failure ejects it again. Slow or lossy endpoints are not ejected: the weight of a cache in the
+// ranking is reduced by the factor by which its hits have slowed down.
 //
-// Health checks are active, and paid for by the requests of the whole zone, so that a large fleet sends no
-// more of them.
+// Health checks are sent actively. Their number is proportional to the requests of the whole zone, so that a
+// large fleet does not send more of them.
 
 import (
 	"math"
@@ -17,36 +17,36 @@
 )
 
 const (
-	healthCheckInterval    = 250 * time.Millisecond // an endpoint is checked no more often
+	healthCheckInterval    = 250 * time.Millisecond // minimum interval between checks of an endpoint
 	healthChecksPerRequest = 0.2                    // of all gateways of the zone together
-	maxHealthCheckBudget   = 2                      // health checks saved up
+	maxHealthCheckBudget   = 2                      // upper limit of the health check budget
 
 	initialEjection      = 1 * time.Second
 	maxEjection          = 8 * time.Second
-	maxEjectionDoublings = 8 // keeps the shift in range
-	maxConsecutiveErrors = 3 // that eject; a single one may be chance
+	maxEjectionDoublings = 8 // bounds the shift
+	maxConsecutiveErrors = 3 // failures that cause an ejection; a single one may be chance
 
 	latencyRatioGain = 1.0 / 8  // weight of a new sample in an endpoint's latency ratio
 	lossRateGain     = 1.0 / 64 // weight of a new sample in an endpoint's loss rate
-	highLossRate     = 0.03     // above it fills, too, are presumed lost
+	highLossRate     = 0.03     // above this rate fills may be presumed lost as well
 )
 
-// available reports whether the endpoint's health allows new requests.
+// available reports whether the state and health of the endpoint allow new requests.
 func (e *endpoint) available(now time.Duration) bool {
 	return e.State == Ready && now >= e.ejectedUntil && (!e.probation || len(e.inFlight) == 0)
 }
 
-// recordSuccess notes a response: it ends an ejection and the probation after it.
+// recordSuccess records a response, which ends an ejection and the probation after it.
 func (e *endpoint) recordSuccess(now time.Duration) {
-	e.lastHeardAt = now
+	e.lastResponseAt = now
 	e.consecutiveErrors = 0
 	e.ejections = 0
 	e.probation = false
 	e.ejectedUntil = 0
 }
 
-// recordFailure counts an error, overload or silence, and ejects the endpoint after several in a row, or
-// after the first one on probation.
+// recordFailure counts an error, an overload response or a timeout, and ejects the endpoint after several in
+// a row, or after the first one on probation.
 func (e *endpoint) recordFailure(now time.Duration) {
 	e.consecutiveErrors++
 	if e.consecutiveErrors >= maxConsecutiveErrors || e.probation {
@@ -55,7 +55,7 @@
 	}
 }
 
-// eject keeps new requests from the endpoint for a time that doubles until it answers again.
+// eject blocks new requests to the endpoint for a time that doubles until it responds again.
 func (e *endpoint) eject(now time.Duration) {
 	if now < e.ejectedUntil {
 		return
@@ -65,27 +65,27 @@
 	e.probation = true
 }
 
-// recordAnswer notes that the endpoint has answered an attempt, so that what was sent earlier may be
+// recordAnswer records that the endpoint has answered an attempt, so that attempts sent before it may be
 // presumed lost.
 func (e *endpoint) recordAnswer(a *attempt) {
 	e.lastAnsweredSendAt = max(e.lastAnsweredSendAt, a.sentAt)
 	e.lossRate -= lossRateGain * e.lossRate
 }
 
-// observeLatency learns how many times its transfer time a hit takes at an endpoint. One that takes twice
-// as long or more counts in the ranking for so much less: it keeps what it can still serve, before it fails
-// altogether.
+// observeLatency updates the ratio of a hit's latency to its transfer time at an endpoint. The ranking
+// weight of an endpoint is halved for each factor of two, so that it keeps the load that it can still serve
+// instead of failing altogether.
 func (c *Controller) observeLatency(e *endpoint, ratio float64) {
 	e.latencyRatio += latencyRatioGain * (ratio - e.latencyRatio)
 	level := max(0, math.Floor(math.Log2(max(e.latencyRatio, 1))))
 	if level != e.slowdownLevel {
 		e.slowdownLevel = level
-		c.place(e)
+		c.updatePlacement(e)
 	}
 }
 
-// earnHealthChecks adds to the budget of health checks what one request pays for.
-func (c *Controller) earnHealthChecks() {
+// accrueHealthCheckBudget increases the health check budget for one request.
+func (c *Controller) accrueHealthCheckBudget() {
 	earned := healthChecksPerRequest / float64(c.processesInZone())
 	c.healthCheckBudget = min(c.healthCheckBudget+earned, maxHealthCheckBudget)
 }
@@ -103,8 +103,8 @@
 	}
 }
 
-// nextHealthCheck returns the endpoint to check next, nil if none is due: one on probation before the
-// others, and of equals the one whose last check is oldest.
+// nextHealthCheck returns the endpoint to check next, or nil if none is due. Endpoints on probation come
+// first, then the one whose last check is oldest.
 func (c *Controller) nextHealthCheck() *endpoint {
 	var next *endpoint
 	for _, e := range c.endpoints {
@@ -121,7 +121,8 @@
 	return next
 }
 
-// healthCheckDue reports whether an endpoint that requests of this gateway may use was not checked lately.
+// healthCheckDue reports whether a health check is due for an endpoint that requests of this gateway may
+// use.
 func (c *Controller) healthCheckDue(e *endpoint) bool {
 	if e.State != Ready || c.now < e.lastCheckedAt+healthCheckInterval {
 		return false
@@ -129,8 +130,8 @@
 	return c.isCache(e) || c.isParent(e) && e.Zone == c.hubOf(c.settings.Zone)
 }
 
-// healthCheckEnded takes the result of a health check. It is answered apart from requests, so a success
-// clears no endpoint of requests left unanswered.
+// healthCheckEnded handles the result of a health check. A success does not end an ejection: endpoints
+// answer health checks separately from requests, so one that leaves requests unanswered may still pass them.
 func (c *Controller) healthCheckEnded(ev HealthCheckResult) {
 	e := c.endpoint(ev.Endpoint)
 	if e == nil {
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// A cache whose answers are lost now and then stays in use, and the request is asked for there again, as the work
-// was done; one that is silent three times in a row is out. Up to 89% of the caches lose answers at once, so to
-// eject at the first silence left no cache to ask (46% rejected on verbund-lager-later's rough-1).
+// A cache that loses single responses stays in use, and the request is retried there, because the work was already
+// done. A cache that does not respond three times in a row is ejected. Up to 89% of the caches lose responses at the
+// same time, so an ejection after the first one left no cache in use (46% rejected on verbund-lager-later's
+// rough-1).
 func TestLostAnswerDoesNotEjectCache(t *testing.T) {
 	c, err := New(testSettings(), 3)
 	if err != nil {
@@ -34,27 +35,27 @@
 		return attempts(c.Handle(now, TimerFired{Token: uint64(id) << 8}, nil))
 	}
 	if ask(1)+ask(2) != 2 {
-		t.Fatal("two requests do not leave")
+		t.Fatal("two requests are not sent")
 	}
 	now += 50 * ms
-	answer(2, 0) // the cache is alive; the answer to 1 is lost
+	answer(2, 0) // the cache is responsive; the response to request 1 is lost
 	if lose(1) != 1 {
-		t.Error("the lost answer's request is not asked for again at the live cache")
+		t.Error("the request with the lost response is not retried at the responsive cache")
 	}
 	answer(1, 1)
 	now += 50 * ms
 	for id := RequestID(3); id < 6; id++ {
 		if ask(id) != 1 {
-			t.Fatalf("after %d lost answers the cache is out", id-3)
+			t.Fatalf("after %d lost responses the cache is ejected", id-3)
 		}
 		lose(id)
 	}
 	if i, _ := c.search(10); c.endpoints[i].available(now) {
-		t.Error("three silences in a row leave the cache in use")
+		t.Error("the cache is not ejected after three timeouts in a row")
 	}
 }
 
-// A cache that grows slower keeps fewer objects, and gets them back when it is well.
+// A cache that becomes slower is ranked first for fewer objects, and for the same ones as before once it recovers.
 func TestSlowCacheRanksLower(t *testing.T) {
 	c, err := New(testSettings(), 3)
 	if err != nil {
@@ -74,18 +75,18 @@
 	for range 40 {
 		c.observeLatency(c.endpoints[i], 8)
 	}
-	if slow := first(); slow*2 > well { // a quarter of the objects when well, 1 in 25 by weight
-		t.Errorf("a cache 8 times slower is first for %d objects, %d when well", slow, well)
+	if slow := first(); slow*2 > well { // a quarter of the objects when healthy, 1 in 25 by weight
+		t.Errorf("a cache 8 times slower is first for %d objects, %d when healthy", slow, well)
 	}
 	for range 40 {
 		c.observeLatency(c.endpoints[i], 1.2)
 	}
 	if again := first(); again != well {
-		t.Errorf("a cache that is well again is first for %d objects, %d before", again, well)
+		t.Errorf("a recovered cache is first for %d objects, %d before", again, well)
 	}
 }
 
-// Where notes are not told, fills turned away in a row eject their parent, and the next fill goes elsewhere.
+// Without detailed notes, fills that are rejected in a row eject their parent, and the next fill goes elsewhere.
 func TestOverloadedParentIsEjected(t *testing.T) {
 	set := testSettings()
 	set.AnswersDetailed = false
@@ -99,14 +100,14 @@
 	}
 	h.request(Request{ID: 99, Object: 99, SizeKB: 10, Remaining: 2 * time.Second})
 	if s := h.attempts[99][0]; s.Source != parentID+1 {
-		t.Errorf("after %d refusals the fill comes from %d, want the other hub's parent", maxConsecutiveErrors, s.Source)
+		t.Errorf("after %d rejections the fill comes from %d, want the other hub's parent", maxConsecutiveErrors, s.Source)
 	}
 }
 
-// One bad answer breaks a connection and all that is open on it. Taken for a dead endpoint's, it put a live
-// cache out for a second, and the requests went on to caches that lack their objects.
+// One malformed response breaks a connection and fails all attempts on it. When this was taken for a failed
+// endpoint, a working cache was ejected for a second, and the requests went to caches that lack their objects.
 func TestLostConnectionDoesNotEjectEndpoint(t *testing.T) {
-	c := silentPair(t)
+	c := newTwoCacheController(t)
 	var actions []Action
 	for i := range 6 {
 		actions = c.Handle(10*time.Second, Request{ID: RequestID(i + 1), Object: 77, SizeKB: 50, Remaining: 5 * time.Second}, actions)
@@ -126,25 +127,25 @@
 		again := c.Handle(10*time.Second+100*time.Millisecond, AttemptResult{ID: a.ID, Endpoint: a.To, Outcome: ConnectionLost}, nil)
 		for _, x := range again {
 			if x, ok := x.(Attempt); ok && x.To != a.To && x.ID == a.ID {
-				t.Errorf("request %d goes on at %d, which lacks its object", a.ID, x.To)
+				t.Errorf("request %d is retried at %d, which lacks its object", a.ID, x.To)
 			}
 		}
 		if !e.available(c.now) {
-			t.Fatalf("a live cache is out after one broken connection")
+			t.Fatalf("a working cache is ejected after one lost connection")
 		}
 	}
-	for k := range maxConsecutiveErrors { // one that breaks again and again is out
-		e.lastBrokenAt = 0
+	for k := range maxConsecutiveErrors { // repeated connection losses eject it
+		e.lastConnectionLossAt = 0
 		c.observe(c.requests[first[0].ID], &attempt{request: c.requests[first[0].ID], target: e, source: e}, AttemptResult{Outcome: ConnectionLost}, false)
 		if out := k+1 >= maxConsecutiveErrors-1; out != !e.available(c.now) {
-			t.Errorf("after %d breaks: out is %v", k+2, !e.available(c.now))
+			t.Errorf("after %d connection losses: ejected is %v", k+2, !e.available(c.now))
 		}
 	}
 }
 
-// Probes follow the gateway's own requests, as their price does, and what is in doubt is asked first: with 180 gateways
-// a fixed period sent two to three health checks for each request.
-func TestHealthChecksFollowRequests(t *testing.T) {
+// The number of health checks is proportional to the gateway's own requests, and endpoints on probation are checked
+// first. With a fixed interval, 180 gateways sent two to three health checks for each request.
+func TestHealthChecksAreProportionalToRequests(t *testing.T) {
 	set := testSettings()
 	set.CanCheckHealth = true
 	c, err := New(set, 3)
@@ -152,22 +153,22 @@
 		t.Fatal(err)
 	}
 	now := 100 * time.Second
-	probes := map[EndpointID]int{}
+	checks := map[EndpointID]int{}
 	count := func(actions []Action) {
 		for _, a := range actions {
 			if p, ok := a.(HealthCheck); ok {
-				probes[p.To]++
+				checks[p.To]++
 				c.Handle(now, HealthCheckResult{Endpoint: p.To, Outcome: TimedOut}, nil)
 			}
 		}
 	}
 	count(c.Handle(now, EndpointList{Snapshot: true, Endpoints: testEndpoints()}, nil))
-	for range 100 { // no requests, no health checks
+	for range 100 { // without requests there are no health checks
 		now += tickInterval
 		count(c.Handle(now, TimerFired{Token: timerTick}, nil))
 	}
-	if len(probes) > 0 {
-		t.Fatalf("%d members were probed without requests", len(probes))
+	if len(checks) > 0 {
+		t.Fatalf("%d endpoints were checked without requests", len(checks))
 	}
 	i, _ := c.search(12)
 	for id := range RequestID(200) {
@@ -178,22 +179,23 @@
 		count(c.Handle(now, TimerFired{Token: timerTick}, nil))
 	}
 	sum := 0
-	for _, n := range probes {
+	for _, n := range checks {
 		sum += n
 	}
 	if sum == 0 || float64(sum) > 200*healthChecksPerRequest+maxHealthCheckBudget {
-		t.Errorf("%d probes for 200 requests", sum)
+		t.Errorf("%d health checks for 200 requests", sum)
 	}
-	if probes[12]*2 < sum {
-		t.Errorf("the member on trial had %d of %d probes", probes[12], sum)
+	if checks[12]*2 < sum {
+		t.Errorf("the endpoint on probation had %d of %d health checks", checks[12], sum)
 	}
 }
 
-// Every gateway of a zone checks the same caches, and the price of health checks is the fleet's: 300 gateways that each sent a
-// health check for every fifth request paid 0.023 of the day's priority weight for them on herd+mass, and their reports drew all of
-// them onto the same caches after a release (G 0.70; 0.77 with the health checks shared out over the zone's gateways).
+// All gateways of a zone check the same caches, so the health checks are shared among them. When each of 300
+// gateways sent a health check for every fifth request, the checks cost 0.023 of the day's priority weight on
+// herd+mass, and their load reports drew all gateways to the same caches after a release (G 0.70; 0.77 with the
+// health checks shared among the gateways of the zone).
 func TestHealthChecksAreSharedByTheZone(t *testing.T) {
-	probes := func(n int) (sent int) {
+	checks := func(n int) (sent int) {
 		set := testSettings()
 		set.CanCheckHealth, set.Gateways, set.GatewaysByZone = true, n, []int{0, 0, n, 0}
 		c, err := New(set, 5)
@@ -220,20 +222,20 @@
 		}
 		return sent
 	}
-	alone, many := probes(1), probes(20)
+	alone, many := checks(1), checks(20)
 	if alone < 300 || many*20 > alone*2 || many == 0 {
-		t.Errorf("probes for 2,000 requests: %d alone, %d as one of 20 fronts of a zone", alone, many)
+		t.Errorf("health checks for 2,000 requests: %d alone, %d as one of 20 gateways of a zone", alone, many)
 	}
 }
 
-// A box that hangs answers health checks and no request. Probes that cleared it sent it a share of the work
-// again and again, for the whole of the hang.
-func TestHealthCheckClearsNoSilentEndpoint(t *testing.T) {
-	c := silentPair(t)
+// A cache that hangs may answer health checks but no requests. When a health check ended its ejection, it was sent a
+// share of the load again and again while it hung.
+func TestHealthCheckDoesNotEndEjection(t *testing.T) {
+	c := newTwoCacheController(t)
 	e := c.endpoints[0]
 	e.eject(11 * time.Second)
 	c.Handle(11*time.Second+time.Millisecond, HealthCheckResult{Endpoint: e.ID, Load: &LoadReport{InFlight: 3, Utilization: 0.5, HitRate: -1, LinkUtilization: -1}}, nil)
 	if e.available(c.now) || !e.probation || e.load.InFlight != 3 {
-		t.Errorf("after a probe's answer: usable %v, trial %v, load %+v", e.available(c.now), e.probation, e.load)
+		t.Errorf("after a successful health check: available %v, probation %v, load %+v", e.available(c.now), e.probation, e.load)
 	}
 }
--- a/control/retry.go
+++ b/control/retry.go
@@ -1,15 +1,15 @@
 package control
 
-// Retries: what may be sent again, until when, and how long to wait before that.
+// Retries: which requests may be retried, until when, and after which delay.
 //
-// A request that may have run is repeated only if it is idempotent, or has an idempotency key by which the
-// caches drop its repeat, within their dedup window and scope.
+// A request that may have run is repeated only if it is idempotent, or if it has an idempotency key by which
+// the caches drop its repeats, within their dedup window and scope.
 //
-// A local failure is a system call of the gateway's own host that failed, such as a connect for want of
-// descriptors or ports. Nothing was sent, so it takes none of the request's allowed attempts, and it says
-// nothing about the endpoint: no failure is counted and no budget is spent. The request is retried after an
-// exponential backoff with jitter, as a shortage passes by itself and retrying every request at once would
-// prolong it.
+// A local failure is a failed system call on the gateway's own host, such as a connect that fails for lack
+// of file descriptors or ports. Nothing was sent, so it uses none of the allowed attempts of the request,
+// and it carries no information about the endpoint: no failure is counted and no budget is spent. The
+// request is retried after an exponential backoff with jitter, because such a shortage ends by itself and
+// retrying every request at once would prolong it.
 
 import (
 	"slices"
@@ -17,14 +17,14 @@
 )
 
 const (
-	initialLocalBackoff = 10 * time.Millisecond  // a connect within a location takes no longer
-	maxLocalBackoff     = 500 * time.Millisecond // a client's time has room for several of these
-	maxLocalFailures    = 10                     // of one request: bounds what is kept of it
+	initialLocalBackoff = 10 * time.Millisecond  // a connect within a location takes no longer than this
+	maxLocalBackoff     = 500 * time.Millisecond // several of these fit into the time of a client
+	maxLocalFailures    = 10                     // per request; bounds its list of attempts
 
-	retryBackoffStep = tickInterval // each retry after an error waits this much longer than the one before
+	retryBackoffStep = tickInterval // delay added with each further retry after an error
 )
 
-// jitterStream separates the random numbers of retries from other uses of the same seed.
+// jitterStream selects the random stream for retry jitter, apart from other uses of the same seed.
 const jitterStream = 0x72657472
 
 // provesNotRun reports whether an outcome proves that the request did not run.
@@ -37,10 +37,10 @@
 	}
 }
 
-// attemptsUsed counts the attempts that count against the allowed number.
+// attemptsUsed returns the number of attempts that count against the allowed maximum.
 func (r *request) attemptsUsed() int { return len(r.attempts) - r.localFailures }
 
-// mayHaveExecuted reports whether an attempt of the request has run, may have run or may still run.
+// mayHaveExecuted reports whether any attempt of the request has run, may have run or may still run.
 func (r *request) mayHaveExecuted() bool {
 	return slices.ContainsFunc(r.attempts, (*attempt).mayExecute)
 }
@@ -62,7 +62,7 @@
 }
 
 // retryAfterBackoff schedules the retry of a request after a local failure, or ends the request at once if
-// its time runs out before that.
+// its deadline is before the retry.
 func (c *Controller) retryAfterBackoff(r *request) {
 	retryAt := c.now + c.localBackoff(r.localFailures)
 	outOfTime := retryAt >= r.deadline-r.transferTime || retryAt >= c.sendDeadline(r)
@@ -74,22 +74,23 @@
 	c.setTimer(retryAt, r.ID, timerRetry)
 }
 
-// resumeAfterBackoff continues a request whose backoff is over.
+// resumeAfterBackoff retries a request after its backoff.
 func (c *Controller) resumeAfterBackoff(r *request) {
 	r.retryAt = 0
 	c.sendOrQueue(r)
 }
 
-// localBackoff returns the wait after the given number of local failures of a request: between half and all
-// of a span that doubles each time, so that requests that failed together are not all retried together.
+// localBackoff returns the delay after the given number of local failures of a request. It is chosen at
+// random between half of a span and the full span, which doubles with each failure, so that requests that
+// failed together are not all retried together.
 func (c *Controller) localBackoff(failures int) time.Duration {
 	span := min(initialLocalBackoff<<max(0, failures-1), maxLocalBackoff)
 	return span/2 + time.Duration(c.random.Int64N(int64(span/2)+1))
 }
 
-// withoutLocalFailure leaves out the cache at which the request's last attempt failed locally, if there is
-// another one: that may have a connection open, or be reached by other ports. A request with an idempotency
-// key keeps to its caches.
+// withoutLocalFailure removes the cache at which the request's last attempt failed locally, if there is
+// another one: that one may have an open connection, or be reachable through other ports. A request with an
+// idempotency key stays with its caches.
 func (r *request) withoutLocalFailure(caches []*endpoint) []*endpoint {
 	if len(caches) < 2 || len(r.attempts) == 0 || r.class.Idempotency == IdempotentByKey {
 		return caches
@@ -101,7 +102,7 @@
 	return slices.DeleteFunc(caches, func(e *endpoint) bool { return e == last.target })
 }
 
-// recordLocalFailure counts an attempt of which nothing was sent, and refunds what it took of slow-start
+// recordLocalFailure counts an attempt of which nothing was sent, and refunds its charges to slow-start
 // budgets.
 func (r *request) recordLocalFailure(a *attempt) {
 	r.localFailures++
@@ -110,8 +111,8 @@
 	}
 }
 
-// mayAttempt reports whether a further attempt is allowed now: none beside one in flight unless hedged
-// requests are allowed, and none after the send deadline.
+// mayAttempt reports whether a further attempt is allowed now: none in parallel to one in flight unless
+// hedging is allowed, and none after the send deadline.
 func (c *Controller) mayAttempt(r *request) bool {
 	if r.inFlight > 0 && !c.settings.CanHedge {
 		return false
@@ -119,8 +120,8 @@
 	return c.now < c.sendDeadline(r)
 }
 
-// sendDeadline returns the time at which the last attempt of a request may be sent. The dedup window of an
-// idempotency key begins with the first attempt that may run.
+// sendDeadline returns the time until which an attempt of a request may be sent. The dedup window of an
+// idempotency key begins with the first attempt that may have run.
 func (c *Controller) sendDeadline(r *request) time.Duration {
 	if r.class.Idempotency == Idempotent {
 		return r.sendDeadline
@@ -132,8 +133,8 @@
 	return min(r.sendDeadline, r.attempts[first].sentAt+r.dedupWindow)
 }
 
-// withinDedupScope reports whether a request may be sent to a cache: once it may have run, one with an
-// idempotency key keeps to the caches that drop its repeats.
+// withinDedupScope reports whether a request may be sent to a cache. Once it may have run, a request with an
+// idempotency key must stay with the caches that drop its repeats.
 func (c *Controller) withinDedupScope(r *request, target *endpoint) bool {
 	if r.class.Idempotency != IdempotentByKey || r.class.DedupScope == DedupScopeAll {
 		return true
@@ -151,7 +152,7 @@
 	return true
 }
 
-// mayReject reports whether a request may be answered with the promise that trying again is harmless.
+// mayReject reports whether a request may be rejected with the promise that a retry by the client is safe.
 func (c *Controller) mayReject(r *request) bool {
 	if r.class.Idempotency == Idempotent || !r.mayHaveExecuted() {
 		return true
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// retryBook is a gateway that allows a request a single attempt.
+// retryHarness is a gateway that allows a request a single attempt.
 type retryHarness struct{ *harness }
 
 func newRetryHarness(t *testing.T, change func(*Settings)) *retryHarness {
@@ -16,12 +16,13 @@
 	return &retryHarness{newHarness(t, set, testEndpoints())}
 }
 
-// failLocally has the latest attempt of request 1 fail locally, and gives the time until the next one leaves; 0: none does.
+// failLocally ends the latest attempt of request 1 with a local failure, and returns the time until the next one is
+// sent; 0: none is sent.
 func (b *retryHarness) failLocally() time.Duration {
 	n := len(b.attempts[1])
 	b.endAttempt(1, n-1, LocalFailure, NoNote)
 	if len(b.attempts[1]) != n {
-		b.t.Fatal("the next attempt left at once")
+		b.t.Fatal("the next attempt was sent at once")
 	}
 	at := b.now
 	for !b.answered[1] && len(b.attempts[1]) == n {
@@ -33,15 +34,15 @@
 	return b.now - at
 }
 
-// A local failure leaves an endpoint as it was, whatever it was before, and its budgets too.
-func TestLocalFailureBlamesNoEndpoint(t *testing.T) {
+// A local failure does not change the health of an endpoint, whatever it was before, nor its budgets.
+func TestLocalFailureIsNotCountedAgainstEndpoint(t *testing.T) {
 	for name, prepare := range map[string]func(c *Controller, e *endpoint){
-		"in good health": func(*Controller, *endpoint) {},
-		"one fault short of an ejection": func(_ *Controller, e *endpoint) {
+		"healthy": func(*Controller, *endpoint) {},
+		"one failure before an ejection": func(_ *Controller, e *endpoint) {
 			e.consecutiveErrors = maxConsecutiveErrors - 1
 		},
-		"on trial": func(_ *Controller, e *endpoint) { e.probation, e.ejections = true, 2 },
-		"cold": func(c *Controller, e *endpoint) {
+		"on probation": func(_ *Controller, e *endpoint) { e.probation, e.ejections = true, 2 },
+		"in slow start": func(c *Controller, e *endpoint) {
 			e.StartedAt, e.slowStartBudget, e.budgetUpdatedAt = c.now-5*time.Second, 0.5, c.now
 		},
 	} {
@@ -64,14 +65,14 @@
 			for _, e := range b.controller.endpoints {
 				was := before[e.ID]
 				if e.consecutiveErrors != was.consecutiveErrors || e.ejections != was.ejections || e.probation != was.probation || e.ejectedUntil != was.ejectedUntil ||
-					e.lastBrokenAt != was.lastBrokenAt || e.lastHeardAt != was.lastHeardAt || e.lossRate != was.lossRate || e.latencyRatio != was.latencyRatio {
-					t.Errorf("member %d was %+v and is %+v", e.ID, was, *e)
+					e.lastConnectionLossAt != was.lastConnectionLossAt || e.lastResponseAt != was.lastResponseAt || e.lossRate != was.lossRate || e.latencyRatio != was.latencyRatio {
+					t.Errorf("endpoint %d was %+v and is %+v", e.ID, was, *e)
 				}
 				if d := e.slowStartBudget - was.slowStartBudget; d > 1e-9 || d < -1e-9 {
-					t.Errorf("member %d: the budget changed by %v", e.ID, d)
+					t.Errorf("endpoint %d: the budget changed by %v", e.ID, d)
 				}
 				if len(e.inFlight) != 0 {
-					t.Errorf("member %d keeps the attempt", e.ID)
+					t.Errorf("endpoint %d keeps the attempt", e.ID)
 				}
 			}
 			if b.controller.window.inFlight != 0 || len(b.controller.fillsInFlight) != 0 {
@@ -81,37 +82,37 @@
 	}
 }
 
-// Nor does a health check that failed locally put an endpoint out, or clear it.
-func TestLocallyFailedHealthCheckBlamesNoEndpoint(t *testing.T) {
+// A health check that failed locally neither ejects an endpoint nor ends its ejection.
+func TestLocallyFailedHealthCheckIsNotCountedAgainstEndpoint(t *testing.T) {
 	for result, ejects := range map[Outcome]bool{LocalFailure: false, NotSent: false, Canceled: false, ConnectFailed: true, TimedOut: true} {
 		b := newRetryHarness(t, func(*Settings) {})
 		e := b.controller.endpoints[0]
 		b.handle(HealthCheckResult{Endpoint: e.ID, Outcome: result})
 		if got := !e.available(b.controller.now); got != ejects || e.probation != ejects {
-			t.Errorf("%v: out %t, on trial %t, want %t", result, got, e.probation, ejects)
+			t.Errorf("%v: ejected %t, on probation %t, want %t", result, got, e.probation, ejects)
 		}
 	}
 }
 
-// Local failures take no attempt of those that the settings allow; each wait is longer than the one before, with jitter;
-// and the request that is served in the end was sent once.
+// Local failures do not count against the maximum number of attempts. Each delay is longer than the one before, with
+// jitter, and a request that succeeds in the end was sent once.
 func TestLocalFailureIsRetriedWithBackoff(t *testing.T) {
 	b := newRetryHarness(t, func(*Settings) {})
 	b.request(Request{ID: 1, Class: 2, Object: 5, SizeKB: 10, Remaining: 2 * time.Second})
 	for n := range 5 {
 		span := initialLocalBackoff << n
 		if wait := b.failLocally(); wait < span/2 || wait > span+2*b.settings.BatchInterval {
-			t.Errorf("after failure %d it waited %v, want %v to %v", n+1, wait, span/2, span)
+			t.Errorf("after failure %d the delay was %v, want %v to %v", n+1, wait, span/2, span)
 		}
 	}
 	b.endAttempt(1, 5, OK, Hit)
 	if b.attemptsSent(1) != 1 || !b.answered[1] || len(b.controller.requests) != 0 {
-		t.Errorf("%d attempts were written, answered %t, %d requests in hand", b.attemptsSent(1), b.answered[1], len(b.controller.requests))
+		t.Errorf("%d attempts were sent, answered %t, %d requests not finished", b.attemptsSent(1), b.answered[1], len(b.controller.requests))
 	}
 }
 
-// The same seed gives the same waits, and another seed others.
-func TestJitterFollowsTheSeed(t *testing.T) {
+// The same seed gives the same delays, and another seed gives others.
+func TestJitterDependsOnSeed(t *testing.T) {
 	waits := func(seed uint64) (sum time.Duration) {
 		c, err := New(testSettings(), seed)
 		if err != nil {
@@ -124,12 +125,12 @@
 	}
 	first, again, other := waits(1), waits(1), waits(2)
 	if first != again || first == other {
-		t.Errorf("waits %v and %v of seed 1, %v of seed 2", first, again, other)
+		t.Errorf("delays %v and %v of seed 1, %v of seed 2", first, again, other)
 	}
 }
 
-// Where the client's time has no room for another attempt it hears so at once, with advice, also that of what must not
-// run twice, as nothing was sent.
+// If the client has no time left for another attempt, the request is rejected at once with a Retry-After, even if it
+// must not run twice, because nothing was sent.
 func TestLocalFailureWithoutTimeIsRejectedAtOnce(t *testing.T) {
 	for class := range testSettings().Classes {
 		c, err := New(func() Settings {
@@ -144,14 +145,14 @@
 		c.Handle(time.Second, Request{ID: 1, Class: class, Object: 5, Remaining: 100 * ms, ClientHasCopy: true}, nil)
 		r := c.requests[1]
 		if r == nil || len(r.attempts) != 1 {
-			t.Fatalf("class %d: it was not sent", class)
+			t.Fatalf("class %d: the request was not sent", class)
 		}
 		to := r.attempts[0].target.ID
 		actions := c.Handle(time.Second+92*ms, AttemptResult{ID: 1, Endpoint: to, Outcome: LocalFailure}, nil)
 		answered := false
 		for _, a := range actions {
-			if refuse, ok := a.(Reject); ok {
-				answered = refuse.RetryAfter > 0
+			if reject, ok := a.(Reject); ok {
+				answered = reject.RetryAfter > 0
 			}
 		}
 		if !answered || c.requests[1] != nil {
@@ -160,19 +161,19 @@
 	}
 }
 
-// A shortage that lasts ends each request within its time and after a bounded number of attempts.
+// If local failures persist, each request ends within its time and after a bounded number of attempts.
 func TestLocalFailuresAreBounded(t *testing.T) {
 	b := newRetryHarness(t, func(set *Settings) { set.Classes[0].Deadline = time.Hour })
 	b.request(Request{ID: 1, Object: 5, SizeKB: 10, Remaining: time.Hour})
 	for b.failLocally() > 0 {
 	}
 	if n := len(b.attempts[1]); !b.answered[1] || n != maxLocalFailures || b.attemptsSent(1) != 0 {
-		t.Errorf("answered %t after %d attempts, %d written", b.answered[1], n, b.attemptsSent(1))
+		t.Errorf("answered %t after %d attempts, %d sent", b.answered[1], n, b.attemptsSent(1))
 	}
 }
 
-// A budget that was set anew while the attempt was out gets nothing of what the old one had spent.
-func TestRefundKnowsTheBudgetItWasTakenFrom(t *testing.T) {
+// If the budget was reset while the attempt was in flight, its charge is not refunded to the new budget.
+func TestRefundDoesNotIncreaseResetBudget(t *testing.T) {
 	b := newRetryHarness(t, func(*Settings) {})
 	b.request(Request{ID: 1, Object: 5, SizeKB: 10, Remaining: time.Second})
 	to := b.controller.endpoint(b.attempts[1][0].To)
@@ -183,46 +184,46 @@
 	fresh := to.slowStartBudget
 	b.endAttempt(1, 0, LocalFailure, NoNote)
 	if to.slowStartBudget != fresh {
-		t.Errorf("the budget of a new start went from %v to %v", fresh, to.slowStartBudget)
+		t.Errorf("the budget after a restart changed from %v to %v", fresh, to.slowStartBudget)
 	}
 }
 
-// The next attempt goes to another cache, as that may have a connection open, and back again where there is no other; what
-// is keyed stays with its group.
-func TestNextAttemptAvoidsTheCache(t *testing.T) {
+// The next attempt goes to another cache, which may have an open connection, or to the same one if there is no
+// other. A request with an idempotency key stays with its caches.
+func TestRetryAfterLocalFailureAvoidsTheCache(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		class  int
 		caches int
 		moves  bool
-	}{{"several caches", 0, 4, true}, {"one cache", 0, 1, false}, {"keyed", 3, 4, false}} {
+	}{{"several caches", 0, 4, true}, {"one cache", 0, 1, false}, {"idempotency key", 3, 4, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newRetryHarness(t, func(*Settings) {})
 			b.updateList(true, testEndpoints()[:3+c.caches]...)
 			b.request(Request{ID: 1, Class: c.class, Object: 5, SizeKB: 10, Remaining: 2 * time.Second})
 			if b.failLocally() == 0 {
-				t.Fatal("it was not tried again")
+				t.Fatal("the request was not retried")
 			}
 			if moved := b.attempts[1][1].To != b.attempts[1][0].To; moved != c.moves {
-				t.Errorf("went on at another cache: %t, want %t", moved, c.moves)
+				t.Errorf("retried at another cache: %t, want %t", moved, c.moves)
 			}
 		})
 	}
 }
 
-// A client that leaves, and a request that is given up, end the wait for another attempt.
-func TestNothingIsRetriedWithoutClient(t *testing.T) {
-	for name, event := range map[string]Event{"left": ClientGone{ID: 1}, "given up": TimeUp(1)} {
+// A request whose client disconnects or whose time runs out is not retried after its backoff.
+func TestFinishedRequestIsNotRetried(t *testing.T) {
+	for name, event := range map[string]Event{"client gone": ClientGone{ID: 1}, "time up": TimeUp(1)} {
 		b := newRetryHarness(t, func(*Settings) {})
 		b.request(Request{ID: 1, Object: 5, SizeKB: 10, Remaining: time.Second})
 		b.endAttempt(1, 0, LocalFailure, NoNote)
-		if name == "left" {
+		if name == "client gone" {
 			b.answered[1] = true
 		}
 		b.handle(event)
 		b.advance(time.Second)
 		if len(b.attempts[1]) != 1 || !b.answered[1] || len(b.controller.requests) != 0 {
-			t.Errorf("%s: %d attempts, answered %t, %d requests in hand", name, len(b.attempts[1]), b.answered[1], len(b.controller.requests))
+			t.Errorf("%s: %d attempts, answered %t, %d requests not finished", name, len(b.attempts[1]), b.answered[1], len(b.controller.requests))
 		}
 	}
 }
--- a/control/rig_test.go
+++ b/control/rig_test.go
@@ -14,7 +14,7 @@
 	testGrace = 500 * ms
 )
 
-// testSettings describes a location with two gateways, one hub, and one class of each kind.
+// testSettings returns the settings of a location with two gateways and one hub, with one class of each kind.
 func testSettings() Settings {
 	return Settings{
 		Gateways: 4, Zone: testZone, GatewaysByZone: []int{0, 0, 2, 2}, HubOfZone: []int{0, 1, 0, 1}, Kinds: 3,
@@ -50,7 +50,7 @@
 	ended   bool
 }
 
-// book follows the actions and checks the five rules on them.
+// harness carries out the actions of a controller and checks the five rules on them.
 type harness struct {
 	t             *testing.T
 	settings      Settings
@@ -61,14 +61,14 @@
 	answered      map[RequestID]bool
 	attempts      map[RequestID][]*sentAttempt
 	endpoints     map[EndpointID]Endpoint
-	notReady      map[EndpointID]time.Duration // told to be draining or gone at
+	notReady      map[EndpointID]time.Duration // time since which it is listed as draining or gone
 	purges        []Purged
 	purgedAt      []time.Duration
-	slowStartWork map[EndpointID][][2]float64 // time and work sent
+	slowStartWork map[EndpointID][][2]float64 // send time and work of each attempt
 	timers        []SetTimer
 }
 
-func newHarness(t *testing.T, set Settings, members []Endpoint) *harness {
+func newHarness(t *testing.T, set Settings, endpoints []Endpoint) *harness {
 	c, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -76,19 +76,19 @@
 	h := &harness{t: t, settings: set, controller: c, now: 100 * time.Second, requests: map[RequestID]Request{}, answered: map[RequestID]bool{},
 		deadlines: map[RequestID]time.Duration{}, attempts: map[RequestID][]*sentAttempt{}, endpoints: map[EndpointID]Endpoint{},
 		notReady: map[EndpointID]time.Duration{}, slowStartWork: map[EndpointID][][2]float64{}}
-	h.updateList(true, members...)
+	h.updateList(true, endpoints...)
 	return h
 }
 
-func (h *harness) updateList(whole bool, members ...Endpoint) {
-	for _, m := range members {
+func (h *harness) updateList(snapshot bool, endpoints ...Endpoint) {
+	for _, m := range endpoints {
 		h.endpoints[m.ID] = m
 		delete(h.notReady, m.ID)
 		if m.State != Ready {
 			h.notReady[m.ID] = h.now
 		}
 	}
-	h.handle(EndpointList{Snapshot: whole, Endpoints: members})
+	h.handle(EndpointList{Snapshot: snapshot, Endpoints: endpoints})
 }
 
 func (h *harness) request(q Request) {
@@ -108,7 +108,7 @@
 	h.handle(AttemptResult{ID: id, Attempt: n, Endpoint: s.To, Outcome: res, Note: note, Latency: h.now - s.sentAt, RequestClosed: h.answered[id]})
 }
 
-// advance lets time go by and timers come due.
+// advance moves the clock forward and fires the timers that expire.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += h.settings.BatchInterval
@@ -127,7 +127,7 @@
 		}
 		for id, until := range h.deadlines {
 			if h.now > until && !h.answered[id] {
-				h.t.Fatalf("rule 1: request %d has no final answer", id)
+				h.t.Fatalf("rule 1: request %d has no final response", id)
 			}
 			if h.answered[id] {
 				delete(h.deadlines, id)
@@ -144,9 +144,9 @@
 		case Reject:
 			h.checkFinalAnswer(a.ID)
 			for _, s := range h.attempts[a.ID] {
-				effect := h.settings.Classes[h.requests[a.ID].Class].Idempotency
-				if effect != Idempotent && (!s.ended || s.outcome == ServerError || s.outcome == TimedOut || s.outcome == ConnectionLost || s.outcome == Canceled) {
-					h.t.Fatalf("rule 2: request %d refused though it may have run", a.ID)
+				idempotency := h.settings.Classes[h.requests[a.ID].Class].Idempotency
+				if idempotency != Idempotent && (!s.ended || s.outcome == ServerError || s.outcome == TimedOut || s.outcome == ConnectionLost || s.outcome == Canceled) {
+					h.t.Fatalf("rule 2: request %d rejected although it may have run", a.ID)
 				}
 			}
 		case Fail:
@@ -159,7 +159,7 @@
 
 func (h *harness) checkFinalAnswer(id RequestID) {
 	if h.answered[id] {
-		h.t.Fatalf("rule 1: second final answer for %d", id)
+		h.t.Fatalf("rule 1: second final response for %d", id)
 	}
 	h.answered[id] = true
 }
@@ -168,39 +168,39 @@
 	t, q := h.t, h.requests[a.ID]
 	class := h.settings.Classes[q.Class]
 	if h.answered[a.ID] {
-		t.Fatalf("rule 1: attempt after the final answer of %d", a.ID)
+		t.Fatalf("rule 1: attempt after the final response to %d", a.ID)
 	}
 	if h.attemptsSent(a.ID) >= h.settings.MaxAttempts {
 		t.Fatalf("request %d: too many attempts", a.ID)
 	}
 	for _, s := range h.attempts[a.ID] {
 		if !s.ended && !h.settings.CanHedge {
-			t.Fatalf("rule 2: two attempts of %d at once", a.ID)
+			t.Fatalf("rule 2: two concurrent attempts of %d", a.ID)
 		}
 		if s.ended && (s.outcome == Miss || s.outcome == Overloaded || s.outcome == ConnectFailed || s.outcome == NotSent || s.outcome == LocalFailure) {
 			continue
 		}
 		if class.Idempotency == NonIdempotent {
-			t.Fatalf("rule 2: unsafe request %d sent again", a.ID)
+			t.Fatalf("rule 2: non-idempotent request %d sent again", a.ID)
 		}
 		if class.Idempotency == IdempotentByKey && (h.endpoints[s.To].Cell != h.endpoints[a.To].Cell || h.now > s.sentAt+class.DedupWindow) {
-			t.Fatalf("rule 2: keyed request %d left its group or its time", a.ID)
+			t.Fatalf("rule 2: request %d with an idempotency key sent outside its dedup scope or window", a.ID)
 		}
 	}
 	for _, id := range []EndpointID{a.To, a.Source} {
 		if at, ok := h.notReady[id]; ok && h.now > at+h.settings.DrainGrace {
-			t.Fatalf("rule 3: %d sent to %d, which drains or is gone", a.ID, id)
+			t.Fatalf("rule 3: %d sent to %d, which is draining or gone", a.ID, id)
 		}
 	}
 	for i, p := range h.purges {
 		hit := p.Object == q.Object || p.Object == 0 && p.Group == q.ObjectGroup
 		if hit && h.now > h.purgedAt[i]+h.settings.PurgeGrace && h.now < h.purgedAt[i]-p.Ago+h.settings.PurgeCompletion {
 			if copied := h.now - a.MaxAge; a.MaxAge == 0 || copied < h.purgedAt[i]-p.Ago {
-				t.Fatalf("rule 5: %d asks for copies up to %v old, purged %v ago", a.ID, a.MaxAge, h.now-h.purgedAt[i]+p.Ago)
+				t.Fatalf("rule 5: %d allows copies up to %v old, purged %v ago", a.ID, a.MaxAge, h.now-h.purgedAt[i]+p.Ago)
 			}
 		}
 	}
-	if q.SizeKB > 0 { // else the transfer time is a guess that this test cannot check
+	if q.SizeKB > 0 { // otherwise the transfer time is an estimate that this test cannot check
 		h.checkSlowStartWork(a.To, h.settings.SlowStartShare, h.settings.SlowStartDuration, h.settings.CollapseMultiple, 2, 0.3)
 	}
 	if a.Source != a.To {
@@ -209,7 +209,7 @@
 	h.attempts[a.ID] = append(h.attempts[a.ID], &sentAttempt{Attempt: a, sentAt: h.now})
 }
 
-// attemptsSent counts the attempts of a request that may have left the gateway.
+// attemptsSent returns the number of attempts of a request that may have been sent by the gateway.
 func (h *harness) attemptsSent(id RequestID) (n int) {
 	for _, s := range h.attempts[id] {
 		if s.outcome != LocalFailure {
@@ -219,7 +219,7 @@
 	return n
 }
 
-// refundAttempt takes back the work of an attempt that has not left.
+// refundAttempt removes the work of an attempt that was not sent.
 func (h *harness) refundAttempt(s *sentAttempt) {
 	for _, id := range []EndpointID{s.To, s.Source} {
 		at := func(w [2]float64) bool { return w[0] == s.sentAt.Seconds() }
@@ -232,11 +232,11 @@
 	}
 }
 
-// checkSlowStartWork checks that this gateway's part of what all may send stays under the limit, were all to
-// send alike, with an allowance of one request.
-func (h *harness) checkSlowStartWork(id EndpointID, share float64, warm time.Duration, multiple float64, fronts int, work float64) {
+// checkSlowStartWork checks that this gateway's share of the load that all gateways may send stays below the limit,
+// with a tolerance of one request, assuming that all gateways send the same load.
+func (h *harness) checkSlowStartWork(id EndpointID, share float64, duration time.Duration, multiple float64, gateways int, work float64) {
 	m := h.endpoints[id]
-	if m.StartedAt == 0 || h.now > m.StartedAt+warm || m.Kind == h.settings.OriginKind {
+	if m.StartedAt == 0 || h.now > m.StartedAt+duration || m.Kind == h.settings.OriginKind {
 		return
 	}
 	h.slowStartWork[id] = append(h.slowStartWork[id], [2]float64{h.now.Seconds(), work})
@@ -246,8 +246,8 @@
 			sum += w[1]
 		}
 	}
-	present := share + (1-share)*(h.now-m.StartedAt).Seconds()/warm.Seconds()
-	if limit := multiple*present*m.Weight*span/float64(fronts) + work; sum > limit {
-		h.t.Fatalf("rule 4: %.2f s of work to cold member %d in %.1f s, %.2f at most", sum, id, span, limit)
+	present := share + (1-share)*(h.now-m.StartedAt).Seconds()/duration.Seconds()
+	if limit := multiple*present*m.Weight*span/float64(gateways) + work; sum > limit {
+		h.t.Fatalf("rule 4: %.2f s of work sent to endpoint %d in slow start in %.1f s, %.2f at most", sum, id, span, limit)
 	}
 }
--- a/control/selection_actions_test.go
+++ b/control/selection_actions_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// randomFleet drives a controller by random events: requests for hot and for rare objects, outcomes of all kinds, drains,
-// restarts, weights that change, entries that come and go, whole lists, operators' orders and purges.
+// randomFleet drives a controller with random events: requests for hot and for rare objects, outcomes of all kinds,
+// drains, restarts, changed weights, added and removed entries, snapshots of the list, exclusions and purges.
 type randomFleet struct {
 	random  *rand.Rand
 	c       *Controller
@@ -30,7 +30,7 @@
 	t.Helper()
 	set := testSettings()
 	set.CanCheckHealth = true
-	if seed%2 == 0 { // the use of the link is not told then, and has to be estimated from what other gateways hold
+	if seed%2 == 0 { // the link utilization is not reported and must be estimated from the load of other gateways
 		set.LinkKBps = []float64{0, 0, 5000, 0}
 	}
 	c, err := New(set, seed)
@@ -42,14 +42,14 @@
 		number: map[RequestID]int{}, digest: digest, weights: weights,
 	}
 	for range caches {
-		f.list = append(f.list, f.newMember())
+		f.list = append(f.list, f.newEntry())
 	}
 	f.handle(EndpointList{Snapshot: true, Endpoints: f.list})
 	return f
 }
 
-// newMember is a cache of the controller's zone, or now and then a parent or a cache of another zone.
-func (f *randomFleet) newMember() Endpoint {
+// newEntry returns a cache of the controller's zone, or occasionally a parent or a cache of another zone.
+func (f *randomFleet) newEntry() Endpoint {
 	f.next++
 	m := Endpoint{ID: f.next, Zone: testZone, Weight: f.weights[f.random.IntN(len(f.weights))], State: Ready, Cell: f.random.IntN(3)}
 	switch f.random.IntN(12) {
@@ -61,14 +61,15 @@
 	return m
 }
 
-// handle has the controller take an event, and notes the actions.
+// handle passes an event to the controller and records its actions.
 func (f *randomFleet) handle(ev Event) {
 	for _, act := range f.c.Handle(f.now, ev, nil) {
 		f.note(act)
 	}
 }
 
-// note adds an action's values to the digest, whatever its type and fields are called, and keeps what is to be answered.
+// note adds the values of an action to the digest, independently of the names of its type and fields, and stores
+// attempts and timers for later events.
 func (f *randomFleet) note(act Action) {
 	kind := 0
 	switch act := act.(type) {
@@ -133,7 +134,7 @@
 	})
 }
 
-// end ends one of the attempts under way, mostly well.
+// end ends one of the attempts in flight, mostly with success.
 func (f *randomFleet) end() {
 	if len(f.open) == 0 {
 		return
@@ -160,7 +161,7 @@
 	f.handle(ev)
 }
 
-// changeEntry tells of one entry: drained, restarted, with another weight, gone, or new.
+// changeEntry sends a delta with one entry: draining, restarted, with another weight, gone, or new.
 func (f *randomFleet) changeEntry() {
 	i := f.random.IntN(len(f.list))
 	m := &f.list[i]
@@ -181,27 +182,27 @@
 		}
 		m.State = Ready
 	default:
-		f.list = append(f.list, f.newMember())
+		f.list = append(f.list, f.newEntry())
 		m = &f.list[len(f.list)-1]
 	}
 	f.handle(EndpointList{Endpoints: []Endpoint{*m}})
 }
 
-// replaceTenth tells the whole list with a tenth of it replaced by new, cold entries.
+// replaceTenth sends a snapshot in which a tenth of the list is replaced by new entries in slow start.
 func (f *randomFleet) replaceTenth() {
 	for range len(f.list) / 10 {
 		i := 3 + f.random.IntN(len(f.list)-3)
-		f.list[i] = f.newMember()
+		f.list[i] = f.newEntry()
 		f.list[i].StartedAt = f.now
 	}
 	f.handle(EndpointList{Snapshot: true, Endpoints: f.list})
 }
 
-// The choice of caches and sources is what it was when every request ranked the whole list: the digests of all actions
-// were recorded at e47e21a by this test.
+// The choice of caches and sources is the same as when every request ranked the complete list: this test recorded
+// the digests of all actions at commit e47e21a.
 func TestSelectionKeepsItsActions(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("the digests hold for amd64 alone: elsewhere products and sums may be fused, which changes their last bits")
+		t.Skip("the digests are valid for amd64 only: other architectures may fuse multiplications and additions, which changes the last bits")
 	}
 	const requests = 2000 // in each of seven runs: 14,000 in all
 	even, mixed := []float64{4}, []float64{0.5, 3, 4, 4, 7.5, 12, 40}
--- a/control/selection_order_test.go
+++ b/control/selection_order_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// wholeOrder is the ranking as it was computed up to e47e21a: all scores, sorted; endpoints with equal ones stay in the order of
-// their ids.
-func wholeOrder(c *Controller, object uint64, ok func(*endpoint) bool) (list []*endpoint) {
+// sortedOrder returns the ranking as it was computed up to commit e47e21a: all scores are sorted, and endpoints with
+// equal scores stay in the order of their ids.
+func sortedOrder(c *Controller, object uint64, ok func(*endpoint) bool) (list []*endpoint) {
 	var all []scored
 	for _, e := range c.endpoints {
 		if ok(e) {
@@ -28,27 +28,28 @@
 	return list
 }
 
-// lazyOrder is the beginning of the ranking, as the choice takes it.
-func lazyOrder(c *Controller, k *ranking, object uint64, sets setPair, able func(*endpoint) bool, most int) (list []*endpoint) {
-	c.visitRanked(k, object, sets, able, func(e *endpoint) bool {
+// visitedOrder returns the beginning of the ranking as visitRanked yields it.
+func visitedOrder(c *Controller, k *ranking, object uint64, sets setPair, eligible func(*endpoint) bool, most int) (list []*endpoint) {
+	c.visitRanked(k, object, sets, eligible, func(e *endpoint) bool {
 		list = append(list, e)
 		return len(list) < most
 	})
 	return list
 }
 
-// firstOf leaves the first endpoints of which able holds.
-func firstOf(list []*endpoint, able func(*endpoint) bool, most int) (first []*endpoint) {
+// firstOf returns the first endpoints for which eligible returns true.
+func firstOf(list []*endpoint, eligible func(*endpoint) bool, most int) (first []*endpoint) {
 	for _, e := range list {
-		if able(e) && len(first) < most {
+		if eligible(e) && len(first) < most {
 			first = append(first, e)
 		}
 	}
 	return first
 }
 
-// The caches and parents come in the order of the sorted ranking: whichever of them are excluded, draining or ejected, while the
-// list changes, for objects asked for once and again, and with scores that are equal as they overflow or vanish.
+// Caches and parents are visited in the order of the sorted ranking: whichever of them are excluded, draining or
+// ejected, while the list changes, for objects requested once or repeatedly, and with scores that are equal because
+// they overflow or underflow.
 func TestOrderIsThatOfTheSortedRanking(t *testing.T) {
 	for name, weights := range map[string][]float64{
 		"even":   {4},
@@ -67,7 +68,7 @@
 }
 
 func checkOrder(t *testing.T, seed uint64, caches int, weights []float64) {
-	const draws = 280 // of each of 36 kinds of list: 10,080 in all
+	const draws = 280 // for each of 36 kinds of list: 10,080 in all
 	f := newRandomFleet(t, seed, caches, weights, func(string) {})
 	c, random := f.c, rand.New(rand.NewPCG(seed, 1))
 	hot := [4]objectRankings{}
@@ -80,12 +81,12 @@
 			object = uint64(draw / 2 % len(hot))
 			k = &hot[object]
 		}
-		share := random.Float64() // of the endpoints that may not be asked; in every fourth draw all may
-		out := map[*endpoint]bool{}
+		share := random.Float64() // share of ineligible endpoints; in every fourth draw all are eligible
+		excluded := map[*endpoint]bool{}
 		for _, e := range c.endpoints {
-			out[e] = draw%4 != 0 && random.Float64() < share
+			excluded[e] = draw%4 != 0 && random.Float64() < share
 		}
-		able := func(e *endpoint) bool { return !out[e] && (draw%3 != 0 || e.available(c.now)) }
+		eligible := func(e *endpoint) bool { return !excluded[e] && (draw%3 != 0 || e.available(c.now)) }
 		most := []int{1, 2, 5, 40, math.MaxInt}[random.IntN(5)]
 		hub := c.hubOf(c.settings.Zone)
 		for _, s := range []struct {
@@ -97,22 +98,22 @@
 			{"caches", &k.caches, setPair{&c.caches}, c.isCache},
 			{"parents of the hub", &k.parents, setPair{&c.hubParents},
 				func(e *endpoint) bool { return c.isParent(e) && e.Zone == hub }},
-			{"other parents", &k.farParents, setPair{&c.otherParents},
+			{"other parents", &k.fallbackParents, setPair{&c.otherParents},
 				func(e *endpoint) bool { return c.isParent(e) && e.Zone != hub }},
 			{"all parents", &k.parents, setPair{&c.hubParents, &c.otherParents}, c.isParent},
 		} {
-			want := firstOf(wholeOrder(c, object, s.ok), able, most)
-			if got := lazyOrder(c, s.ranking, object, s.sets, able, most); !slices.Equal(got, want) {
-				t.Fatalf("draw %d: %d %s of object %d are not in the order of the %d wanted", draw, len(got), s.kind, object, len(want))
+			want := firstOf(sortedOrder(c, object, s.ok), eligible, most)
+			if got := visitedOrder(c, s.ranking, object, s.sets, eligible, most); !slices.Equal(got, want) {
+				t.Fatalf("draw %d: %d %s for object %d differ from the %d expected", draw, len(got), s.kind, object, len(want))
 			}
 		}
-		if got := c.rank(object, c.isCache); draw%8 == 0 && !slices.Equal(got, wholeOrder(c, object, c.isCache)) {
-			t.Fatalf("draw %d: the whole ranking of object %d differs", draw, object)
+		if got := c.rank(object, c.isCache); draw%8 == 0 && !slices.Equal(got, sortedOrder(c, object, c.isCache)) {
+			t.Fatalf("draw %d: the complete ranking for object %d differs", draw, object)
 		}
 	}
 }
 
-// changeAtRandom changes entries of the list, an endpoint's health or its pace, or nothing.
+// changeAtRandom changes list entries, or the health or latency of an endpoint, or nothing.
 func changeAtRandom(f *randomFleet, draw int) {
 	f.now += time.Duration(f.random.IntN(20)) * ms
 	e := f.c.endpoints[f.random.IntN(len(f.c.endpoints))]
@@ -132,7 +133,7 @@
 	}
 }
 
-// A request's rankings are bounded in number, and name no endpoints that went long ago.
+// The number of stored rankings is bounded, and they do not refer to endpoints that were removed long ago.
 func TestRankingsAreBounded(t *testing.T) {
 	f := newRandomFleet(t, 1, 400, []float64{4}, func(string) {})
 	for range 3 * maxRankings {
@@ -140,11 +141,11 @@
 		f.c.rankingsOf(&request{Request: Request{Object: ObjectID(f.random.Uint64())}})
 	}
 	if len(f.c.rankings) > maxRankings {
-		t.Errorf("the rankings of %d objects are kept, %d at most", len(f.c.rankings), maxRankings)
+		t.Errorf("rankings of %d objects are stored, %d at most", len(f.c.rankings), maxRankings)
 	}
 	for _, k := range f.c.rankings {
-		if k != nil && cap(k.caches.prefix)+cap(k.parents.prefix)+cap(k.farParents.prefix) > 6*maxPrefix {
-			t.Errorf("a ranking has room for %d entries", cap(k.caches.prefix)+cap(k.parents.prefix)+cap(k.farParents.prefix))
+		if k != nil && cap(k.caches.prefix)+cap(k.parents.prefix)+cap(k.fallbackParents.prefix) > 6*maxPrefix {
+			t.Errorf("a ranking has a capacity of %d entries", cap(k.caches.prefix)+cap(k.parents.prefix)+cap(k.fallbackParents.prefix))
 		}
 	}
 	for range 100 {
@@ -162,37 +163,38 @@
 	}
 	maps.DeleteFunc(gone, func(_ *endpoint, is bool) bool { return !is })
 	if len(gone) > rankingsClearInterval {
-		t.Errorf("rankings name %d members that are gone", len(gone))
+		t.Errorf("rankings refer to %d endpoints that are gone", len(gone))
 	}
 }
 
-// Choosing a cache allocates nothing that grows with the list, and nothing at all for an object asked for again.
-func TestChoiceDoesNotAllocate(t *testing.T) {
+// Cache selection makes no allocation that grows with the list, and none at all for an object that was requested
+// before.
+func TestSelectionDoesNotAllocate(t *testing.T) {
 	for _, caches := range []int{25, 3200} {
 		c, err := New(testSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Handle(time.Minute, EndpointList{Snapshot: true, Endpoints: zoneOf(caches)}, nil)
+		c.Handle(time.Minute, EndpointList{Snapshot: true, Endpoints: listWithCaches(caches)}, nil)
 		object := ObjectID(0)
 		choose := func() {
 			object++
 			r := &request{Request: Request{Object: object%500 + 1, Remaining: time.Second}, class: &c.settings.Classes[0]}
 			if to := c.selectCache(r); to == nil || c.selectFillSource(r, to) == to {
-				t.Fatal("no cache or no parent is chosen")
+				t.Fatal("no cache or no parent is selected")
 			}
 		}
 		for range 1000 {
 			choose()
 		}
 		if n := testing.AllocsPerRun(1000, choose); n > 1 { // the request
-			t.Errorf("%d caches: a choice allocates %v times", caches, n)
+			t.Errorf("%d caches: a selection makes %v allocations", caches, n)
 		}
 	}
 }
 
-// wholeFronts is gateways as it was computed up to e47e21a: over the whole list.
-func wholeFronts(c *Controller) float64 {
+// activeGatewaysOverList is activeGateways as it was computed up to commit e47e21a: over the complete list.
+func activeGatewaysOverList(c *Controller) float64 {
 	own, all := 1.0, float64(c.processesInZone())
 	for _, e := range c.endpoints {
 		if c.isCache(e) && c.now < e.reportedAt+reportTTL {
@@ -203,8 +205,8 @@
 	return min(float64(c.processesInZone()), all/own)
 }
 
-// The estimate of the other gateways' part takes in every report that counts, and sums them up in the order of the ids, which
-// decides the last bits.
+// The estimate of active gateways includes every recent report, and sums them in the order of the ids, on which the
+// last bits of the sum depend.
 func TestActiveGatewaysCountEachReport(t *testing.T) {
 	f := newRandomFleet(t, 4, 60, []float64{0.5, 3, 7}, func(string) {})
 	f.c.settings.GatewaysByZone[testZone] = 1000
@@ -218,15 +220,15 @@
 		if step%1000 == 0 {
 			f.now += time.Second + time.Duration(random.IntN(2000))*ms
 		}
-		if got, want := f.c.activeGateways(), wholeFronts(f.c); got != want {
-			t.Fatalf("step %d: %v fronts, want %v", step, got, want)
+		if got, want := f.c.activeGateways(), activeGatewaysOverList(f.c); got != want {
+			t.Fatalf("step %d: %v gateways, want %v", step, got, want)
 		}
 		most = max(most, len(f.c.reporting))
 		if len(f.c.reporting) > len(f.c.endpoints)+len(f.list) {
-			t.Fatalf("%d members are kept for their reports, of %d", len(f.c.reporting), len(f.c.endpoints))
+			t.Fatalf("%d endpoints are kept for their reports, of %d", len(f.c.reporting), len(f.c.endpoints))
 		}
 	}
 	if most < 10 {
-		t.Errorf("no more than %d reports counted at once", most)
+		t.Errorf("at most %d recent reports at a time, too few for a test", most)
 	}
 }
