--- a/control/settings.go
+++ b/control/settings.go
@@ -1,6 +1,6 @@
 package control
 
-// Settings: what a gateway is told at its start, and what of it makes no sense.
+// Settings: the configuration of a gateway, and its validation.
 
 import (
 	"errors"
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Idempotency says what happens if a request of a class runs twice.
+// Idempotency states whether a request of a class may run twice.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may be repeated and rejected freely
-	IdempotentByKey                    // the caches of a scope drop its repeats within a window
+	Idempotent      Idempotency = iota // may be repeated, and rejected at any time
+	IdempotentByKey                    // the caches of a scope drop its repeats within a time window
 	NonIdempotent                      // must not run twice
 )
 
@@ -29,7 +29,7 @@
 	DedupScopeCell                   // the caches of the cell in which it ran
 )
 
-// PeerScope says which other caches may be the source of a fill.
+// PeerScope states which other caches may be the source of a fill.
 type PeerScope uint8
 
 // The peer scopes.
@@ -41,68 +41,68 @@
 
 // Class describes one class of requests.
 type Class struct {
-	LatencyObjective time.Duration // an answer within it earns the whole priority weight
-	ObjectiveStretch float64       // the objective grows by this multiple of the response's transfer time
-	Deadline         time.Duration // how long a client waits over all its tries
-	PriorityWeight   float64       // value of an answer in time
-	LateValue        float64       // share of the priority weight of an answer after the objective
+	LatencyObjective time.Duration // a response within it earns the full priority weight
+	ObjectiveStretch float64       // multiple of the response's transfer time added to the objective
+	Deadline         time.Duration // time that a client waits, over all its tries
+	PriorityWeight   float64       // value of a response within the objective
+	LateValue        float64       // share of the priority weight for a response after the objective
 	Idempotency      Idempotency
-	DedupScope       DedupScope    // with an idempotency key
+	DedupScope       DedupScope    // of requests with an idempotency key
 	DedupWindow      time.Duration // how long caches remember an idempotency key
 	FreshFor         time.Duration // how long a copy is fresh; 0: until purged
-	MaxStaleness     time.Duration // how much older than fresh a copy may be when asked for
-	StaleValue       float64       // share of the priority weight of an answer from a stale copy
+	MaxStaleness     time.Duration // how far beyond its freshness a copy may be served
+	StaleValue       float64       // share of the priority weight for a response from a stale copy
 	Write            bool          // never cached; runs at the origin
 }
 
-// Settings is what a gateway is told at its start. Zero values mean "not told" or "not allowed".
+// Settings is the configuration of a gateway. Zero values mean "unknown" or "not allowed".
 type Settings struct {
 	// The fleet.
 	Gateway        int   // number of this gateway
-	Gateways       int   // how many there are
+	Gateways       int   // number of gateways
 	Zone           int   // of this gateway
-	GatewaysByZone []int // how many there are in each zone
-	HubOfZone      []int // the hub zone of each zone; hubs stand in a ring
+	GatewaysByZone []int // number of gateways in each zone
+	HubOfZone      []int // the hub zone of each zone; hubs form a ring
 	Kinds          int   // number of kinds of machines
-	ParentKind     int   // the kind of parents; -1: there are none
+	ParentKind     int   // the kind of parents; -1: no parents exist
 	OriginKind     int   // the kind of origins
 
 	Classes []Class
 
 	// What the host and the endpoints can do.
-	BatchInterval      time.Duration // batches of events come no more often
-	LinkKBps           []float64     // capacity of each zone's link for fills; 0: not told
-	ClientKBps         float64       // pace of one transfer to a client
-	WeightsKnown       bool          // a weight is the number of such transfers that an endpoint's link carries
-	PollEndpoints      bool          // the endpoint list comes only when asked for
-	MaxAttempts        int           // of a request, local failures not counted
+	BatchInterval      time.Duration // minimum interval between batches of events
+	LinkKBps           []float64     // capacity of each zone's link for fills; 0: unknown
+	ClientKBps         float64       // transfer rate to one client
+	WeightsKnown       bool          // a weight is the number of such transfers that the endpoint's link carries
+	PollEndpoints      bool          // the endpoint list must be requested
+	MaxAttempts        int           // per request, not counting local failures
 	CanCancel          bool
 	CanCheckHealth     bool
 	CanHedge           bool // a request may have two attempts in flight
 	CanRetryAfter      bool
-	ClientsMarkRetries bool // a request that is not marked is a first try
+	ClientsMarkRetries bool // a request that is not marked as a retry is a first try
 	MaxRetryAfter      time.Duration
-	CanBypassCaches    bool // requests may go straight to a parent or the origin
+	CanBypassCaches    bool // requests may be sent directly to a parent or the origin
 	CanJoinFills       bool // a request may join a fill in flight
 	PeerFillScope      PeerScope
-	AnswersDetailed    bool // results carry every note, not hits alone
+	AnswersDetailed    bool // results carry all notes, not only hits
 
 	// Drains, slow start and purges.
-	DrainGrace              time.Duration // how long a draining endpoint still answers
-	SlowStartShare          float64       // a cache starts at this share of its capacity or more
-	SlowStartDuration       time.Duration // and has all of it after this time
-	CollapseMultiple        float64       // sent this multiple of its present capacity ...
-	CollapseWindow          time.Duration // ... over this time, it collapses
-	ParentSlowStartShare    float64       // the same of parents
+	DrainGrace              time.Duration // how long a draining endpoint still responds
+	SlowStartShare          float64       // minimum share of its capacity that a cache starts with
+	SlowStartDuration       time.Duration // time after which it has its full capacity
+	CollapseMultiple        float64       // a cache collapses under this multiple of its current capacity ...
+	CollapseWindow          time.Duration // ... if the load lasts for this time
+	ParentSlowStartShare    float64       // the same for parents
 	ParentSlowStartDuration time.Duration
 	ParentCollapseMultiple  float64
 	PurgeGrace              time.Duration // how long after a purge older copies may be served
-	PurgeCompletion         time.Duration // by then endpoints have dropped purged copies by themselves
+	PurgeCompletion         time.Duration // time after which endpoints have dropped purged copies
 }
 
-// check returns an error that names the first setting that makes no sense. Errors keep the names that the
-// settings have where operators write them (cold share, fall multiple, aim, worth): this is the one place
-// of translation.
+// check returns an error that names the first invalid setting. Errors use the names of the settings in the
+// operators' configuration (cold share, fall multiple, aim, worth); the two sets of names are mapped only
+// here.
 func (s *Settings) check() error {
 	switch {
 	case len(s.Classes) == 0:
@@ -112,15 +112,15 @@
 	case s.Zone < 0:
 		return fmt.Errorf("control: Zone: %d is negative", s.Zone)
 	case !(s.SlowStartShare >= 0 && s.SlowStartShare <= 1): // also NaN
-		return fmt.Errorf("control: ColdShare: %v is no share", s.SlowStartShare)
+		return fmt.Errorf("control: ColdShare: %v is not between 0 and 1", s.SlowStartShare)
 	case !(s.ParentSlowStartShare >= 0 && s.ParentSlowStartShare <= 1):
-		return fmt.Errorf("control: ParentColdFrom: %v is no share", s.ParentSlowStartShare)
-	case !finite(s.CollapseMultiple):
-		return fmt.Errorf("control: FallMultiple: %v is not 0 or more", s.CollapseMultiple)
-	case !finite(s.ParentCollapseMultiple):
-		return fmt.Errorf("control: ParentFall: %v is not 0 or more", s.ParentCollapseMultiple)
-	case !finite(s.ClientKBps):
-		return fmt.Errorf("control: ClientKBps: %v is not 0 or more", s.ClientKBps)
+		return fmt.Errorf("control: ParentColdFrom: %v is not between 0 and 1", s.ParentSlowStartShare)
+	case !nonNegativeFinite(s.CollapseMultiple):
+		return fmt.Errorf("control: FallMultiple: %v is negative or not finite", s.CollapseMultiple)
+	case !nonNegativeFinite(s.ParentCollapseMultiple):
+		return fmt.Errorf("control: ParentFall: %v is negative or not finite", s.ParentCollapseMultiple)
+	case !nonNegativeFinite(s.ClientKBps):
+		return fmt.Errorf("control: ClientKBps: %v is negative or not finite", s.ClientKBps)
 	}
 	for _, t := range []struct {
 		field string
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// check returns an error that names the first value of a class that makes no sense.
+// check returns an error that names the first invalid field of a class.
 func (class *Class) check() error {
 	for _, v := range []struct {
 		field string
@@ -162,8 +162,8 @@
 		{"StaleFor", class.MaxStaleness.Seconds()},
 		{"StaleWorth", class.StaleValue},
 	} {
-		if !finite(v.value) {
-			return &fieldError{v.field, v.value, "not 0 or more"}
+		if !nonNegativeFinite(v.value) {
+			return &fieldError{v.field, v.value, "negative or not finite"}
 		}
 	}
 	if class.Deadline <= 0 {
@@ -172,21 +172,21 @@
 	return nil
 }
 
-// fieldError names a field whose value makes no sense.
+// fieldError names a field with an invalid value.
 type fieldError struct {
 	field   string
 	value   any
 	problem string
 }
 
-// Error names the field, its value and what is wrong with it.
+// Error returns the field, its value and the problem.
 func (e *fieldError) Error() string { return fmt.Sprintf("%s: %v is %s", e.field, e.value, e.problem) }
 
-// finite reports whether a value is 0 or more, and neither infinite nor NaN.
-func finite(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
+// nonNegativeFinite reports whether a value is 0 or more, and neither infinite nor NaN.
+func nonNegativeFinite(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
 
-// linkCapacity returns how many transfers at a client's pace the link of this gateway's zone carries; 0:
-// not told.
+// linkCapacity returns the number of transfers at a client's pace that the link of this gateway's zone
+// carries; 0: unknown.
 func (s *Settings) linkCapacity() float64 {
 	if s.Zone >= len(s.LinkKBps) || s.ClientKBps == 0 {
 		return 0
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Settings that are NaN, infinite or negative give an error that names the field.
+// Settings that are NaN, infinite or negative cause an error that names the field.
 func TestInvalidNumbersInSettings(t *testing.T) {
 	for field, set := range map[string]func(*Settings, float64){
 		"ColdShare":      func(s *Settings, v float64) { s.SlowStartShare = v },
@@ -43,8 +43,9 @@
 	}
 }
 
-// How long a keyed request may be sent again is what the settings say, less what an event may be late.
-func TestDedupWindowIsTheSettings(t *testing.T) {
+// A request with an idempotency key may be sent again for the dedup window of the settings, less the possible delay
+// of an event.
+func TestDedupWindowFollowsTheSettings(t *testing.T) {
 	for _, x := range []struct {
 		keyFor, at time.Duration
 		again      bool
@@ -57,9 +58,9 @@
 		h.now += x.at
 		h.endAttempt(1, 0, ConnectionLost, NoNote)
 		if n := len(h.attempts[1]); (n == 2) != x.again || h.answered[1] == x.again {
-			t.Errorf("key of %v, end after %v: %d attempts, answered %v", x.keyFor, x.at, n, h.answered[1])
+			t.Errorf("dedup window of %v, end after %v: %d attempts, answered %v", x.keyFor, x.at, n, h.answered[1])
 		} else if until := h.attempts[1][n-1].SendDeadline; x.again && until != 100*time.Second+x.keyFor-2*set.BatchInterval {
-			t.Errorf("key of %v: may leave until %v", x.keyFor, until)
+			t.Errorf("dedup window of %v: may be sent until %v", x.keyFor, until)
 		}
 	}
 }
--- a/control/trace_codec_test.go
+++ b/control/trace_codec_test.go
@@ -11,15 +11,15 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// This file is the one place that maps the types of package control to the format of the recorded traces in testdata/trace.
-// The format knows kinds by number and fields by their order, never by their names: types and fields may be renamed and moved
-// freely, but the numbers, and the order of the fields below, stay.
+// This file maps the types of package control to the format of the recorded traces in testdata/trace. The format
+// identifies kinds by number and fields by their order, never by name: types and fields may be renamed and moved
+// freely, but the numbers, and the order of the fields below, must not change.
 
-// codec writes fields to, or reads them from, a buffer. One description of a type's fields serves both ways.
+// codec writes fields to a buffer or reads them from it. One description of a type's fields is used for both.
 type codec struct {
 	buffer  []byte
 	reading bool
-	err     error         // of reading; fields read after it are zero
+	err     error         // first read error; fields read after it are zero
 	now     time.Duration // time of the event, to which times in actions are relative
 }
 
@@ -29,7 +29,7 @@
 	~int | ~int64 | ~uint8 | ~uint16 | ~uint32 | ~uint64
 }
 
-// number codes an integer of any type as a signed varint.
+// number encodes or decodes an integer of any type as a signed varint.
 func number[T integer](c *codec, value *T) {
 	if !c.reading {
 		c.buffer = binary.AppendVarint(c.buffer, int64(*value))
@@ -43,14 +43,14 @@
 	*value, c.buffer = T(read), c.buffer[size:]
 }
 
-// relative codes a time on the trace's clock by its distance from now.
+// relative encodes or decodes a clock time as its offset from now.
 func (c *codec) relative(value *time.Duration) {
 	distance := *value - c.now
 	number(c, &distance)
 	*value = distance + c.now
 }
 
-// float codes the bits of a number, the exponent last, so that round values are short.
+// float encodes or decodes the bits of a number, with the exponent last, so that round values are short.
 func (c *codec) float(value *float64) {
 	reversed := bits.Reverse64(math.Float64bits(*value))
 	number(c, &reversed)
@@ -66,7 +66,8 @@
 	*value = bit == 1
 }
 
-// list codes the length of a list, then its elements. A length that the buffer can't hold ends the reading.
+// list encodes or decodes the length of a list, then its elements. A length that exceeds the buffer ends the
+// reading.
 func list[T any](c *codec, values *[]T, element func(*T)) {
 	length := len(*values)
 	number(c, &length)
@@ -98,14 +99,14 @@
 	kindProcessCount
 )
 
-// Kinds of query: methods that a host calls between events, whose answer is recorded like an action.
+// Kinds of query: methods that a host calls between events, whose result is recorded like an action.
 const (
 	kindQueryOldestCopy = iota + 100
 	kindQueryListed
 	kindQueryTimeUp
 )
 
-// Kinds of action, and of the answers to queries.
+// Kinds of action, and of the results of queries.
 const (
 	kindAttempt = iota + 1
 	kindReject
@@ -117,7 +118,7 @@
 	kindAnswer = 100
 )
 
-// kindNames serve the messages of failed tests.
+// kindNames are used in the messages of failed tests.
 var kindNames = map[int]string{
 	kindEndpointList: "endpoint list", kindRequest: "request", kindAttemptResult: "attempt result",
 	kindHealthCheckResult: "health check result", kindClientGone: "client gone", kindResponseStarted: "response started",
@@ -125,16 +126,16 @@
 	kindQueryOldestCopy: "query: oldest copy", kindQueryListed: "query: listed", kindQueryTimeUp: "query: time up",
 }
 
-// query is a call of one of the controller's methods that answer and change nothing.
+// query is a call of one of the controller's methods that return a value and change nothing.
 type query struct {
 	kind    int
 	subject uint64 // a request or an endpoint
 }
 
-// answer is what a query gave.
+// answer is the result of a query.
 type answer struct{ value int64 }
 
-// event codes an event or a query behind its kind. When reading, the argument is ignored.
+// event encodes or decodes the kind of an event or a query, then its fields. When reading, the argument is ignored.
 func (c *codec) event(in any) (out any) {
 	kind := eventKind(in)
 	number(c, &kind)
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// eventKind gives the number of an event's or a query's type; 0: none.
+// eventKind returns the number of an event's or a query's type; 0: none.
 func eventKind(event any) int {
 	switch event := event.(type) {
 	case control.EndpointList:
@@ -208,7 +209,7 @@
 	return 0
 }
 
-// action codes an action, or the answer to a query, behind its kind.
+// action encodes or decodes the kind of an action or of the result of a query, then its fields.
 func (c *codec) action(in any) (out any) {
 	kind := actionKind(in)
 	number(c, &kind)
@@ -243,7 +244,7 @@
 	return nil
 }
 
-// actionKind gives the number of an action's type; 0: none.
+// actionKind returns the number of an action's type; 0: none.
 func actionKind(action any) int {
 	switch action.(type) {
 	case control.Attempt:
@@ -266,7 +267,7 @@
 	return 0
 }
 
-// fail keeps the first error.
+// fail records the first error and ends the reading.
 func (c *codec) fail(err error) {
 	if c.err == nil {
 		c.err = err
@@ -274,7 +275,7 @@
 	c.buffer = nil
 }
 
-// as codes the fields of a value of type T, which is new where the codec reads.
+// as encodes or decodes the fields of a value of type T, which is new when the codec reads.
 func as[T any](c *codec, in any, fields func(*T)) any {
 	var value T
 	if !c.reading {
@@ -331,7 +332,7 @@
 	c.loadReport(&e.Load)
 }
 
-// loadReport codes a report that may be missing.
+// loadReport encodes or decodes an optional report.
 func (c *codec) loadReport(report **control.LoadReport) {
 	present := *report != nil
 	c.flag(&present)
--- a/control/trace_scenarios_test.go
+++ b/control/trace_scenarios_test.go
@@ -6,40 +6,40 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// scenario is a gateway's settings and the world it is recorded in.
+// scenario contains the settings of a gateway and of the world in which its trace is recorded.
 type scenario struct {
 	name     string
 	settings control.Settings
 	world    worldSettings
 }
 
-// worldSettings says how the recorder's world behaves. Rates are per second, shares between 0 and 1.
+// worldSettings configures the behavior of the recorder's world. Rates are per second, shares between 0 and 1.
 type worldSettings struct {
 	caches, parents int // caches in the gateway's zone, parents in each hub
 	foreignCaches   int // in other zones
 	cells           int
 	weight          float64
-	requestRate     float64 // it doubles and halves in turns
+	requestRate     float64 // it varies periodically between half and double
 	objects         int     // distinct ones asked for
-	sizesUntold     bool
-	clientGone      float64 // share of clients that go before their answer
-	streamed        float64 // share of answers that tell when they begin
-	repeats         float64 // share of rejected clients that ask again
-	lossRate        float64 // share of attempts without an answer
-	errorRate       float64 // share that ends in another fault
-	originTrouble   float64 // share of fills by the origin that are late or fail
-	reportRate      float64 // share of answers that carry a load report
-	reportsLink     bool    // reports tell the use of the zone's link
-	reportsBusy     bool    // reports tell the use of the endpoint's cores
+	sizesUnknown    bool
+	clientGone      float64 // share of clients that disconnect before their response
+	streamed        float64 // share of responses whose begin is reported
+	clientRetries   float64 // share of rejected clients that retry
+	lossRate        float64 // share of attempts without a response
+	errorRate       float64 // share of attempts that fail in another way
+	originFailures  float64 // share of fills from the origin that are late or fail
+	reportRate      float64 // share of responses with a load report
+	reportsLink     bool    // reports include the utilization of the zone's link
+	reportsCPU      bool    // reports include the utilization of the endpoint's cores
 	listRate        float64 // changes of the endpoint list
 	restartShare    float64 // share of these that are restarts
 	listFailures    float64 // share of polls of the list that fail
 	purgeRate       float64
 	excludeRate     float64
-	outageRate      float64 // an endpoint goes down, or becomes slow, for a while
-	outageSeconds   float64 // the longest
+	outageRate      float64 // an endpoint fails or becomes slow for a limited time
+	outageSeconds   float64 // maximum duration
 	processRate     float64 // changes of the number of processes
-	badEventRate    float64 // events that name what does not exist
+	badEventRate    float64 // events with unknown ids
 }
 
 const (
@@ -56,7 +56,7 @@
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// scenarioClasses are one class of each kind.
+// scenarioClasses returns one class of each kind.
 func scenarioClasses() []control.Class {
 	return []control.Class{
 		{LatencyObjective: milliseconds(400), ObjectiveStretch: 1, Deadline: milliseconds(4000), PriorityWeight: 2, LateValue: 0.2},
@@ -66,7 +66,7 @@
 	}
 }
 
-// fullSettings is a gateway in a zone with a hub, with everything allowed.
+// fullSettings returns the settings of a gateway in a zone with a hub, with every capability enabled.
 func fullSettings() control.Settings {
 	return control.Settings{
 		Gateways: 4, Zone: ownZone, GatewaysByZone: []int{0, 0, 2, 2}, HubOfZone: []int{hubZone, otherHub, hubZone, otherHub},
@@ -79,17 +79,17 @@
 	}
 }
 
-// fullWorld is a world in which a little of everything happens.
+// fullWorld returns a world in which every kind of event happens at a low rate.
 func fullWorld() worldSettings {
 	return worldSettings{
 		caches: 4, parents: 2, foreignCaches: 2, cells: 2, weight: 6, requestRate: 40, objects: 300, clientGone: 0.03,
-		streamed: 0.2, repeats: 0.4, lossRate: 0.02, errorRate: 0.06, originTrouble: 0.1, reportRate: 0.5, reportsLink: true,
-		reportsBusy: true, listRate: 0.5, restartShare: 0.3, purgeRate: 0.3, excludeRate: 0.1, outageRate: 0.2, outageSeconds: 6,
+		streamed: 0.2, clientRetries: 0.4, lossRate: 0.02, errorRate: 0.06, originFailures: 0.1, reportRate: 0.5, reportsLink: true,
+		reportsCPU: true, listRate: 0.5, restartShare: 0.3, purgeRate: 0.3, excludeRate: 0.1, outageRate: 0.2, outageSeconds: 6,
 		processRate: 0.05, badEventRate: 0.5,
 	}
 }
 
-// scenarios are the settings and worlds of the recorded traces.
+// scenarios returns the settings and worlds of the recorded traces.
 func scenarios() []scenario {
 	define := func(name string, alter func(*control.Settings, *worldSettings)) scenario {
 		s := scenario{name, fullSettings(), fullWorld()}
@@ -110,14 +110,14 @@
 			zone.DedupScope, all.DedupScope, all.DedupWindow = control.DedupScopeZone, control.DedupScopeAll, milliseconds(3000)
 			s.Classes = []control.Class{classes[3], zone, all}
 			s.ClientsMarkRetries, s.CanHedge, s.Zone = true, false, ownZone
-			w.cells, w.repeats, w.errorRate, w.lossRate = 2, 0.9, 0.15, 0.05
+			w.cells, w.clientRetries, w.errorRate, w.lossRate = 2, 0.9, 0.15, 0.05
 		}),
 		define("idempotency-keys-unmarked", func(s *control.Settings, w *worldSettings) {
 			classes := scenarioClasses()
 			all := classes[3]
 			all.DedupScope, all.DedupWindow = control.DedupScopeAll, milliseconds(2500)
 			s.Classes = []control.Class{classes[3], all, classes[2]}
-			w.repeats, w.errorRate = 0.9, 0.12
+			w.clientRetries, w.errorRate = 0.9, 0.12
 		}),
 		define("link-use-reported", func(s *control.Settings, w *worldSettings) {
 			s.Classes = s.Classes[:2]
@@ -127,7 +127,7 @@
 		define("link-use-estimated", func(s *control.Settings, w *worldSettings) {
 			s.LinkKBps, s.Classes = []float64{0, 0, 9000, 9000}, s.Classes[:2]
 			w.requestRate, w.objects, w.reportRate, w.reportsLink = 60, 3000, 0.6, false
-			w.reportsBusy, w.outageRate, w.originTrouble = false, 0.05, 0.02
+			w.reportsCPU, w.outageRate, w.originFailures = false, 0.05, 0.02
 		}),
 		define("slow-start", func(s *control.Settings, w *worldSettings) {
 			s.Gateways, s.GatewaysByZone, s.Gateway = 24, []int{0, 0, 12, 12}, 5
@@ -151,16 +151,16 @@
 			w.requestRate, w.outageRate, w.reportRate, w.caches = 30, 1.5, 0.3, 6
 		}),
 		define("overload", func(s *control.Settings, w *worldSettings) {
-			w.requestRate, w.weight, w.objects, w.repeats, w.caches = 200, 4, 500, 0.7, 3
-			w.outageRate, w.listRate, w.originTrouble, w.lossRate = 0.05, 0.1, 0, 0.001
+			w.requestRate, w.weight, w.objects, w.clientRetries, w.caches = 200, 4, 500, 0.7, 3
+			w.outageRate, w.listRate, w.originFailures, w.lossRate = 0.05, 0.1, 0, 0.001
 		}),
 		define("sizes-untold", func(s *control.Settings, w *worldSettings) {
 			s.ClientKBps, s.WeightsKnown, s.CanJoinFills = 0, false, false
-			w.sizesUntold = true
+			w.sizesUnknown = true
 		}),
 		define("origin-in-trouble", func(s *control.Settings, w *worldSettings) {
 			s.Classes = s.Classes[:2]
-			w.originTrouble, w.objects, w.parents = 0.5, 4000, 3
+			w.originFailures, w.objects, w.parents = 0.5, 4000, 3
 		}),
 		define("lost-answers", func(s *control.Settings, w *worldSettings) {
 			s.CanHedge, s.Classes, s.MaxAttempts = false, s.Classes[:1], 8
--- a/control/trace_test.go
+++ b/control/trace_test.go
@@ -18,15 +18,16 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// The traces in testdata/trace hold events and the actions that package control called for at commit e47e21a. Replaying them
-// shows that a change of the code has changed no decision. To record them again, which is right only where decisions are
-// meant to change:
+// The traces in testdata/trace contain events and the actions of package control at commit e47e21a. Replaying them
+// shows that a change of the code has changed no decision. They may be recorded again only if decisions are meant to
+// change:
 //
 //	go test ./control -run TestDecisionsAsRecorded -update
 //
-// A trace is compressed by gzip. It holds a header, the settings, then records of (time since the last record, event,
-// actions); see trace_codec_test.go for the fields. Times in actions are compared to the nanosecond. They come of floating-point
-// arithmetic, so the traces hold for the architecture of the recording, amd64: others may fuse multiplications and additions.
+// A trace is compressed with gzip. It contains a header, the settings, then records of (time since the last record,
+// event, actions); see trace_codec_test.go for the fields. Times in actions are compared to the nanosecond. They
+// result from floating-point arithmetic, so the traces are valid only for the architecture on which they were
+// recorded, amd64: others may fuse multiplications and additions.
 var update = flag.Bool("update", false, "record the decision traces again")
 
 const (
@@ -37,20 +38,20 @@
 	minEvents    = 100_000
 )
 
-// record is one event with what the module did at it.
+// record is one event with the actions that it caused.
 type record struct {
 	at      time.Duration
 	event   any
 	actions []byte // as codec.action writes them
 }
 
-// trace is what one scenario recorded.
+// trace is the recording of one scenario.
 type trace struct {
 	settings control.Settings
 	records  []record
 }
 
-// encodeActions gives the recorded form of actions.
+// encodeActions returns the recorded form of actions.
 func encodeActions(now time.Duration, actions []any) []byte {
 	c := codec{now: now}
 	for _, action := range actions {
@@ -59,7 +60,7 @@
 	return c.buffer
 }
 
-// decodeActions gives the actions of a recorded form, for messages.
+// decodeActions decodes the recorded form of actions, for messages.
 func decodeActions(now time.Duration, recorded []byte) (actions []any) {
 	c := codec{now: now, reading: true, buffer: recorded}
 	for len(c.buffer) > 0 {
@@ -140,7 +141,7 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// handle gives an event to the module, or asks it a query, and returns the actions or the answer.
+// handle passes an event to the module, or calls the method of a query, and returns the actions or the result.
 func handle(c *control.Controller, now time.Duration, event any) (actions []any) {
 	q, isQuery := event.(query)
 	if !isQuery {
@@ -163,8 +164,8 @@
 	return []any{a}
 }
 
-// replay gives a trace's events to a new controller and returns the index of the first one at which the actions differ, and
-// the actions there; -1: there is none.
+// replay passes the events of a trace to a new controller. It returns the index of the first event at which the
+// actions differ, and the actions there; -1: there is none.
 func replay(tr *trace) (first int, actions []byte, err error) {
 	c, err := control.New(tr.settings, traceSeed)
 	if err != nil {
@@ -178,7 +179,7 @@
 	return -1, nil, nil
 }
 
-// difference words the first difference, with the events round it.
+// difference describes the first difference, with the events around it.
 func difference(tr *trace, first int, actions []byte) string {
 	var b strings.Builder
 	at := tr.records[first].at
@@ -194,7 +195,7 @@
 			fmt.Fprintf(&b, "  action %d: recorded %T%+v\n             now %T%+v\n", i, want[i], want[i], got[i], got[i])
 		}
 	}
-	b.WriteString("the events round it, with the recorded actions:\n")
+	b.WriteString("the events around it, with the recorded actions:\n")
 	for i := max(0, first-contextWidth); i <= min(first+contextWidth, len(tr.records)-1); i++ {
 		r := tr.records[i]
 		mark := " "
@@ -213,7 +214,7 @@
 	return b.String()
 }
 
-// loadOf gives the load report of an event; nil: it has none.
+// loadOf returns the load report of an event, or nil if it has none.
 func loadOf(event any) *control.LoadReport {
 	switch event := event.(type) {
 	case control.AttemptResult:
@@ -224,7 +225,7 @@
 	return nil
 }
 
-// tracePaths names the recorded traces.
+// tracePaths returns the paths of the recorded traces.
 func tracePaths(t *testing.T) []string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(traceFolder, "*.gz"))
@@ -257,7 +258,7 @@
 	}
 }
 
-// The traces together hold enough events, and every kind of event, attempt result, note, list change and action.
+// The traces together contain enough events, and every kind of event, attempt result, note, list update and action.
 func TestRecordedTracesCoverAllEvents(t *testing.T) {
 	events, results, notes, actions := map[int]int{}, map[control.Outcome]int{}, map[control.Note]int{}, map[int]int{}
 	healthChecks, states := map[control.Outcome]int{}, map[control.State]int{}
@@ -277,7 +278,7 @@
 			case control.HealthCheckResult:
 				healthChecks[event.Outcome]++
 			case control.EndpointList:
-				lists[fmt.Sprintf("whole %t failed %t", event.Snapshot, event.Failed)]++
+				lists[fmt.Sprintf("snapshot %t failed %t", event.Snapshot, event.Failed)]++
 				for _, m := range event.Endpoints {
 					states[m.State]++
 				}
@@ -293,7 +294,7 @@
 	if total < minEvents {
 		t.Errorf("%d events, fewer than %d", total, minEvents)
 	}
-	t.Logf("%d events beside the queries", total)
+	t.Logf("%d events, not counting queries", total)
 	for kind, name := range kindNames {
 		if events[kind] == 0 {
 			t.Errorf("no event of kind %s", name)
@@ -323,7 +324,7 @@
 			t.Errorf("no endpoint is listed in state %d", state)
 		}
 	}
-	for _, form := range []string{"whole true failed false", "whole false failed false", "whole false failed true"} {
+	for _, form := range []string{"snapshot true failed false", "snapshot false failed false", "snapshot false failed true"} {
 		if lists[form] == 0 {
 			t.Errorf("no list is %s", form)
 		}
@@ -337,7 +338,7 @@
 	}
 }
 
-// A replay names the event at which decisions begin to differ, and no earlier one.
+// A replay finds the event at which decisions begin to differ, and no earlier one.
 func TestReplayFindsFirstDifference(t *testing.T) {
 	tr, err := readTrace(tracePaths(t)[0])
 	if err != nil {
@@ -366,7 +367,7 @@
 	}
 }
 
-// Reading a damaged trace gives an error, or a trace whose replay ends.
+// Reading a truncated trace returns an error, and a complete one is decoded as it was encoded.
 func TestDamagedTraceIsAnError(t *testing.T) {
 	tr, err := readTrace(tracePaths(t)[0])
 	if err != nil {
@@ -375,7 +376,7 @@
 	tr.records = tr.records[:50]
 	text := tr.encode()
 	if again, err := decodeTrace(text); err != nil || !bytes.Equal(again.encode(), text) {
-		t.Fatalf("a trace does not come back as it was written: %v", err)
+		t.Fatalf("a decoded trace differs from the encoded one: %v", err)
 	}
 	for _, cut := range []int{0, 3, len(traceHeader) + 1, len(text) - 1} {
 		if _, err := decodeTrace(text[:cut]); err == nil {
--- a/control/trace_world_test.go
+++ b/control/trace_world_test.go
@@ -15,13 +15,13 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// This file makes the events of the recorded traces: a world of clients, endpoints and operators that answers the module's
-// actions. It is used to record alone; the replay reads the events from the traces.
+// This file generates the events of the recorded traces: a world of clients, endpoints and operators that responds
+// to the module's actions. It is used only for recording; the replay reads the events from the traces.
 
 const (
 	eventsPerTrace  = 6500
 	worldStart      = 10 * time.Second
-	worldResolution = 100 * time.Microsecond // of the times of events, so that traces compress well
+	worldResolution = 100 * time.Microsecond // event times are multiples of it, so that traces compress well
 	originID        = control.EndpointID(900)
 	firstParentID   = control.EndpointID(500)
 	foreignCacheID  = control.EndpointID(300)
@@ -47,11 +47,11 @@
 	}
 }
 
-// worldEndpoint is an endpoint as it is, which the list may tell late.
+// worldEndpoint is the actual state of an endpoint, which the list may report late.
 type worldEndpoint struct {
 	control.Endpoint
 	inFlight  int
-	cached    map[cachedPart]time.Duration // when a copy came
+	cached    map[cachedPart]time.Duration // when the copy was stored
 	fault     endpointFault
 	faultEnds time.Duration
 }
@@ -61,7 +61,7 @@
 	part   uint32
 }
 
-// endpointFault is how an endpoint in trouble behaves.
+// endpointFault is the failure mode of an endpoint.
 type endpointFault int
 
 const (
@@ -80,7 +80,7 @@
 	sizeKB   float64
 	attempts []*worldAttempt
 	answered bool
-	started  bool // its response
+	started  bool // its response has begun
 }
 
 type worldAttempt struct {
@@ -88,7 +88,7 @@
 	request  *worldRequest
 	to       *worldEndpoint
 	ended    bool
-	answered bool // its result is on its way
+	answered bool // its result is scheduled
 }
 
 // world drives one controller.
@@ -103,11 +103,11 @@
 	endpoints  []*worldEndpoint // sorted by ID
 	requests   map[control.RequestID]*worldRequest
 	lastID     control.RequestID
-	fills      int // under way
+	fills      int // fills in flight
 	excluded   map[control.EndpointID]bool
 }
 
-// task is something that happens at a time.
+// task is a function that is called at a given time.
 type task struct {
 	at    time.Duration
 	order int
@@ -182,7 +182,7 @@
 	}
 }
 
-// after has something done after a while, at the next full step of time.
+// after schedules a call after a delay, rounded up to the time resolution.
 func (w *world) after(wait time.Duration, do func()) { w.at(w.now+max(0, wait), do) }
 
 func (w *world) at(at time.Duration, do func()) {
@@ -193,25 +193,25 @@
 	heap.Push(&w.schedule, task{at, w.scheduled, do})
 }
 
-// every does something at random times, so many per second on average.
+// every schedules calls at random times with the given mean rate per second.
 func (w *world) every(rate float64, do func()) {
 	if rate == 0 {
 		return
 	}
-	w.after(w.seconds(w.random.ExpFloat64()/(rate*w.tide())), func() {
+	w.after(w.seconds(w.random.ExpFloat64()/(rate*w.loadFactor())), func() {
 		do()
 		w.every(rate, do)
 	})
 }
 
-// tide swings between a half and two over twenty seconds, so that loads rise and fall.
-func (w *world) tide() float64 { return math.Exp2(math.Sin(2 * math.Pi * w.now.Seconds() / 20)) }
+// loadFactor varies between 0.5 and 2 with a period of twenty seconds, so that the load rises and falls.
+func (w *world) loadFactor() float64 { return math.Exp2(math.Sin(2 * math.Pi * w.now.Seconds() / 20)) }
 
 func (w *world) seconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second)).Round(worldResolution)
 }
 
-// between gives a time between two numbers of milliseconds.
+// between returns a random duration between two numbers of milliseconds.
 func (w *world) between(low, high float64) time.Duration {
 	return w.seconds((low + w.random.Float64()*(high-low)) / 1000)
 }
@@ -265,7 +265,7 @@
 		Class: class, Object: object, Part: uint32(w.random.IntN(2)), ObjectGroup: uint16(object % 8),
 		Remaining: w.set.settings.Classes[class].Deadline - w.between(0, 50),
 	}
-	if w.chance(0.05) { // an impatient client
+	if w.chance(0.05) { // a client with a short deadline
 		q.Remaining = w.between(1, 500)
 	}
 	q.ClientHasCopy, q.Write = w.chance(0.1), w.chance(0.02)
@@ -276,11 +276,11 @@
 	w.ask(q, sizeKB)
 }
 
-// ask hands in a client's request.
+// ask sends a client's request to the module.
 func (w *world) ask(q control.Request, sizeKB float64) {
 	w.lastID++
 	q.ID = w.lastID
-	if q.SizeKB = sizeKB; w.set.world.sizesUntold || w.chance(0.02) {
+	if q.SizeKB = sizeKB; w.set.world.sizesUnknown || w.chance(0.02) {
 		q.SizeKB = 0
 	}
 	r := &worldRequest{Request: q, sizeKB: sizeKB}
@@ -296,14 +296,14 @@
 	w.handle(q)
 }
 
-// rejected notes that a request was rejected; its client may ask again.
+// rejected records that a request was rejected; its client may retry.
 func (w *world) rejected(r *worldRequest) {
-	if r == nil { // of a bad event
+	if r == nil { // the request of a bad event
 		return
 	}
 	r.answered = true
 	left := r.Remaining - milliseconds(200)
-	if left <= 0 || !w.chance(w.set.world.repeats) {
+	if left <= 0 || !w.chance(w.set.world.clientRetries) {
 		return
 	}
 	again := r.Request
@@ -313,7 +313,7 @@
 
 // ---- Endpoints ----
 
-// attempt has an endpoint answer, or not.
+// attempt schedules the response of an endpoint to an attempt, if there is one.
 func (w *world) attempt(a control.Attempt) {
 	r, to := w.requests[a.ID], w.endpoint(a.To)
 	attempt := &worldAttempt{number: len(r.attempts), request: r, to: to}
@@ -338,7 +338,7 @@
 	w.after(result.Latency, func() { w.end(attempt, result) })
 }
 
-// start tells that a response has begun, once for a request and never after its end.
+// start reports that a response has begun, at most once per request and never after its end.
 func (w *world) start(a *worldAttempt) {
 	if !a.ended && !a.request.answered && !a.request.started {
 		a.request.started = true
@@ -346,7 +346,7 @@
 	}
 }
 
-// end tells an attempt's result, once.
+// end reports the result of an attempt, at most once.
 func (w *world) end(a *worldAttempt, result control.AttemptResult) {
 	if a.ended {
 		return
@@ -365,7 +365,7 @@
 	w.handle(result)
 }
 
-// cancel ends an attempt soon, unless its answer was faster.
+// cancel ends an attempt soon, unless its response arrives first.
 func (w *world) cancel(a *worldAttempt) {
 	if a.answered && w.chance(0.3) {
 		return
@@ -377,17 +377,17 @@
 	w.after(w.between(0.1, 8), func() { w.end(a, result) })
 }
 
-// report is an endpoint's load report.
+// report returns a load report of an endpoint.
 func (w *world) report(e *worldEndpoint) *control.LoadReport {
 	load := &control.LoadReport{InFlight: float64(e.inFlight + w.random.IntN(3)), Utilization: -1, HitRate: -1, LinkUtilization: -1}
-	if w.set.world.reportsBusy {
+	if w.set.world.reportsCPU {
 		load.Utilization = math.Round(64*min(1, load.InFlight/e.Weight)) / 64
 		if w.chance(0.2) {
 			load.InFlight = -1
 		}
 	}
 	if w.set.world.reportsLink && w.chance(0.9) {
-		load.LinkUtilization = math.Round(64*w.linkUse()) / 64
+		load.LinkUtilization = math.Round(64*w.linkUtilization()) / 64
 	}
 	if w.chance(0.5) {
 		load.HitRate = 0.5
@@ -395,12 +395,13 @@
 	return load
 }
 
-// linkUse is how full the zone's link is.
-func (w *world) linkUse() float64 {
+// linkUtilization returns the utilization of the zone's link.
+func (w *world) linkUtilization() float64 {
 	return float64(w.fills) / (2 * w.set.world.weight) * (0.8 + 0.4*w.random.Float64())
 }
 
-// resultOf says how an attempt ends, by its endpoint's state and chance; not at all, where nothing answers.
+// resultOf returns the result of an attempt, by the state of its endpoint and at random, and false if there is no
+// response.
 func (w *world) resultOf(a control.Attempt, attempt *worldAttempt) (result control.AttemptResult, answers bool) {
 	to := attempt.to
 	if w.now >= to.faultEnds {
@@ -422,10 +423,10 @@
 	if w.chance(w.set.world.errorRate) {
 		return w.randomFault(a), true
 	}
-	return w.answerOf(a, attempt), true
+	return w.responseOf(a, attempt), true
 }
 
-// randomFault is a failed attempt.
+// randomFault returns the result of a failed attempt.
 func (w *world) randomFault(a control.Attempt) control.AttemptResult {
 	kinds := []control.AttemptResult{
 		{Outcome: control.ServerError}, {Outcome: control.ServerError, Note: control.NoPlace}, {Outcome: control.Overloaded},
@@ -446,8 +447,8 @@
 	return result
 }
 
-// answerOf is the result of an attempt at an endpoint in order: a hit, a miss, or a fill.
-func (w *world) answerOf(a control.Attempt, attempt *worldAttempt) (result control.AttemptResult) {
+// responseOf returns the result of an attempt at a healthy endpoint: a hit, a miss, or a fill.
+func (w *world) responseOf(a control.Attempt, attempt *worldAttempt) (result control.AttemptResult) {
 	r, to, part := attempt.request, attempt.to, cachedPart{attempt.request.Object, attempt.request.Part}
 	sending := w.seconds(r.sizeKB / 1000 * (1 + float64(to.inFlight)/(2*to.Weight)))
 	if to.fault == slow {
@@ -475,7 +476,7 @@
 	return result
 }
 
-// fill is an answer that comes from a parent or the origin.
+// fill returns the result of an attempt that is answered by a parent or the origin.
 func (w *world) fill(a control.Attempt, attempt *worldAttempt, part cachedPart, sending time.Duration, result control.AttemptResult) control.AttemptResult {
 	source := w.endpoint(a.Source)
 	_, sourceHolds := source.cached[part]
@@ -489,14 +490,14 @@
 	case source.Kind == originKind || !sourceHolds:
 		result.Note = control.FilledByOrigin
 		result.FirstByte = w.between(20, 80)
-		if w.chance(w.set.world.originTrouble) {
+		if w.chance(w.set.world.originFailures) {
 			if w.chance(0.5) {
 				return control.AttemptResult{Outcome: control.ServerError, Note: control.OriginFailed, Latency: w.between(20, 200)}
 			}
 			result.FirstByte += w.between(200, 1200)
 		}
 	}
-	congestion := max(1, w.linkUse())
+	congestion := max(1, w.linkUtilization())
 	result.Latency = result.FirstByte + w.seconds(sending.Seconds()*congestion)
 	w.keep(a, attempt, source, part)
 	if !w.set.settings.AnswersDetailed {
@@ -508,7 +509,7 @@
 	return result
 }
 
-// keep has the endpoints of a fill keep copies.
+// keep stores copies at the endpoints of a fill.
 func (w *world) keep(a control.Attempt, attempt *worldAttempt, source *worldEndpoint, part cachedPart) {
 	if a.CacheRank == 0 {
 		return
@@ -520,7 +521,7 @@
 	}
 }
 
-// healthCheck has an endpoint answer a health check.
+// healthCheck schedules the response of an endpoint to a health check.
 func (w *world) healthCheck(e *worldEndpoint) {
 	result := control.HealthCheckResult{Endpoint: e.ID, Outcome: control.OK, Latency: w.between(0.3, 3)}
 	if w.now >= e.faultEnds {
@@ -552,14 +553,14 @@
 
 // ---- Discovery and operators ----
 
-func (w *world) list() (members []control.Endpoint) {
+func (w *world) list() (entries []control.Endpoint) {
 	for _, e := range w.endpoints {
-		members = append(members, e.Endpoint)
+		entries = append(entries, e.Endpoint)
 	}
-	return members
+	return entries
 }
 
-// pollList answers a poll of the endpoint list.
+// pollList responds to a poll of the endpoint list.
 func (w *world) pollList() {
 	if w.chance(w.set.world.listFailures) {
 		w.handle(control.EndpointList{Failed: true})
@@ -568,9 +569,9 @@
 	w.handle(control.EndpointList{Snapshot: true, Endpoints: w.list()})
 }
 
-// changeList changes an endpoint and tells it, alone or with a whole list, which may leave one out.
+// changeList changes an endpoint and reports it in a delta or a snapshot, which may omit one.
 func (w *world) changeList() {
-	if w.chance(w.set.world.listFailures) { // the source of changes is lost
+	if w.chance(w.set.world.listFailures) { // the connection to the source of changes is lost
 		w.handle(control.EndpointList{Failed: true})
 		return
 	}
@@ -578,7 +579,7 @@
 	switch {
 	case w.chance(w.set.world.restartShare):
 		e.StartedAt, e.State, e.cached = w.now, control.Ready, map[cachedPart]time.Duration{}
-		if w.chance(0.3) { // the list tells late
+		if w.chance(0.3) { // the list reports the start late
 			e.StartedAt -= w.between(0, 2000)
 		}
 	case e.State != control.Ready || e.Kind == originKind && w.chance(0.8):
@@ -589,7 +590,7 @@
 		e.State = control.Gone
 	}
 	entry := e.Endpoint
-	switch w.random.IntN(30) { // weights that can't be
+	switch w.random.IntN(30) { // invalid weights
 	case 0:
 		entry.Weight = 0
 	case 1:
@@ -600,13 +601,13 @@
 	if w.chance(0.8) {
 		w.handle(control.EndpointList{Endpoints: []control.Endpoint{entry}})
 	} else {
-		whole := w.list()
+		list := w.list()
 		if w.chance(0.3) {
-			whole = slices.DeleteFunc(whole, func(m control.Endpoint) bool { return m.ID == e.ID && m.Kind != originKind })
+			list = slices.DeleteFunc(list, func(m control.Endpoint) bool { return m.ID == e.ID && m.Kind != originKind })
 		}
-		w.handle(control.EndpointList{Snapshot: true, Endpoints: whole})
+		w.handle(control.EndpointList{Snapshot: true, Endpoints: list})
 	}
-	if e.State != control.Ready { // it comes back
+	if e.State != control.Ready { // it becomes ready again
 		w.after(w.between(300, 4000), func() {
 			e.State = control.Ready
 			w.handle(control.EndpointList{Endpoints: []control.Endpoint{e.Endpoint}})
@@ -621,12 +622,12 @@
 		p.Object = object
 	}
 	w.handle(p)
-	if w.chance(0.2) { // told twice
+	if w.chance(0.2) { // reported twice
 		w.handle(p)
 	}
 }
 
-// exclude has the operators take an endpoint out and let it serve again some time later.
+// exclude excludes an endpoint on behalf of the operators and readmits it later.
 func (w *world) exclude() {
 	id := w.someEndpoint().ID
 	if w.chance(0.1) {
@@ -643,12 +644,12 @@
 	})
 }
 
-// badEvent tells of what does not exist, or asks a query.
+// badEvent sends an event with an unknown or finished subject, or makes a query.
 func (w *world) badEvent() {
 	id := control.RequestID(1 + w.random.Uint64N(uint64(w.lastID)+1))
 	r := w.requests[id]
 	switch w.random.IntN(9) {
-	case 0: // a request that is there, or was
+	case 0: // a repeated id of an unfinished request
 		if r != nil && !r.answered {
 			w.handle(r.Request)
 		}
