--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -230,7 +230,7 @@
 }
 
 // In each class the requests with the largest objects are served in proportion to the others, also above capacity.
-func TestLargestRequestsAreServedProportionally(t *testing.T) {
+func TestLargestRequestsGetTheirShare(t *testing.T) {
 	for _, x := range []struct {
 		name            string
 		sizesKnown      bool
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -30,7 +30,7 @@
 	arrivedAt     time.Duration
 	deadline      time.Duration // the final response is given before this time
 	sendBy        time.Duration // a fill that starts later misses the latency objective
-	dedupWindow   time.Duration // how long after a first attempt caches drop repeats; 0: they do not
+	dedupWindow   time.Duration // how long after a first attempt the caches drop repeats; 0: never
 	sendDeadline  time.Duration // no attempt starts later, as an earlier try of the client may have run
 	transferTime  time.Duration // expected transfer time of the response at a client's pace
 	attempts      []*attempt    // every attempt so far, by number
--- a/control/events.go
+++ b/control/events.go
@@ -172,8 +172,8 @@
 	Endpoints []Endpoint
 }
 
-// Excluded is an operators' command: with On, the endpoint receives nothing whatever its listed state;
-// without On, it may serve again.
+// Excluded is a command of the operators: with On, nothing is sent to the endpoint whatever its listed
+// state; without On, it may serve again.
 type Excluded struct {
 	Endpoint EndpointID
 	On       bool
--- a/control/load_report_test.go
+++ b/control/load_report_test.go
@@ -118,7 +118,7 @@
 // A gateway that shares a cache with many others may use its even share of the link, which may be less than one
 // transfer, plus one standard deviation. A gateway that is alone may use the full link. A load report takes
 // precedence over the statistical allowance.
-func TestLinkQuotaWithoutReports(t *testing.T) {
+func TestGatewaysDoNotSendInStep(t *testing.T) {
 	for _, x := range []struct {
 		name           string
 		gateways, want int
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -18,7 +18,7 @@
 
 const (
 	healthCheckInterval    = 250 * time.Millisecond // minimum interval between checks of an endpoint
-	healthChecksPerRequest = 0.2                    // of all gateways of the zone together
+	healthChecksPerRequest = 0.2                    // sent by all gateways of the zone together
 	maxHealthCheckBudget   = 2                      // upper limit of the health check budget
 
 	initialEjection      = 1 * time.Second
--- a/control/selection_order_test.go
+++ b/control/selection_order_test.go
@@ -169,7 +169,7 @@
 
 // Cache selection makes no allocation that grows with the list, and none at all for an object that was requested
 // before.
-func TestSelectionDoesNotAllocate(t *testing.T) {
+func TestChoiceDoesNotAllocate(t *testing.T) {
 	for _, caches := range []int{25, 3200} {
 		c, err := New(testSettings(), 1)
 		if err != nil {
--- a/control/slow_start.go
+++ b/control/slow_start.go
@@ -100,7 +100,7 @@
 	}
 	costliest := slices.Max(c.meanTransfer)
 	phase := c.slowStartPhase(e, allowance.earned)
-	if e.budgetUpdatedAt == 0 { // keeps all gateways from sending as soon as the endpoint starts
+	if e.budgetUpdatedAt == 0 { // otherwise all gateways would send as soon as the endpoint starts
 		e.slowStartBudget = costliest * phase
 		e.budgetUpdatedAt = c.now
 	}
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -112,7 +112,7 @@
 // spend it at the same moment after an idle period, the number of requests in any collapse window must not exceed N
 // + 2 x root of N + 2, where N is the number that the settings allow. The cache must not be left idle either: if all
 // gateways send all the time, most of the earned budget is used.
-func TestGatewaysTakeTurnsInSlowStart(t *testing.T) {
+func TestSlowStartBurstsAreSpentInTurn(t *testing.T) {
 	for _, multiple := range []float64{1, 2, 4} {
 		for _, weight := range []float64{1, 4, 20} {
 			for _, n := range []int{1, 8, 20, 30, 60, 200} {
--- a/control/trace_scenarios_test.go
+++ b/control/trace_scenarios_test.go
@@ -20,10 +20,10 @@
 	cells           int
 	weight          float64
 	requestRate     float64 // it varies periodically between half and double
-	objects         int     // distinct ones asked for
+	objects         int     // number of distinct objects that are requested
 	sizesUnknown    bool
 	clientGone      float64 // share of clients that disconnect before their response
-	streamed        float64 // share of responses whose begin is reported
+	streamed        float64 // share of responses whose start is reported
 	clientRetries   float64 // share of rejected clients that retry
 	lossRate        float64 // share of attempts without a response
 	errorRate       float64 // share of attempts that fail in another way
--- a/control/trace_world_test.go
+++ b/control/trace_world_test.go
@@ -298,7 +298,7 @@
 
 // rejected records that a request was rejected; its client may retry.
 func (w *world) rejected(r *worldRequest) {
-	if r == nil { // the request of a bad event
+	if r == nil { // the event had an unknown id
 		return
 	}
 	r.answered = true
