--- a/capacity/line.go
+++ b/capacity/line.go
@@ -6,47 +6,47 @@
 	"slices"
 )
 
-// Point is one measurement: a quantity and what was measured at it.
+// Point is one measurement: the value Y measured at the quantity X.
 type Point struct{ X, Y float64 }
 
 // Line is a straight line.
 type Line struct{ Intercept, Slope float64 }
 
-// At is the line's value.
+// At returns the line's value at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// Fit gives the line of least squares through points of which two at least differ in X, and the largest relative distance of
-// a point from it.
+// Fit returns the least-squares line through points of which at least two differ in X, and the largest relative error of the
+// line at a point.
 func Fit(points []Point) (l Line, residual float64) {
 	n, meanX, meanY := float64(len(points)), 0.0, 0.0
 	for _, p := range points {
 		meanX += p.X / n
 		meanY += p.Y / n
 	}
-	var spread, common float64
+	var squaresX, productsXY float64 // sums of the squared deviations of X, and of the products of deviations
 	for _, p := range points {
-		spread += (p.X - meanX) * (p.X - meanX)
-		common += (p.X - meanX) * (p.Y - meanY)
+		squaresX += (p.X - meanX) * (p.X - meanX)
+		productsXY += (p.X - meanX) * (p.Y - meanY)
 	}
-	l.Slope = common / spread
+	l.Slope = productsXY / squaresX
 	l.Intercept = meanY - l.Slope*meanX
 	for _, p := range points {
-		residual = max(residual, l.miss(p))
+		residual = max(residual, l.relativeError(p))
 	}
 	return l, residual
 }
 
-// miss is a point's distance from the line, relative to what was measured.
-func (l Line) miss(p Point) float64 {
+// relativeError returns the vertical distance between a point and the line, relative to the measured value.
+func (l Line) relativeError(p Point) float64 {
 	return math.Abs(p.Y-l.At(p.X)) / max(math.Abs(p.Y), math.SmallestNonzeroFloat64)
 }
 
-// Bend gives the first point that a line through all points before it misses by more than the tolerance, a share of what was
-// measured. A bend can't be told from fewer than three points.
+// Bend returns the X of the first point at which the line fitted through all points before it has a relative error above the
+// tolerance. At least three points are needed.
 func Bend(points []Point, tolerance float64) (at float64, bends bool) {
 	sorted := slices.SortedFunc(slices.Values(points), func(a, b Point) int { return cmp.Compare(a.X, b.X) })
 	for i := 2; i < len(sorted); i++ {
-		if l, _ := Fit(sorted[:i]); l.miss(sorted[i]) > tolerance {
+		if l, _ := Fit(sorted[:i]); l.relativeError(sorted[i]) > tolerance {
 			return sorted[i].X, true
 		}
 	}
--- a/capacity/quorum.go
+++ b/capacity/quorum.go
@@ -9,41 +9,41 @@
 
 const year = 365 * 24 * time.Hour
 
-// Failure is how often one unit of a kind fails, and for how long it is out then.
+// Failure is how often one unit of a kind fails while it is up, and how long its repair takes.
 type Failure struct {
 	PerYear float64
 	Repair  time.Duration
 }
 
-// Unavailability is the share of time for which a unit is out.
+// Unavailability returns the fraction of time for which a unit is down.
 func (f Failure) Unavailability() float64 {
-	out := f.PerYear * f.Repair.Hours() / year.Hours()
-	return out / (1 + out)
+	downPerUp := f.PerYear * f.Repair.Hours() / year.Hours()
+	return downPerUp / (1 + downPerUp)
 }
 
-// Frequency is how often a year a unit fails, as it can't fail while it is out.
+// Frequency returns the failures of a unit per year. A unit can't fail while it is down.
 func (f Failure) Frequency() float64 { return f.PerYear * (1 - f.Unavailability()) }
 
-// Failures are those of every kind of unit that a voter stands on. Units fail independently of each other.
+// Failures holds the failures of every kind of unit that a voter depends on. Units fail independently of each other.
 type Failures struct{ Machine, Rack, Zone, Region Failure }
 
-// Place is where a voter stands. Voters share a rack, zone or region where the whole path to it is the same: rack 1 of zone
-// 1 is another one than rack 1 of zone 2.
+// Place is the location of a voter. Rack numbers are local to a zone, and zone numbers to a region: rack 1 of zone 1 is not
+// rack 1 of zone 2.
 type Place struct{ Region, Zone, Rack int }
 
 // MaxVoters bounds the voters of one group.
 const MaxVoters = 16
 
-// ErrVoters tells that a group has no voters or more than MaxVoters.
-var ErrVoters = errors.New("capacity: a group has 1 to 16 voters")
+// ErrVoters is returned for a group without voters or with more than MaxVoters.
+var ErrVoters = errors.New("capacity: a group must have 1 to 16 voters")
 
-// Outage is how a group loses its majority.
+// Outage describes how often and for how long a group has no majority.
 type Outage struct {
-	Unavailability float64 // share of time without a majority
-	PerYear        float64
+	Unavailability float64 // fraction of time without a majority
+	PerYear        float64 // number of outages per year
 }
 
-// Mean is how long one outage lasts in the mean.
+// Mean returns the mean duration of an outage.
 func (o Outage) Mean() time.Duration {
 	if o.PerYear == 0 {
 		return 0
@@ -51,31 +51,32 @@
 	return time.Duration(o.Unavailability / o.PerYear * float64(year))
 }
 
-// PerYearTime is the time without a majority in a year.
+// PerYearTime returns the time without a majority per year.
 func (o Outage) PerYearTime() time.Duration { return time.Duration(o.Unavailability * float64(year)) }
 
-// MajorityLoss is how a group of voters loses its majority, one voter at each place.
+// MajorityLoss returns the outages of a group that has one voter at each place.
 func (f Failures) MajorityLoss(places []Place) (Outage, error) {
 	if len(places) == 0 || len(places) > MaxVoters {
 		return Outage{}, ErrVoters
 	}
 	units := f.units(places)
-	out := Outage{Unavailability: lossOf(units, len(places), -1, 0)}
+	outage := Outage{Unavailability: majorityLossProbability(units, len(places), -1, 0)}
 	for i, u := range units {
-		// How often the whole fails by a unit is how often that fails while all hangs on it (Birnbaum's importance).
-		importance := lossOf(units, len(places), i, 1) - lossOf(units, len(places), i, 0)
-		out.PerYear += u.failure.Frequency() * importance
+		// The rate of outages caused by a unit is the unit's failure rate multiplied by the probability that the majority
+		// depends on this unit (Birnbaum's importance).
+		importance := majorityLossProbability(units, len(places), i, 1) - majorityLossProbability(units, len(places), i, 0)
+		outage.PerYear += u.failure.Frequency() * importance
 	}
-	return out, nil
+	return outage, nil
 }
 
-// unit is a machine, rack, zone or region, with the set of voters that are out with it.
+// unit is a machine, rack, zone or region, with the set of voters (a bit each) that are down while it is down.
 type unit struct {
 	failure Failure
 	voters  uint32
 }
 
-// units gives those that the voters stand on.
+// units returns the units that voters at these places depend on.
 func (f Failures) units(places []Place) (units []unit) {
 	racks, zones, regions := map[Place]uint32{}, map[Place]uint32{}, map[Place]uint32{}
 	for i, p := range places {
@@ -96,39 +97,41 @@
 	return units
 }
 
-// lossOf is the chance that no majority of so many voters is up; the unit at index fixed is out with the chance given.
-func lossOf(units []unit, voters, fixed int, chance float64) (loss float64) {
-	chances := make([]float64, 1<<voters) // by the set of voters that are out
-	chances[0] = 1
+// majorityLossProbability returns the probability that no majority of the voters is up. The unit at index fixed is down with
+// the probability fixedDown instead of its unavailability; fixed -1: no unit.
+func majorityLossProbability(units []unit, voters, fixed int, fixedDown float64) (loss float64) {
+	probabilities := make([]float64, 1<<voters) // by the set of voters that are down
+	probabilities[0] = 1
 	for i, u := range units {
-		out := u.failure.Unavailability()
+		down := u.failure.Unavailability()
 		if i == fixed {
-			out = chance
+			down = fixedDown
 		}
-		next := make([]float64, len(chances))
-		for set, c := range chances {
-			next[set] += c * (1 - out)
-			next[uint32(set)|u.voters] += c * out
+		next := make([]float64, len(probabilities))
+		for set, p := range probabilities {
+			next[set] += p * (1 - down)
+			next[uint32(set)|u.voters] += p * down
 		}
-		chances = next
+		probabilities = next
 	}
-	for set, c := range chances {
+	for set, p := range probabilities {
 		if 2*(voters-bits.OnesCount(uint(set))) <= voters {
-			loss += c
+			loss += p
 		}
 	}
 	return loss
 }
 
-// AtLeast is the chance that of n independent units, each out with chance p, k or more are out (binomial distribution).
-func AtLeast(k, n int, p float64) (chance float64) {
+// AtLeast returns the probability that at least k of n independent units are down, each with probability p (binomial
+// distribution).
+func AtLeast(k, n int, p float64) (probability float64) {
 	for i := k; i <= n; i++ {
-		chance += choose(n, i) * math.Pow(p, float64(i)) * math.Pow(1-p, float64(n-i))
+		probability += choose(n, i) * math.Pow(p, float64(i)) * math.Pow(1-p, float64(n-i))
 	}
-	return chance
+	return probability
 }
 
-// choose is the number of ways to choose k of n.
+// choose returns the binomial coefficient, the number of ways to choose k of n.
 func choose(n, k int) float64 {
 	ways := 1.0
 	for i := range k {
--- a/capacity/target.go
+++ b/capacity/target.go
@@ -1,9 +1,9 @@
-// Package capacity holds the arithmetic of docs/CAPACITY.md: the size that is planned for, straight lines through measured
-// points, and the chance that a group of voters loses its majority. It does no I/O. Its benchmarks measure the slopes that the
-// page multiplies; each figure there names the one that gave it.
+// Package capacity holds the arithmetic of docs/CAPACITY.md: the planned size, straight lines fitted through measured points,
+// and the probability that a group of voters loses its majority. It does no I/O. Its benchmarks measure the slopes that the
+// page multiplies; each figure there names its benchmark.
 package capacity
 
-// Target is a size that the system is planned for.
+// Target is a planned size of the system.
 type Target struct {
 	Gateways, Sites, Stores int
 	Zones, Regions          int
@@ -28,28 +28,28 @@
 
 const bitsPerByte = 8
 
-// Load is what one unit carries at the peak.
+// Load is the peak load of one unit.
 type Load struct {
 	RequestsPerSecond float64
 	BytesPerSecond    float64
 }
 
-// Mean is the load of one unit where the whole is spread evenly over so many.
+// Mean returns the load of one unit if the total is spread evenly over a number of units.
 func (t Target) Mean(units int) Load {
 	return Load{t.RequestsPerSecond / float64(units), t.BitsPerSecond / bitsPerByte / float64(units)}
 }
 
-// Times is a load multiplied by a factor.
+// Times returns the load multiplied by a factor.
 func (l Load) Times(factor float64) Load {
 	return Load{l.RequestsPerSecond * factor, l.BytesPerSecond * factor}
 }
 
-// BytesPerRequest is the mean size of an answer.
+// BytesPerRequest returns the mean size of a response.
 func (t Target) BytesPerRequest() float64 {
 	return t.BitsPerSecond / bitsPerByte / t.RequestsPerSecond
 }
 
-// InHand is the mean number of transfers under way at a load (Little's law), where each goes at a client's pace.
+// InHand returns the mean number of concurrent transfers at a load (Little's law), if each runs at the client's rate.
 func (l Load) InHand(bytesPerRequest, clientBytesPerSecond float64) float64 {
 	return l.RequestsPerSecond * bytesPerRequest / clientBytesPerSecond
 }
--- a/distribution/admission.go
+++ b/distribution/admission.go
@@ -9,7 +9,7 @@
 const (
 	AdmitResume   Admission = "resume"   // changes follow from its position on
 	AdmitSnapshot Admission = "snapshot" // it needs a snapshot first, which counts for Limits.Snapshots until SnapshotSent
-	AdmitReject   Admission = "refuse"   // it has to retry, here or at another voter
+	AdmitReject   Admission = "refuse"   // it has to retry, at this voter or another one
 )
 
 // Rejection is the reason why a subscriber is rejected. The values are part of the wire form.
@@ -22,7 +22,7 @@
 	RejectBehind Rejection = "behind" // this voter has not applied the subscriber's position yet
 )
 
-// Decision is the answer to a subscription.
+// Decision is the response to a subscription.
 type Decision struct {
 	ID         SubscriberID
 	Admission  Admission
@@ -30,14 +30,14 @@
 	RetryAfter time.Duration // of a rejection
 }
 
-// The least Retry-After of rejections; the actual one is between once and twice as long. A subscriber rejected as
+// Minimum Retry-After of rejections; the actual one is between the minimum and twice the minimum. A subscriber rejected as
 // RejectBehind retries after one to two heartbeat intervals, when a further confirmation round has ended.
 const (
 	fullRetryAfter = 5 * time.Second
 	busyRetryAfter = time.Second
 )
 
-// admission is the state of decisions on subscribers besides the journal.
+// admission is the state that decisions on subscribers depend on, besides the journal.
 type admission struct {
 	behindRetryAfter time.Duration
 	rejections       uint64
@@ -52,10 +52,10 @@
 // majority (0: none). A subscriber ahead of Last is rejected as RejectBehind until a confirmation shows that its position is
 // not in this history, and is then sent a snapshot.
 //
-// A confirmation shows that if its round began after the position was first named here and its revision is lower: the
-// position was committed before it was named, so in a history that has it the round would have confirmed it. An earlier round
-// shows nothing, as the position may be newer. The owner has therefore to run rounds even without subscribers, as
-// NeedsConfirmation demands.
+// A confirmation proves this if its round began after the position was first received here and its revision is lower: the
+// position was committed before a subscriber reported it, so a round in a history that contains it would have confirmed it. An
+// earlier round proves nothing, as the position may be newer. The owner therefore has to run rounds even without subscribers,
+// whenever NeedsConfirmation reports true.
 func (p *Publisher) Subscribe(at Position, confirmed Revision, now time.Time) Decision {
 	if len(p.subscribers) >= p.limits.Subscribers {
 		return p.reject(RejectFull, fullRetryAfter)
@@ -84,7 +84,7 @@
 	return p.lastID
 }
 
-// divergenceShown reports whether a position ahead of the journal is known to be in no history of a majority.
+// divergenceShown reports whether a position ahead of the journal is proved to be absent from the majority's history.
 func (p *Publisher) divergenceShown(at Position, confirmed Revision) bool {
 	if max(confirmed, p.confirmations.through) >= at.Revision {
 		return false
@@ -104,7 +104,7 @@
 }
 
 // aheadPositions records positions of subscribers that were ahead of the journal, each with the number of confirmation rounds
-// begun before it was first named. It drops the oldest ones beyond its limit.
+// begun before it was first received. It drops the oldest ones beyond its limit.
 type aheadPositions struct {
 	limit        int
 	roundsBefore map[Position]uint64
--- a/distribution/backoff.go
+++ b/distribution/backoff.go
@@ -22,13 +22,14 @@
 	return b
 }
 
-// Next returns the delay before the next attempt: uniform between the least one and a ceiling that doubles at each attempt,
-// up to the greatest one. The Retry-After of a rejection replaces the least delay, up to a minute; 0: there was none.
+// Next returns the delay before the next attempt: uniform between the minimum delay and a ceiling that doubles at each
+// attempt, up to the maximum delay. The Retry-After of a rejection, up to maxRetryAfter, replaces the minimum delay if it is
+// longer; 0: there was none.
 func (b *Backoff) Next(retryAfter time.Duration) time.Duration {
 	jitter := time.Duration(b.random.Int64N(int64(b.ceiling-b.minDelay) + 1))
 	b.ceiling = min(2*b.ceiling, b.maxDelay)
 	return max(b.minDelay, min(retryAfter, maxRetryAfter)) + jitter
 }
 
-// Reset resets the ceiling, after a connection that worked.
+// Reset resets the ceiling, after a successful connection.
 func (b *Backoff) Reset() { b.ceiling = min(2*b.minDelay, b.maxDelay) }
--- a/distribution/batch.go
+++ b/distribution/batch.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Batch is a run of changes that follow After without a gap, in order. It is shared by subscribers and not modified. A
-// subscriber that has some of its first changes already skips them.
+// Batch is a sequence of changes that follow After without a gap, in order. It is shared by subscribers and not modified. A
+// subscriber that already has some of the first changes skips them.
 type Batch struct {
 	After   Position `json:"after"`
 	Changes []Change `json:"changes"`
@@ -13,8 +13,8 @@
 	encodeErr  error
 }
 
-// Encoded returns the batch as encoded by encode. Only the first call encodes it, and all further ones share the bytes,
-// whatever their encode: a batch has one wire form. It is safe for concurrent use.
+// Encoded returns the batch as encoded by encode. Only the first call encodes it; all further calls return the same bytes and
+// ignore their encode, as a batch has only one wire form. It is safe for concurrent use.
 func (b *Batch) Encoded(encode func(*Batch) ([]byte, error)) ([]byte, error) {
 	b.encodeOnce.Do(func() { b.encoded, b.encodeErr = encode(b) })
 	return b.encoded, b.encodeErr
--- a/distribution/change.go
+++ b/distribution/change.go
@@ -19,7 +19,7 @@
 // The kinds of changes.
 const (
 	KindPut    Kind = "put"    // sets the configuration value Name to Value
-	KindRevoke Kind = "revoke" // rejects the use Name until Until
+	KindRevoke Kind = "revoke" // revokes the use Name until Until
 	KindPurge  Kind = "purge"  // invalidates the cached copies of Object, or with object 0 of Group, that are older than At
 )
 
@@ -35,7 +35,7 @@
 	At     int64           `json:"at,omitempty"` // when the change was proposed, in Unix ms; of a purge: its time
 }
 
-// Snapshot is the whole distributed state at a position.
+// Snapshot is the complete distributed state at a position.
 type Snapshot struct {
 	At          Position                   `json:"at"`
 	Config      map[string]json.RawMessage `json:"config"`
--- a/distribution/confirmation.go
+++ b/distribution/confirmation.go
@@ -7,7 +7,7 @@
 type confirmations struct {
 	begun       uint64 // number of the newest round begun; the first is 1
 	voidThrough uint64 // rounds up to it are void
-	requested   bool   // a round is needed that has not begun
+	requested   bool   // a round is needed and has not begun
 
 	confirmed uint64 // the newest round confirmed; 0: none
 	through   Revision
--- a/distribution/digest.go
+++ b/distribution/digest.go
@@ -14,10 +14,10 @@
 )
 
 // Digest returns a checksum of configuration and revocations at Position: it is the same for all views of one history at one
-// position. It covers the revocations that have not ended at the latest time in the log. Those that have ended are dropped by
-// each view's own clock.
+// position. It covers only the revocations that have not ended at the latest time in the log, as each view drops those that
+// have ended by its own clock.
 func (v *View) Digest() uint64 {
-	// The sum does not depend on the order of its terms, which is that of maps.
+	// A sum does not depend on the order in which the maps are iterated.
 	sum := entryDigest(digestPosition, "", numberBytes(uint64(v.position.Revision), v.position.Term))
 	for name, value := range v.config {
 		sum += entryDigest(digestConfig, name, value)
--- a/distribution/journal.go
+++ b/distribution/journal.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// next returns the batch that follows a revision. If it is not due yet, wake is when it will be; with neither there are no
-// changes.
+// next returns the batch that follows a revision. If it is not due yet, wake is when it will be; if neither is set there are
+// no changes.
 func (j *journal) next(after Revision, now time.Time) (batch *Batch, wake time.Time, err error) {
 	if after < j.floor.Revision {
 		return nil, time.Time{}, ErrOverrun
--- a/distribution/lease.go
+++ b/distribution/lease.go
@@ -3,14 +3,14 @@
 import "time"
 
 // copyAgeMargin is how much MaxCopyAge is below the purge deadline: the greatest difference allowed between the clocks of the
-// member that accepted a purge, of the store that made a copy and of this gateway.
+// member that accepted a purge, of the cache that made a copy and of this gateway.
 const copyAgeMargin = 500 * time.Millisecond
 
-// maxPendingHeartbeats bounds the heartbeats without a mark. A subscriber turns to another voter long before as many
-// intervals have passed.
+// maxPendingHeartbeats bounds the heartbeats without a mark. A subscriber switches to another voter long before so many
+// heartbeat intervals have passed.
 const maxPendingHeartbeats = 64
 
-// Lease tracks when a view was last known to be complete. It uses the subscriber's clock alone, so neither differences
+// Lease tracks when a view was last known to be complete. It uses only the subscriber's clock, so neither differences
 // between clocks nor delayed messages can make it fresh: a mark counts from when the heartbeat that it names was sent.
 type Lease struct {
 	timing     Timing
@@ -40,7 +40,8 @@
 }
 
 // Renew renews the lease by a mark, if the mark names a heartbeat of this connection and the view, which is at a position,
-// has every change up to the mark's revision. It reports whether it did. The time of the mark's receipt does not matter.
+// has every change up to the mark's revision. It reports whether the lease was renewed. The time at which the mark is received
+// does not matter.
 func (l *Lease) Renew(m Mark, at Position) bool {
 	if at.Revision < m.Through {
 		return false
@@ -56,7 +57,7 @@
 	return false
 }
 
-// Disconnected drops the heartbeats of a connection that ended. The lease stays as it is.
+// Disconnected drops the heartbeats of a connection that ended. The lease itself is unchanged.
 func (l *Lease) Disconnected() { l.pending = nil }
 
 // Fresh reports whether the view was known to be complete less than LeaseTTL ago.
@@ -71,7 +72,7 @@
 // in effect may be missing, only copies younger than the purge deadline are certain to be newer than it.
 //
 // A purge of time p has to be in effect from p plus PurgeDeadline on. Until PurgeDeadline after the view was complete, every
-// such purge is known. Later, a purge may be missing whose time is up to PurgeDeadline before now, so that only copies made
+// such purge is known. Later, a purge that was proposed PurgeDeadline ago or earlier may be missing, so that only copies made
 // since then are certain.
 func (l *Lease) MaxCopyAge(now time.Time) time.Duration {
 	if !l.completeAt.IsZero() && now.Sub(l.completeAt) <= l.timing.PurgeDeadline {
--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -3,9 +3,9 @@
 // Limits bounds a Publisher. Its zero fields take the defaults.
 type Limits struct {
 	JournalChanges int // changes in the journal, for subscribers that resume
-	JournalBytes   int // their size; the encoded batches of Batch.Encoded take about as much again
+	JournalBytes   int // their size; the bytes cached by Batch.Encoded take about as much again
 	Subscribers    int
-	Snapshots      int // being sent at once
+	Snapshots      int // being sent at the same time
 	BatchBytes     int // of one batch; a larger change is a batch of its own
 }
 
@@ -18,11 +18,11 @@
 	DefaultBatchBytes     = 64 << 10
 )
 
-// minJournalBatches is the least number of batches of a full journal. The journal drops whole batches, so a batch must be a
-// small share of it.
+// minJournalBatches is the minimum number of batches in a full journal. The journal drops complete batches, so each must be a
+// small part of it.
 const minJournalBatches = 16
 
-// changeOverhead is about the size of a change besides its name and value, encoded as well as in memory.
+// changeOverhead is the approximate size of a change besides its name and value, encoded as well as in memory.
 const changeOverhead = 128
 
 // withDefaults returns the limits with defaults in place of zero fields.
@@ -35,11 +35,11 @@
 	return l
 }
 
-// batchChanges returns the greatest number of changes in a batch.
+// batchChanges returns the maximum number of changes in a batch.
 func (l Limits) batchChanges() int { return max(1, l.JournalChanges/minJournalBatches) }
 
-// batchBytes returns the greatest size of a batch of several changes.
+// batchBytes returns the maximum size of a batch of several changes.
 func (l Limits) batchBytes() int { return min(l.BatchBytes, l.JournalBytes/minJournalBatches) }
 
-// size returns the size of a change in terms of JournalBytes and BatchBytes.
+// size returns the size of a change as counted for JournalBytes and BatchBytes.
 func (c *Change) size() int { return changeOverhead + len(c.Name) + len(c.Value) }
--- a/distribution/member_lease.go
+++ b/distribution/member_lease.go
@@ -9,7 +9,7 @@
 type MemberLease struct {
 	lease   *Lease
 	applied Position // of the last applied change
-	pending []Mark   // of confirmed rounds, ascending; each waits until its changes are applied
+	pending []Mark   // of confirmed rounds, ascending, whose changes are not all applied yet
 }
 
 // maxPendingMarks bounds the pending marks. A voter that lags by more rounds is stale anyway.
--- a/distribution/publisher.go
+++ b/distribution/publisher.go
@@ -9,7 +9,8 @@
 // SubscriberID identifies a connection of a subscriber at one Publisher. It is not reused.
 type SubscriberID uint64
 
-// ErrOverrun is returned for a subscriber that has fallen behind the journal: it has to reconnect, and is then sent a snapshot.
+// ErrOverrun is returned for a subscriber whose next change is no longer in the journal: it has to reconnect, and is then sent
+// a snapshot.
 var ErrOverrun = errors.New("distribution: subscriber is behind the journal")
 
 // ErrUnknownSubscriber is returned for a subscriber that was removed or never admitted.
@@ -38,7 +39,8 @@
 	}
 }
 
-// Append appends a change. Revisions ascend; a change whose revision does not is ignored, as a log that is replayed repeats it.
+// Append appends a change. Revisions ascend; a change whose revision is not above the last one is ignored, as the replay of a
+// log repeats changes.
 func (p *Publisher) Append(c Change) {
 	if c.Revision <= p.journal.last.Revision {
 		return
@@ -67,12 +69,12 @@
 	return len(p.subscribers), p.snapshotsInProgress
 }
 
-// SnapshotSent records that a subscriber was sent the snapshot at a position, from which its changes follow. It returns
-// ErrOverrun if the position is not in the journal, which was trimmed beyond it or reset.
+// SnapshotSent records that a subscriber was sent the snapshot at a position, after which its changes follow. It returns
+// ErrOverrun if the position is no longer in the journal, which was trimmed past it or reset.
 func (p *Publisher) SnapshotSent(id SubscriberID, at Position) error {
 	s, ok := p.subscribers[id]
 	if !ok || s.state != stateSendingSnapshot {
-		return fmt.Errorf("no snapshot under way: %w", ErrUnknownSubscriber)
+		return fmt.Errorf("no snapshot in progress: %w", ErrUnknownSubscriber)
 	}
 	p.snapshotsInProgress--
 	if p.journal.locate(at) != locationInJournal {
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// Remove ends a subscription, in whatever state it is.
+// Remove ends a subscription in any state.
 func (p *Publisher) Remove(id SubscriberID) {
 	s, ok := p.subscribers[id]
 	if !ok {
@@ -98,10 +100,10 @@
 
 // Next returns what a subscriber is to be sent now, and advances its cursor: a batch, a mark to send after it, either or neither.
 //
-// A batch is due once BatchDelay has passed since Next first saw its first change, for whichever subscriber, or once it is
-// full. A mark is due if a confirmation covers a newer heartbeat than the last mark, and every change up to its revision was
-// delivered. If neither is due, wake is the latest time to call again (zero: when something is appended or confirmed). All
-// subscribers that are sent the same changes are sent the same *Batch.
+// A batch is due once BatchDelay has passed since the first call of Next, for any subscriber, that found the batch open with
+// a change, or once it is full. A mark is due if a confirmation covers a newer heartbeat than the last mark, and every change
+// up to its revision was delivered. If neither is due, wake is the latest time to call again (zero: when something is appended
+// or confirmed). All subscribers that are sent the same changes are sent the same *Batch.
 func (p *Publisher) Next(id SubscriberID, now time.Time) (batch *Batch, mark *Mark, wake time.Time, err error) {
 	s, ok := p.subscribers[id]
 	if !ok {
@@ -142,11 +144,11 @@
 // BeginConfirmation begins a confirmation round, whose success covers the heartbeats recorded before.
 func (p *Publisher) BeginConfirmation() Confirmation { return p.confirmations.begin() }
 
-// NeedsConfirmation reports whether a heartbeat, or a subscriber rejected as RejectBehind, waits for a round that has not begun.
+// NeedsConfirmation reports whether a heartbeat, or a subscriber rejected as RejectBehind, needs a round that has not begun.
 func (p *Publisher) NeedsConfirmation() bool { return p.confirmations.requested }
 
-// Confirm ends a round with success: every change that was acknowledged, or delivered by any voter, before the round began
-// has a revision of through at most. The leader's address is put into the marks. A failed round is not recorded.
+// Confirm records the success of a round: every change that was acknowledged, or delivered by any voter, before the round
+// began has a revision of through at most. The leader's address is put into the marks. A failed round is not recorded.
 func (p *Publisher) Confirm(c Confirmation, through Revision, leader string) {
 	p.confirmations.confirm(c, through, leader)
 }
--- a/distribution/subscriber.go
+++ b/distribution/subscriber.go
@@ -1,15 +1,15 @@
 package distribution
 
-// deliveryState is what a subscriber is sent.
+// deliveryState determines what a subscriber is sent.
 type deliveryState int
 
 const (
 	stateStreaming       deliveryState = iota // changes and marks
 	stateSendingSnapshot                      // a snapshot is being sent
-	stateOverrun                              // nothing more: it has to reconnect
+	stateOverrun                              // nothing; the subscriber has to reconnect
 )
 
-// subscriber is a Publisher's state of a subscriber. Its size is fixed.
+// subscriber is a Publisher's state for one subscriber. Its size is fixed.
 type subscriber struct {
 	state      deliveryState
 	delivered  Position // the position up to which changes were delivered
@@ -34,14 +34,14 @@
 }
 
 // heartbeatQueue holds the heartbeats that no confirmation covers yet: the oldest, which every later round covers, and the
-// newest. Those between would be superseded. The oldest stays until it is covered, so that marks are sent even if rounds take
-// longer than the interval of heartbeats.
+// newest, which supersedes those in between. The oldest is kept until it is covered, so that marks are sent even if rounds
+// take longer than the heartbeat interval.
 type heartbeatQueue struct {
 	oldest, newest enteredHeartbeat
 	highest        uint64
 }
 
-// add adds a heartbeat. It reports false if that is not newer than the others.
+// add adds a heartbeat. It returns false if the heartbeat is not newer than the others.
 func (q *heartbeatQueue) add(number, begun uint64) bool {
 	if number <= q.highest {
 		return false
@@ -72,8 +72,8 @@
 	return number, true
 }
 
-// markQueue holds the marks that wait until their changes are delivered: the oldest, which is due first, and the newest. The
-// oldest stays until it is due, so that marks are sent even if a follower lags by more than the interval of rounds.
+// markQueue holds the marks whose changes are not all delivered yet: the oldest, which is due first, and the newest. The
+// oldest is kept until it is due, so that marks are sent even if a follower lags by more than the interval between rounds.
 type markQueue struct {
 	oldest, newest Mark // Heartbeat 0: none
 }
--- a/distribution/timing.go
+++ b/distribution/timing.go
@@ -4,10 +4,10 @@
 
 // Timing configures the intervals and time-outs of the protocol. Its zero fields take the defaults.
 type Timing struct {
-	BatchDelay        time.Duration // the longest time that a change waits for others to share its batch
+	BatchDelay        time.Duration // maximum time that a change is held back to be batched with later ones
 	HeartbeatInterval time.Duration // between a subscriber's heartbeats, and between a voter's confirmation rounds
 	LeaseTTL          time.Duration // from when the last confirmed heartbeat was sent until the view is stale
-	SilenceTimeout    time.Duration // without a mark, until a subscriber turns to another voter
+	SilenceTimeout    time.Duration // without a mark, until a subscriber switches to another voter
 	PurgeDeadline     time.Duration // from a purge until it has to be in effect everywhere
 }
 
@@ -20,9 +20,9 @@
 	DefaultPurgeDeadline     = 7 * time.Second
 )
 
-// DefaultPurgeRetention is how long a purge is kept after it was proposed, by a View and for snapshots. Stores drop the
-// invalidated copies by themselves within a few seconds, so that a purge matters for little longer than the purge deadline; a
-// snapshot has to contain all that may still matter, even if clocks differ by some seconds.
+// DefaultPurgeRetention is how long a purge is kept after it was proposed, by a View and for snapshots. Caches drop the
+// invalidated copies by themselves within a few seconds, so that a purge is needed for little longer than the purge deadline;
+// a snapshot has to contain all purges that may still be needed, even if clocks differ by some seconds.
 const DefaultPurgeRetention = time.Minute
 
 // WithDefaults returns the timing with defaults in place of zero fields.
--- a/distribution/view.go
+++ b/distribution/view.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// revocationRetention is how long a revocation is kept after its end, so that a clock that runs ahead does not end it early. The
-// replicated state keeps them as long.
+// revocationRetention is how long a revocation is kept after its end, so that a clock that runs ahead does not end it early.
+// The replicated state keeps revocations for the same duration.
 const revocationRetention = 10 * time.Minute
 
 // proposalDisorder bounds how much earlier a change may have been proposed than a change that precedes it in the log, as
@@ -19,7 +19,7 @@
 const proposalDisorder = 10 * time.Second
 
 // ErrGap is returned for a batch that does not follow a View's position.
-var ErrGap = errors.New("distribution: a batch does not follow")
+var ErrGap = errors.New("distribution: batch does not follow the view's position")
 
 // Effects is notified of what a View applies, in order. Its methods must not block.
 type Effects interface {
@@ -68,8 +68,8 @@
 // Position returns the position of the last applied change.
 func (v *View) Position() Position { return v.position }
 
-// Apply applies a batch. Changes that were applied before are skipped. On ErrGap changes are missing or of another history,
-// and nothing was applied.
+// Apply applies a batch. Changes that were applied before are skipped. On ErrGap nothing was applied: changes are missing, or
+// the batch is of another history.
 func (v *View) Apply(b *Batch) error {
 	first, err := v.firstNew(b)
 	if err != nil {
@@ -90,10 +90,10 @@
 	first := 0
 	for i, c := range b.Changes {
 		if c.Revision <= previous.Revision {
-			return 0, fmt.Errorf("%w: revision %d comes behind %d", ErrGap, c.Revision, previous.Revision)
+			return 0, fmt.Errorf("%w: revision %d follows %d in the batch", ErrGap, c.Revision, previous.Revision)
 		}
 		if previous.Revision < v.position.Revision {
-			// The view is past the previous change, so it is at this one or past it, or of another history.
+			// The view is past the previous change. So it is at this change or past it, unless it is of another history.
 			if err := v.checkFollows(c.Position); err != nil {
 				return 0, err
 			}
@@ -104,13 +104,13 @@
 	return first, nil
 }
 
-// checkFollows checks that changes that follow a position may follow the view's.
+// checkFollows checks that a position is not ahead of the view's and, at the same revision, of the same term.
 func (v *View) checkFollows(at Position) error {
 	if at.Revision > v.position.Revision {
-		return fmt.Errorf("%w: revision %d is beyond the view, which is at %d", ErrGap, at.Revision, v.position.Revision)
+		return fmt.Errorf("%w: revision %d is ahead of the view, which is at %d", ErrGap, at.Revision, v.position.Revision)
 	}
 	if at.Revision == v.position.Revision && at.Term != v.position.Term {
-		return fmt.Errorf("%w: revision %d is of term %d, in the view of term %d", ErrGap, at.Revision, at.Term, v.position.Term)
+		return fmt.Errorf("%w: revision %d has term %d, but term %d in the view", ErrGap, at.Revision, at.Term, v.position.Term)
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 	v.effects.Configured(name, value)
 }
 
-// isAbsent reports whether a value stands for a deleted one: it is empty, or the null that an empty one is encoded as in JSON.
+// isAbsent reports whether a value represents a deletion: it is empty, or the null that an empty value is encoded as in JSON.
 func isAbsent(value json.RawMessage) bool {
 	return len(value) == 0 || string(value) == "null"
 }
@@ -159,9 +159,9 @@
 // they may belong to a lost history. Effects is notified of the differences.
 //
 // Purges may have been missed, and Effects is notified, if the snapshot is not at the view's position and either
-//   - its revision is not above the view's, so that the view's history was lost and the snapshot's may have diverged from it at any
+//   - its revision is not above the view's: the view's history was lost, and the snapshot's may have diverged from it at any
 //     time, or
-//   - the newest change in the view was proposed less than proposalDisorder after PurgesSince, so that changes that the view lacks may
+//   - the newest change in the view was proposed less than proposalDisorder after PurgesSince: changes that the view lacks may
 //     have been proposed before PurgesSince. This includes an empty view.
 func (v *View) Restore(s *Snapshot, now time.Time) {
 	if v.mayMissPurges(s) {
@@ -210,7 +210,7 @@
 	}
 }
 
-// restoreConfig replaces the configuration by a snapshot's, and notifies of the differences, by name.
+// restoreConfig replaces the configuration by a snapshot's, and notifies of the differences in the order of their names.
 func (v *View) restoreConfig(config map[string]json.RawMessage) {
 	names := slices.Collect(maps.Keys(v.config))
 	for name := range config {
@@ -243,12 +243,12 @@
 	return revoked
 }
 
-// Forget drops expired revocations and purges. A revocation expires revocationRetention after its end, by now, if it has also
-// ended by the times of the log; a purge expires DefaultPurgeRetention after its time.
+// Forget drops expired revocations and purges. A revocation expires revocationRetention after its end, by the clock, if it has
+// also ended by the times in the log; a purge expires DefaultPurgeRetention after its time.
 func (v *View) Forget(now time.Time) {
 	revokedSince := now.Add(-revocationRetention).UnixMilli()
 	for name, until := range v.revocations {
-		// Until the log has a later change, Digest covers the revocation.
+		// Digest covers the revocation until the log has a change of a later time.
 		if until < revokedSince && until < v.latestAt {
 			delete(v.revocations, name)
 		}
--- a/distribution/voter_choice.go
+++ b/distribution/voter_choice.go
@@ -6,11 +6,11 @@
 )
 
 // VoterChoice chooses the voter that a gateway connects to next: one after the other in its order of preference, without
-// those whose Retry-After has not passed. So a full voter delays nobody while another one has capacity.
+// those whose Retry-After has not passed. So a full voter does not delay a gateway while another voter has capacity.
 type VoterChoice struct {
 	voters  []string
 	next    int         // index of the next voter in turn
-	retryAt []time.Time // by index; the end of the Retry-After of a voter that rejected the gateway
+	retryAt []time.Time // by index: when the Retry-After of a voter that rejected the gateway has passed
 }
 
 // NewVoterChoice returns a choice among one or more voters, in the order of VoterOrder.
@@ -18,8 +18,8 @@
 	return &VoterChoice{voters: slices.Clone(voters), retryAt: make([]time.Time, len(voters))}
 }
 
-// Next returns the voter to connect to after a wait: the next one in turn that may be asked now, without a wait, or the first
-// whose Retry-After passes if all have rejected the gateway.
+// Next returns the voter to connect to and the time to wait before that: the next voter in turn whose Retry-After has passed,
+// without a wait, or if there is none, the voter whose Retry-After passes first.
 func (c *VoterChoice) Next(now time.Time) (voter string, wait time.Duration) {
 	earliest := c.next
 	for i := range c.voters {
@@ -34,9 +34,9 @@
 	return c.voters[earliest], c.retryAt[earliest].Sub(now)
 }
 
-// WatchEnded records the end of a watch: whether it had worked, and the voter's Retry-After (0 if it did not reject the
-// gateway). After a watch that worked the order starts again, without the voter that was lost, so that gateways return to the
-// voters that they prefer.
+// WatchEnded records the end of a watch: whether it had been successful, and the voter's Retry-After (0 if it did not reject
+// the gateway). After a successful watch the order starts again from the most preferred voter, or from the second if the
+// watch was with the first, so that gateways return to the voters that they prefer.
 func (c *VoterChoice) WatchEnded(voter string, worked bool, retryAfter time.Duration, now time.Time) {
 	index := slices.Index(c.voters, voter)
 	if index < 0 {
--- a/distribution/voters.go
+++ b/distribution/voters.go
@@ -8,7 +8,7 @@
 )
 
 // VoterOrder returns the voters in a gateway's order of preference, by rendezvous hashing: gateways are spread evenly, and
-// the loss of a voter moves only its own gateways.
+// the loss of a voter moves only the gateways that were connected to it.
 func VoterOrder(gateway string, voters []string) []string {
 	order := slices.Clone(voters)
 	slices.SortFunc(order, func(a, b string) int {
