--- a/distribution/lease_test.go
+++ b/distribution/lease_test.go
@@ -8,10 +8,10 @@
 func TestLease(t *testing.T) {
 	type step struct {
 		at           float64 // seconds
-		heartbeat    uint64  // the number it is to get
+		heartbeat    uint64  // expected number of a heartbeat sent now; 0: none is sent
 		mark         *Mark
 		position     Revision
-		counts       bool
+		renewed      bool
 		disconnected bool
 		fresh        bool
 		completeAt   float64 // 0: never
@@ -27,40 +27,40 @@
 			{at: 2, mark: &Mark{Heartbeat: 2}, bounded: true},
 			{at: 100, bounded: true},
 		}},
-		{"a mark counts from the sending of its heartbeat", []step{
+		{"a mark counts from when its heartbeat was sent", []step{
 			{at: 1, heartbeat: 1, bounded: true},
 			{at: 2, heartbeat: 2, bounded: true},
-			{at: 4, mark: &Mark{Heartbeat: 1}, counts: true, fresh: true, completeAt: 1},
+			{at: 4, mark: &Mark{Heartbeat: 1}, renewed: true, fresh: true, completeAt: 1},
 			{at: 5.9, fresh: true, completeAt: 1},
 			{at: 6, completeAt: 1},
 			{at: 8, completeAt: 1},
 			{at: 8.1, completeAt: 1, bounded: true},
-			{at: 8.2, mark: &Mark{Heartbeat: 2}, counts: true, completeAt: 2},
+			{at: 8.2, mark: &Mark{Heartbeat: 2}, renewed: true, completeAt: 2},
 			{at: 9.1, completeAt: 2, bounded: true},
 			{at: 9.2, heartbeat: 3, completeAt: 2, bounded: true},
-			{at: 9.3, mark: &Mark{Heartbeat: 3}, counts: true, completeAt: 9.2, fresh: true},
+			{at: 9.3, mark: &Mark{Heartbeat: 3}, renewed: true, completeAt: 9.2, fresh: true},
 		}},
-		{"a mark counts once, and older ones no longer", []step{
+		{"a mark counts once, and not after a newer one", []step{
 			{at: 1, heartbeat: 1, bounded: true},
 			{at: 2, heartbeat: 2, bounded: true},
-			{at: 3, mark: &Mark{Heartbeat: 2}, counts: true, fresh: true, completeAt: 2},
+			{at: 3, mark: &Mark{Heartbeat: 2}, renewed: true, fresh: true, completeAt: 2},
 			{at: 3, mark: &Mark{Heartbeat: 2}, fresh: true, completeAt: 2},
 			{at: 3, mark: &Mark{Heartbeat: 1}, fresh: true, completeAt: 2},
 		}},
-		{"a mark beyond the view does not count", []step{
+		{"a mark ahead of the view does not count", []step{
 			{at: 1, heartbeat: 1, bounded: true},
 			{at: 2, mark: &Mark{Heartbeat: 1, Through: 5}, position: 4, bounded: true},
-			{at: 2, mark: &Mark{Heartbeat: 1, Through: 5}, position: 5, counts: true, fresh: true, completeAt: 1},
+			{at: 2, mark: &Mark{Heartbeat: 1, Through: 5}, position: 5, renewed: true, fresh: true, completeAt: 1},
 		}},
 		{"a connection that ended", []step{
 			{at: 1, heartbeat: 1, bounded: true},
-			{at: 1, mark: &Mark{Heartbeat: 1}, counts: true, fresh: true, completeAt: 1},
+			{at: 1, mark: &Mark{Heartbeat: 1}, renewed: true, fresh: true, completeAt: 1},
 			{at: 2, heartbeat: 2, fresh: true, completeAt: 1},
 			{at: 2, disconnected: true, fresh: true, completeAt: 1},
 			{at: 2, mark: &Mark{Heartbeat: 2}, fresh: true, completeAt: 1},
 			{at: 3, heartbeat: 3, fresh: true, completeAt: 1},
 			{at: 3, mark: &Mark{Heartbeat: 2}, fresh: true, completeAt: 1},
-			{at: 3, mark: &Mark{Heartbeat: 3}, counts: true, fresh: true, completeAt: 3},
+			{at: 3, mark: &Mark{Heartbeat: 3}, renewed: true, fresh: true, completeAt: 3},
 		}},
 	}
 	for _, test := range cases {
@@ -72,12 +72,12 @@
 				now := timeOf(s.at)
 				if s.heartbeat != 0 {
 					if got := lease.Heartbeat(now); got != s.heartbeat {
-						t.Fatalf("step %d: heartbeat %d, not %d", i, got, s.heartbeat)
+						t.Fatalf("step %d: heartbeat %d, want %d", i, got, s.heartbeat)
 					}
 				}
 				if s.mark != nil {
-					if got := lease.Renew(*s.mark, at(s.position, 1)); got != s.counts {
-						t.Fatalf("step %d: counts %v", i, got)
+					if got := lease.Renew(*s.mark, at(s.position, 1)); got != s.renewed {
+						t.Fatalf("step %d: renewed %v", i, got)
 					}
 				}
 				if s.disconnected {
@@ -98,22 +98,22 @@
 					bound = DefaultPurgeDeadline - copyAgeMargin
 				}
 				if got := lease.MaxCopyAge(now); got != bound {
-					t.Errorf("step %d: copies up to %v", i, got)
+					t.Errorf("step %d: maximum copy age %v", i, got)
 				}
 			}
 		})
 	}
 }
 
-func TestLeaseIsBounded(t *testing.T) {
+func TestLeasePendingHeartbeatsBounded(t *testing.T) {
 	lease := NewLease(Timing{PurgeDeadline: time.Microsecond})
 	for range 10 * maxPendingHeartbeats {
 		lease.Heartbeat(time.Unix(1, 0))
 	}
 	if len(lease.pending) > maxPendingHeartbeats {
-		t.Errorf("%d heartbeats pending", len(lease.pending))
+		t.Errorf("%d heartbeats are pending, above the maximum", len(lease.pending))
 	}
 	if lease.MaxCopyAge(time.Unix(1, 0)) <= 0 {
-		t.Error("a short purge deadline leaves copies unbounded")
+		t.Error("the age of copies is unbounded at a short purge deadline")
 	}
 }
--- a/distribution/member_lease_test.go
+++ b/distribution/member_lease_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A round that is confirmed counts once all changes up to it have had their effect, also where further rounds are confirmed
-// before that; and it counts from its beginning.
-func TestMemberLeaseWaitsForChanges(t *testing.T) {
+// A confirmed round renews the lease only once all changes up to its revision are applied, even if further rounds are
+// confirmed before that; and the lease then counts from the beginning of the round.
+func TestMemberLeaseRenewedOnceChangesApplied(t *testing.T) {
 	now := time.Unix(1000, 0)
 	timing := Timing{}.WithDefaults()
 	l := NewMemberLease(timing)
@@ -28,17 +28,17 @@
 	second, secondAt := l.BeginRound(now), now
 	now = now.Add(time.Second)
 	l.ConfirmRound(second, 9)
-	expect("two rounds wait", false, time.Time{})
+	expect("two rounds are pending", false, time.Time{})
 	l.SetApplied(Position{Revision: 6, Term: 1})
-	expect("the first one's changes are here", true, firstAt)
+	expect("the changes of the first round are applied", true, firstAt)
 	l.SetApplied(Position{Revision: 9, Term: 2})
-	expect("all changes are here", true, secondAt)
+	expect("all changes are applied", true, secondAt)
 	now = secondAt.Add(timing.LeaseTTL)
 	expect("the lease has ended", false, secondAt)
 	for range 2 * maxPendingMarks {
 		l.ConfirmRound(l.BeginRound(now), 100)
 	}
 	if len(l.pending) > maxPendingMarks {
-		t.Errorf("%d marks wait", len(l.pending))
+		t.Errorf("%d marks are pending, above the maximum", len(l.pending))
 	}
 }
--- a/distribution/mutation_test.go
+++ b/distribution/mutation_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// mutationSeeds is within how many histories the checker has to find each seeded fault.
+// mutationSeeds is the number of histories within which the checker has to find each seeded fault.
 const mutationSeeds = 20
 
-// mutation stands between the parts of a simulation. That of correct changes nothing; each of the others seeds a fault.
+// mutation intercepts the calls between the parts of a simulation. That of noMutation changes nothing; each of the others seeds
+// a fault.
 type mutation struct {
 	lease     func(g *gateway, l *Lease) lease
 	effects   func(e Effects) Effects
@@ -17,12 +18,12 @@
 	batch     func(c *connection, b *Batch) *Batch // nil: not sent
 	mark      func(m Mark) Mark
 	confirm   func(r *round) // a round that succeeded
-	// The same, for the voter's own lease.
-	confirmOwn func(r *round)
-	deposed    func(r *round) // a round of a leader without a majority
+	// confirmMemberLease is called for the same round, for the voter's MemberLease.
+	confirmMemberLease func(r *round)
+	deposedRound       func(r *round) // a round of a deposed leader, which has no majority
 }
 
-func correct() mutation {
+func noMutation() mutation {
 	return mutation{
 		lease:   func(_ *gateway, l *Lease) lease { return l },
 		effects: func(e Effects) Effects { return e },
@@ -35,8 +36,8 @@
 		confirm: func(r *round) {
 			r.publisher.Confirm(r.confirmation, r.through, r.leader.name)
 		},
-		confirmOwn: func(r *round) { r.voter.own.ConfirmRound(r.heartbeat, r.through) },
-		deposed:    func(*round) {},
+		confirmMemberLease: func(r *round) { r.voter.memberLease.ConfirmRound(r.ownHeartbeat, r.through) },
+		deposedRound:       func(*round) {},
 	}
 }
 
@@ -45,7 +46,7 @@
 	name string
 	seed func(m *mutation)
 }{
-	{"a lease counts from the receipt of the mark", func(m *mutation) {
+	{"a lease counts from when the mark is received", func(m *mutation) {
 		m.lease = func(g *gateway, l *Lease) lease { return &leaseFromReceipt{Lease: l, gateway: g} }
 	}},
 	{"a lease counts marks that the view has not reached", func(m *mutation) {
@@ -57,27 +58,29 @@
 			return b
 		}
 	}},
-	{"a confirmation covers heartbeats entered after it began", func(m *mutation) {
+	{"a confirmation covers heartbeats received after it began", func(m *mutation) {
 		m.confirm = func(r *round) {
 			r.publisher.Confirm(r.publisher.BeginConfirmation(), r.through, r.leader.name)
 		}
 	}},
 	{"a deposed leader confirms without a majority", func(m *mutation) {
-		m.deposed = func(r *round) {
+		m.deposedRound = func(r *round) {
 			r.publisher.Confirm(r.confirmation, r.publisher.Last().Revision, r.voter.name)
 			r.voter.serveAll()
 		}
 	}},
-	{"a voter's own lease does not wait for its changes", func(m *mutation) {
-		m.confirmOwn = func(r *round) { r.voter.own.ConfirmRound(r.heartbeat, 0) }
+	{"a member lease does not wait for its changes", func(m *mutation) {
+		m.confirmMemberLease = func(r *round) { r.voter.memberLease.ConfirmRound(r.ownHeartbeat, 0) }
 	}},
-	{"a voter's own lease counts from the end of a round", func(m *mutation) {
-		m.confirmOwn = func(r *round) { r.voter.own.ConfirmRound(r.voter.own.BeginRound(r.voter.sim.clock()), r.through) }
+	{"a member lease counts from the end of a round", func(m *mutation) {
+		m.confirmMemberLease = func(r *round) {
+			r.voter.memberLease.ConfirmRound(r.voter.memberLease.BeginRound(r.voter.sim.clock()), r.through)
+		}
 	}},
-	{"a deposed leader renews its own lease", func(m *mutation) {
-		m.deposed = func(r *round) {
-			if r.voter.own != nil {
-				r.voter.own.ConfirmRound(r.heartbeat, r.publisher.Last().Revision)
+	{"a deposed leader renews its member lease", func(m *mutation) {
+		m.deposedRound = func(r *round) {
+			if r.voter.memberLease != nil {
+				r.voter.memberLease.ConfirmRound(r.ownHeartbeat, r.publisher.Last().Revision)
 			}
 		}
 	}},
@@ -86,7 +89,7 @@
 			r.publisher.Confirm(r.confirmation, min(r.through, r.publisher.Last().Revision), r.leader.name)
 		}
 	}},
-	{"a mark goes out before its changes", func(m *mutation) {
+	{"a mark is sent before its changes", func(m *mutation) {
 		m.confirm = func(r *round) {
 			r.publisher.Confirm(r.confirmation, 0, r.leader.name)
 		}
@@ -98,13 +101,13 @@
 			earlier[r.voter] = r.through
 		}
 	}},
-	{"a batch is dropped, and the next one made to follow", func(m *mutation) {
+	{"a batch is dropped, and the After of the next one hides it", func(m *mutation) {
 		m.batch = dropBatch
 	}},
 	{"a change is dropped from a batch", func(m *mutation) {
 		m.batch = dropChange
 	}},
-	{"two changes change places", func(m *mutation) {
+	{"two changes are swapped", func(m *mutation) {
 		m.batch = swapChanges
 	}},
 	{"a change has its effect twice", func(m *mutation) {
@@ -112,8 +115,8 @@
 			return &repeatedEffects{Effects: e, random: rand.New(rand.NewPCG(1, 1))}
 		}
 	}},
-	{"missed purges are not passed on", func(m *mutation) {
-		m.effects = func(e Effects) Effects { return silentEffects{e} }
+	{"the notification of missed purges is dropped", func(m *mutation) {
+		m.effects = func(e Effects) Effects { return noMissedPurges{e} }
 	}},
 	{"a snapshot claims the position at the end of its transfer", func(m *mutation) {
 		m.snapshot = func(v *voter, s *Snapshot) { s.At = v.sim.cluster.position(v.applied) }
@@ -121,7 +124,7 @@
 	{"a snapshot lacks its purges", func(m *mutation) {
 		m.snapshot = func(_ *voter, s *Snapshot) { s.Purges = nil }
 	}},
-	{"a voter that is behind sends its older state", func(m *mutation) {
+	{"a lagging voter sends its older state", func(m *mutation) {
 		m.subscribe = func(v *voter, at Position) Decision {
 			if at.Revision > v.publisher.Last().Revision {
 				at = Position{Term: 1}
@@ -129,12 +132,12 @@
 			return v.publisher.Subscribe(at, v.confirmed, v.sim.clock())
 		}
 	}},
-	{"a voter that is behind never admits", func(m *mutation) {
+	{"a lagging voter never admits", func(m *mutation) {
 		m.subscribe = func(v *voter, at Position) Decision {
 			return v.publisher.Subscribe(at, max(v.confirmed, at.Revision), v.sim.clock())
 		}
 	}},
-	{"a subscriber that left keeps its place", func(m *mutation) {
+	{"a removed subscriber still counts for the limit", func(m *mutation) {
 		m.subscribe = func(v *voter, at Position) Decision {
 			v.publisher.Subscribe(at, v.confirmed, v.sim.clock())
 			return v.publisher.Subscribe(at, v.confirmed, v.sim.clock())
@@ -142,11 +145,11 @@
 	}},
 }
 
-// TestCheckerFindsMutations sees that the checker finds each seeded fault.
+// TestCheckerFindsMutations checks that the checker finds each seeded fault.
 func TestCheckerFindsMutations(t *testing.T) {
 	for _, test := range mutations {
 		t.Run(test.name, func(t *testing.T) {
-			m := correct()
+			m := noMutation()
 			test.seed(&m)
 			for seed := range uint64(mutationSeeds) {
 				s := newSimulation(seed, m)
@@ -160,7 +163,7 @@
 	}
 }
 
-// leaseFromReceipt renews as though each mark named a heartbeat sent when the mark is received.
+// leaseFromReceipt renews as if each mark named a heartbeat sent when the mark is received.
 type leaseFromReceipt struct {
 	*Lease
 	gateway *gateway
@@ -174,28 +177,28 @@
 	return l.Lease.Renew(m, at)
 }
 
-// leaseWithoutPosition takes the view to hold everything.
+// leaseWithoutPosition renews as if the view had all changes.
 type leaseWithoutPosition struct{ *Lease }
 
 func (l leaseWithoutPosition) Renew(m Mark, _ Position) bool {
 	return l.Lease.Renew(m, Position{Revision: m.Through})
 }
 
-// dropBatch loses some batches, and hides it by what the next one is to follow.
+// dropBatch drops some batches, and hides this by the After of the next one.
 func dropBatch(c *connection, b *Batch) *Batch {
 	after := b.After
-	if c.lostBefore != nil {
-		after = *c.lostBefore
-		c.lostBefore = nil
+	if c.nextAfter != nil {
+		after = *c.nextAfter
+		c.nextAfter = nil
 	}
 	if c.sim.chance(0.05) {
-		c.lostBefore = &after
+		c.nextAfter = &after
 		return nil
 	}
 	return &Batch{After: after, Changes: b.Changes}
 }
 
-// dropChange loses the first of several changes of some batches.
+// dropChange drops the first of several changes of some batches.
 func dropChange(c *connection, b *Batch) *Batch {
 	if len(b.Changes) < 2 || !c.sim.chance(0.05) {
 		return b
@@ -203,7 +206,7 @@
 	return &Batch{After: b.After, Changes: b.Changes[1:]}
 }
 
-// swapChanges returns the first two changes of some batches each other's position.
+// swapChanges swaps the first two changes of some batches, but leaves the positions in order.
 func swapChanges(c *connection, b *Batch) *Batch {
 	if len(b.Changes) < 2 || !c.sim.chance(0.05) {
 		return b
@@ -226,7 +229,7 @@
 	}
 }
 
-// silentEffects does not pass on missed purges.
-type silentEffects struct{ Effects }
+// noMissedPurges drops the notification of missed purges.
+type noMissedPurges struct{ Effects }
 
-func (silentEffects) PurgesMissed(int64) {}
+func (noMissedPurges) PurgesMissed(int64) {}
--- a/distribution/publisher_bench_test.go
+++ b/distribution/publisher_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// benchPublisher has a full journal and as many subscribers as it admits, all at its end.
+// benchPublisher returns a publisher with a full journal, and a number of subscribers that are at its end.
 func benchPublisher(b *testing.B, subscribers int) (*Publisher, []SubscriberID) {
 	publisher := NewPublisher(Limits{}, Timing{}, Position{})
 	for revision := range Revision(DefaultJournalChanges) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkRound returns a batch and a mark to each of the subscribers.
+// BenchmarkRound measures one confirmation round that sends each subscriber a batch and a mark.
 func BenchmarkRound(b *testing.B) {
 	publisher, ids := benchPublisher(b, DefaultSubscribers)
 	now := time.Unix(1000, 0)
--- a/distribution/publisher_fuzz_test.go
+++ b/distribution/publisher_fuzz_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The fuzz test runs a Publisher beside a model that keeps everything: each change, heartbeat and round. The input is a list
-// of operations of one byte, with an argument of another.
+// The fuzz test compares a Publisher with a model that keeps every change, heartbeat and round. The input is a list of
+// operations, each encoded as a byte for the operation and a byte for its argument.
 
 const (
 	fuzzSeeds     = 40
@@ -16,7 +16,7 @@
 	fuzzMaxBytes  = 8000
 )
 
-// fuzzLimits are small, so that they are reached.
+// fuzzLimits are small, so that inputs reach them.
 var fuzzLimits = Limits{
 	JournalChanges: 64, JournalBytes: 64 * 2 * changeOverhead, Subscribers: 5, Snapshots: 2, BatchBytes: 8 * changeOverhead,
 }
@@ -40,15 +40,15 @@
 	})
 }
 
-// publisherModel holds a Publisher and what it is to hold.
+// publisherModel is a Publisher with the state expected of it.
 type publisherModel struct {
 	t         *testing.T
 	publisher *Publisher
 	now       time.Time
 
-	log    []Position // of this history, from where the journal once began
-	epoch  int        // counts the resets
-	shared map[Position]*Batch
+	log     []Position // of the current history, from the initial position of the journal on
+	epoch   int        // number of resets
+	batches map[Position]*Batch
 
 	rounds      []modelRound // by number, from 1 on
 	connections []*modelConnection
@@ -65,26 +65,26 @@
 // modelConnection is a subscriber.
 type modelConnection struct {
 	id         SubscriberID
-	snapshot   bool // under way
-	overrun    bool // by a reset
+	snapshot   bool // in progress
+	overrun    bool // by a reset or the trimmed journal
 	delivered  Position
 	heartbeats []modelHeartbeat // by number, from 1 on
-	marked     uint64           // number of the last mark's
+	marked     uint64           // number of the last mark's heartbeat
 }
 
-// modelHeartbeat is a heartbeat with what was there when it was entered.
-type modelHeartbeat struct{ roundsBegun int }
+// modelHeartbeat is a heartbeat with the number of rounds begun before it was recorded.
+type modelHeartbeat struct{ roundsBefore int }
 
 func newPublisherModel(t *testing.T) *publisherModel {
 	start := Position{Revision: 10, Term: 1}
 	return &publisherModel{
-		t: t, now: time.Unix(1000, 0), log: []Position{start}, shared: map[Position]*Batch{},
+		t: t, now: time.Unix(1000, 0), log: []Position{start}, batches: map[Position]*Batch{},
 		publisher: NewPublisher(fuzzLimits, Timing{}, start),
 		rounds:    make([]modelRound, 1),
 	}
 }
 
-// step carries out one operation.
+// step executes one operation.
 func (m *publisherModel) step(operation, argument byte) {
 	switch operation % 16 {
 	case 0, 1, 2:
@@ -98,23 +98,23 @@
 	case 6:
 		m.confirmRound(argument)
 	case 7:
-		m.onConnection(argument, m.heartbeat)
+		m.withConnection(argument, m.heartbeat)
 	case 8:
-		m.onConnection(argument, m.finishSnapshot)
+		m.withConnection(argument, m.finishSnapshot)
 	case 9:
 		if argument < 64 {
-			m.onConnection(argument, m.remove)
+			m.withConnection(argument, m.remove)
 		}
 	case 10:
 		if argument < 16 {
 			m.reset(argument)
 		}
 	default:
-		m.onConnection(argument, func(c *modelConnection) { m.next(c) })
+		m.withConnection(argument, func(c *modelConnection) { m.next(c) })
 	}
 }
 
-func (m *publisherModel) onConnection(argument byte, do func(c *modelConnection)) {
+func (m *publisherModel) withConnection(argument byte, do func(c *modelConnection)) {
 	if len(m.connections) > 0 {
 		do(m.connections[int(argument)%len(m.connections)])
 	}
@@ -122,7 +122,7 @@
 
 func (m *publisherModel) last() Position { return m.log[len(m.log)-1] }
 
-// append enters a change. The argument makes the gaps of revisions, new terms and large changes.
+// append appends a change. The argument determines the gap between revisions, and whether the term is new and the change large.
 func (m *publisherModel) append(argument int) {
 	at := m.last()
 	at.Revision += Revision(1 + argument%3)
@@ -137,7 +137,7 @@
 	m.log = append(m.log, at)
 }
 
-// subscribe names a position of the log, or one near it that is not in it.
+// subscribe subscribes at a position of the log, or near one that is not in it.
 func (m *publisherModel) subscribe(argument byte) {
 	at := m.log[max(0, len(m.log)-1-int(argument%64))]
 	switch argument / 64 {
@@ -150,36 +150,36 @@
 	d := m.publisher.Subscribe(at, 0, m.now)
 	switch d.Admission {
 	case AdmitResume:
-		if !m.holds(at) {
-			m.t.Fatalf("resumes at %v, which is not in the log", at)
+		if !m.contains(at) {
+			m.t.Fatalf("admitted to resume at %v, which is not in the log", at)
 		}
 		m.connections = append(m.connections, &modelConnection{id: d.ID, delivered: at})
 	case AdmitSnapshot:
-		if at.Revision >= m.publisher.journal.floor.Revision && m.holds(at) {
-			m.t.Fatalf("a snapshot from %v, which is in the journal", at)
+		if at.Revision >= m.publisher.journal.floor.Revision && m.contains(at) {
+			m.t.Fatalf("admitted for a snapshot at %v, which is in the journal", at)
 		}
 		m.connections = append(m.connections, &modelConnection{id: d.ID, snapshot: true})
 	case AdmitReject:
-		m.checkRefusal(d, at, snapshotsBefore)
+		m.checkRejection(d, at, snapshotsBefore)
 	}
 }
 
-func (m *publisherModel) checkRefusal(d Decision, at Position, snapshots int) {
-	right := false
+func (m *publisherModel) checkRejection(d Decision, at Position, snapshots int) {
+	valid := false
 	switch d.Rejection {
 	case RejectFull:
-		right = len(m.connections) == fuzzLimits.Subscribers
+		valid = len(m.connections) == fuzzLimits.Subscribers
 	case RejectBusy:
-		right = snapshots == fuzzLimits.Snapshots
+		valid = snapshots == fuzzLimits.Snapshots
 	case RejectBehind:
-		right = at.Revision > m.last().Revision
+		valid = at.Revision > m.last().Revision
 	}
-	if !right || d.RetryAfter <= 0 {
-		m.t.Fatalf("refused at %v: %+v", at, d)
+	if !valid || d.RetryAfter <= 0 {
+		m.t.Fatalf("wrongly rejected at %v: %+v", at, d)
 	}
 }
 
-func (m *publisherModel) holds(at Position) bool {
+func (m *publisherModel) contains(at Position) bool {
 	for _, position := range m.log {
 		if position == at {
 			return true
@@ -202,7 +202,7 @@
 	m.rounds = append(m.rounds, modelRound{confirmation: m.publisher.BeginConfirmation(), epoch: m.epoch, through: m.last().Revision})
 }
 
-// confirmRound confirms one of the newest rounds, with the newest revision at its beginning or one that is still to come.
+// confirmRound confirms one of the newest rounds, with the newest revision at its beginning or one not reached then.
 func (m *publisherModel) confirmRound(argument byte) {
 	number := len(m.rounds) - 1 - int(argument%4)
 	if number < 1 || m.rounds[number].confirmed {
@@ -215,7 +215,7 @@
 }
 
 func (m *publisherModel) heartbeat(c *modelConnection) {
-	c.heartbeats = append(c.heartbeats, modelHeartbeat{roundsBegun: len(m.rounds) - 1})
+	c.heartbeats = append(c.heartbeats, modelHeartbeat{roundsBefore: len(m.rounds) - 1})
 	m.publisher.Heartbeat(c.id, uint64(len(c.heartbeats)))
 }
 
@@ -227,7 +227,7 @@
 	err := m.publisher.SnapshotSent(c.id, at)
 	c.snapshot = false
 	if below := at.Revision < m.publisher.journal.floor.Revision; below != errors.Is(err, ErrOverrun) {
-		m.t.Fatalf("a snapshot at %v: %v", at, err)
+		m.t.Fatalf("snapshot sent at %v: %v", at, err)
 	}
 	c.delivered, c.overrun = at, err != nil
 }
@@ -242,14 +242,14 @@
 	}
 }
 
-// reset begins the log anew at its end or beyond.
+// reset starts a new log at the end of the old one or after it.
 func (m *publisherModel) reset(argument byte) {
 	at := m.last()
 	at.Revision += Revision(argument)
 	m.publisher.Reset(at)
 	m.epoch++
 	m.log = []Position{at}
-	m.shared = map[Position]*Batch{}
+	m.batches = map[Position]*Batch{}
 	for _, c := range m.connections {
 		if !c.snapshot && c.delivered != at {
 			c.overrun = true
@@ -257,7 +257,7 @@
 	}
 }
 
-// next checks that what a subscriber is sent follows its position. It reports whether anything was sent.
+// next checks what a subscriber is sent next. It reports whether anything was sent.
 func (m *publisherModel) next(c *modelConnection) bool {
 	batch, mark, wake, err := m.publisher.Next(c.id, m.now)
 	if err != nil {
@@ -266,13 +266,13 @@
 		return false
 	}
 	if c.overrun {
-		m.t.Fatalf("%+v goes on after an overrun", *c)
+		m.t.Fatalf("%+v was not rejected after an overrun", *c)
 	}
 	if c.snapshot && (batch != nil || mark != nil) {
-		m.t.Fatalf("%+v is given something before its snapshot", *c)
+		m.t.Fatalf("%+v was sent a batch or a mark before its snapshot", *c)
 	}
 	if !wake.IsZero() && !wake.After(m.now) {
-		m.t.Fatalf("wake at %v, which is past at %v", wake, m.now)
+		m.t.Fatalf("wake time %v is not after the current time %v", wake, m.now)
 	}
 	if batch != nil {
 		m.checkBatch(c, batch)
@@ -289,17 +289,17 @@
 	}
 }
 
-// checkBatch sees that a batch holds exactly the changes between After and its last one, and some that are new.
+// checkBatch checks that a batch has exactly the changes of the log between After and its last one, and some that are new.
 func (m *publisherModel) checkBatch(c *modelConnection, b *Batch) {
-	if earlier := m.shared[b.After]; earlier != nil && earlier != b {
-		m.t.Fatalf("two batches after %v", b.After)
+	if earlier := m.batches[b.After]; earlier != nil && earlier != b {
+		m.t.Fatalf("two different batches after %v", b.After)
 	}
-	m.shared[b.After] = b
+	m.batches[b.After] = b
 	if b.After.Revision > c.delivered.Revision || b.last().Revision <= c.delivered.Revision {
-		m.t.Fatalf("a batch from %v to %v for one at %v", b.After, b.last(), c.delivered)
+		m.t.Fatalf("batch from %v to %v sent to a subscriber at %v", b.After, b.last(), c.delivered)
 	}
 	if len(b.Changes) > fuzzLimits.batchChanges() {
-		m.t.Fatalf("a batch of %d changes", len(b.Changes))
+		m.t.Fatalf("batch of %d changes, above the maximum", len(b.Changes))
 	}
 	start := 0
 	for m.log[start] != b.After {
@@ -307,20 +307,20 @@
 	}
 	for i, change := range b.Changes {
 		if change.Position != m.log[start+1+i] {
-			m.t.Fatalf("a batch after %v holds %v, not %v", b.After, change.Position, m.log[start+1+i])
+			m.t.Fatalf("batch after %v has %v, want %v", b.After, change.Position, m.log[start+1+i])
 		}
 	}
 	c.delivered = b.last()
 }
 
-// checkMark sees that a round that covers the heartbeat was confirmed with its revision, and that its changes were given out.
+// checkMark checks that a confirmed round with the mark's revision covers its heartbeat, and that its changes were delivered.
 func (m *publisherModel) checkMark(c *modelConnection, mark Mark) {
 	if mark.Heartbeat <= c.marked || mark.Heartbeat > uint64(len(c.heartbeats)) || mark.Through > c.delivered.Revision {
-		m.t.Fatalf("%+v is given %+v", *c, mark)
+		m.t.Fatalf("%+v was sent an invalid mark %+v", *c, mark)
 	}
 	c.marked = mark.Heartbeat
-	entered := c.heartbeats[mark.Heartbeat-1]
-	for _, r := range m.rounds[entered.roundsBegun+1:] {
+	heartbeat := c.heartbeats[mark.Heartbeat-1]
+	for _, r := range m.rounds[heartbeat.roundsBefore+1:] {
 		if r.confirmed && r.epoch == m.epoch && r.through == mark.Through {
 			return
 		}
@@ -328,22 +328,22 @@
 	m.t.Fatalf("%+v: no round covers %+v", *c, mark)
 }
 
-// checkBounds sees that the journal and the subscribers are within their limits.
+// checkBounds checks that the journal and the subscribers are within their limits.
 func (m *publisherModel) checkBounds() {
 	j := &m.publisher.journal
 	if j.changes > fuzzLimits.JournalChanges || j.bytes > fuzzLimits.JournalBytes {
-		m.t.Fatalf("the journal holds %d changes of %d bytes", j.changes, j.bytes)
+		m.t.Fatalf("the journal exceeds its limits: %d changes of %d bytes", j.changes, j.bytes)
 	}
 	subscribers, snapshots := m.publisher.Subscribers()
 	if subscribers != len(m.connections) || snapshots != m.snapshots() || snapshots > fuzzLimits.Snapshots {
 		m.t.Fatalf("%d subscribers, %d snapshots", subscribers, snapshots)
 	}
 	if m.publisher.Last() != m.last() {
-		m.t.Fatalf("at %v, not at %v", m.publisher.Last(), m.last())
+		m.t.Fatalf("the newest change is at %v, want %v", m.publisher.Last(), m.last())
 	}
 }
 
-// finish sees that a last round brings each subscriber forward to the end, with a mark of its newest heartbeat.
+// finish checks that a last round brings each subscriber to the end of the log, with a mark for its newest heartbeat.
 func (m *publisherModel) finish() {
 	for _, c := range m.connections {
 		m.heartbeat(c)
@@ -361,7 +361,7 @@
 			continue
 		}
 		if c.delivered != m.last() || c.marked != uint64(len(c.heartbeats)) {
-			m.t.Fatalf("%+v does not come to the end at %v", *c, m.last())
+			m.t.Fatalf("%+v did not reach the end of the log at %v with a mark for its newest heartbeat", *c, m.last())
 		}
 	}
 }
--- a/distribution/publisher_test.go
+++ b/distribution/publisher_test.go
@@ -17,7 +17,7 @@
 	script string
 }{
 	{
-		name: "a batch is due after its delay, and shared",
+		name: "a batch is due after its delay, and is shared",
 		script: `
 			subscribe a 0 => resume
 			subscribe b 0 => resume
@@ -48,7 +48,7 @@
 			next a => wake 250ms`,
 	},
 	{
-		name:   "a large change makes a batch of its own",
+		name:   "a large change is a batch of its own",
 		limits: Limits{BatchBytes: 64 << 10},
 		script: `
 			subscribe a 0 => resume
@@ -108,7 +108,7 @@
 			next last => -`,
 	},
 	{
-		name: "a position beyond is lost once a later confirmation is below it",
+		name: "a position ahead of the journal is lost once a later confirmation is below it",
 		script: `
 			append 5
 			begin early
@@ -125,7 +125,7 @@
 			subscribe a 9 5 => snapshot`,
 	},
 	{
-		name: "a position beyond is not lost where the majority has it",
+		name: "a position ahead of the journal is not lost if the majority has it",
 		script: `
 			append 5
 			subscribe a 9 => refuse behind
@@ -174,7 +174,7 @@
 			next a => -`,
 	},
 	{
-		name:   "the journal moves on beyond a snapshot",
+		name:   "the journal is trimmed past a snapshot that is being sent",
 		limits: Limits{JournalChanges: 2},
 		at:     "10",
 		script: `
@@ -189,7 +189,7 @@
 			count => 3 0`,
 	},
 	{
-		name: "a round covers the heartbeats entered before it began",
+		name: "a round covers the heartbeats received before it began",
 		script: `
 			subscribe a 0 => resume
 			heartbeat a 1 => begin
@@ -223,7 +223,7 @@
 			next a => -`,
 	},
 	{
-		name: "rounds slower than heartbeats still make marks",
+		name: "marks are sent even if rounds take longer than the heartbeat interval",
 		script: `
 			subscribe a 0 => resume
 			heartbeat a 1 => begin
@@ -244,7 +244,7 @@
 			next a => mark 0 of 4`,
 	},
 	{
-		name: "a heartbeat between a confirmation and its mark takes nothing away",
+		name: "a heartbeat between a confirmation and its mark does not replace the mark",
 		script: `
 			subscribe a 0 => resume
 			heartbeat a 1 => begin
@@ -280,7 +280,7 @@
 			next a => 1<2,4 mark 3 of 2`,
 	},
 	{
-		name: "marks go out where a follower lags for ever",
+		name: "marks are sent even if a follower always lags",
 		script: `
 			subscribe a 0 => resume
 			heartbeat a 1 => begin
@@ -304,7 +304,7 @@
 			next a => 5<6,7 mark 7 of 3`,
 	},
 	{
-		name: "a reset overruns those who are elsewhere and voids rounds",
+		name: "a reset overruns subscribers at other positions, and voids rounds",
 		script: `
 			subscribe a 0 => resume
 			subscribe b 0 => resume
@@ -334,7 +334,7 @@
 			snapshot d 7.2 => overrun`,
 	},
 	{
-		name: "a reset to an older or another history overruns",
+		name: "a reset to an older position or another history overruns",
 		at:   "5",
 		script: `
 			append 7
@@ -351,7 +351,7 @@
 			count => 4 0`,
 	},
 	{
-		name: "a replayed change is passed over",
+		name: "a replayed change is ignored",
 		at:   "4",
 		script: `
 			subscribe a 4 => resume
@@ -373,14 +373,14 @@
 	}
 }
 
-// publisherRig runs a script. The result of a step follows "=>"; "-" stands for none.
+// publisherRig runs a script. The expected result of a step follows "=>"; "-" means that there is none.
 type publisherRig struct {
 	t         *testing.T
 	publisher *Publisher
 	now       time.Time
 	ids       map[string]SubscriberID
 	rounds    map[string]Confirmation
-	batches   map[string]*Batch // by their text, to see that they are shared
+	batches   map[string]*Batch // by their text, to check that they are shared
 }
 
 func newPublisherRig(t *testing.T, limits Limits, at string) *publisherRig {
@@ -400,9 +400,9 @@
 	if line == "" {
 		return
 	}
-	command, want, tells := strings.Cut(line, " => ")
+	command, want, hasWant := strings.Cut(line, " => ")
 	got := r.run(strings.Fields(command))
-	if tells && got != want || !tells && got != "" {
+	if hasWant && got != want || !hasWant && got != "" {
 		r.t.Fatalf("%s: got %q", line, got)
 	}
 }
@@ -456,7 +456,7 @@
 	d := r.publisher.Subscribe(r.position(args[1]), Revision(confirmed), r.now)
 	if d.Admission == AdmitReject {
 		if d.RetryAfter <= 0 {
-			r.t.Fatalf("a refusal without a pause: %+v", d)
+			r.t.Fatalf("rejection without Retry-After: %+v", d)
 		}
 		return fmt.Sprint(d.Admission, " ", d.Rejection)
 	}
@@ -490,7 +490,7 @@
 	return strings.Join(parts, " ")
 }
 
-// change reads revision.term with its size behind a "+".
+// change parses revision.term, optionally followed by "+" and the size of the change's value.
 func (r *publisherRig) change(text string) Change {
 	at, size, _ := strings.Cut(text, "+")
 	c := Change{Position: r.position(at), Kind: KindPut}
--- a/distribution/race_on_test.go
+++ b/distribution/race_on_test.go
@@ -2,5 +2,5 @@
 
 package distribution
 
-// raceEnabled reports whether the race detector is on. A simulation has no goroutines, and runs some ten times slower with it.
+// raceEnabled reports whether the race detector is on. A simulation has no goroutines, and runs about ten times slower with it.
 const raceEnabled = true
--- a/distribution/sim_cluster_test.go
+++ b/distribution/sim_cluster_test.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Rates of the changes, and the times of elections.
+// Rates of changes, and timing of elections.
 const (
 	simSettings         = 6
 	simBusyInterval     = 150 * time.Millisecond // mean time between changes
-	simIdleInterval     = 5 * time.Second        // and of a log that has few
+	simIdleInterval     = 5 * time.Second        // the same in a simulation with few changes
 	simElectionTimeout  = 300 * time.Millisecond
 	simElectionDuration = time.Second
 )
 
-// cluster is a model of the replicated log: what a majority committed, who leads, and who is cut off from the others. It
-// commits a change and acknowledges it in one step.
+// cluster is a model of the replicated log: the committed changes, the leader, and a deposed leader. It commits a change and
+// acknowledges it in one step.
 type cluster struct {
-	sim      *simulation
-	entries  []*entry // the changes committed, without the entries that are not distributed
-	byAt     map[Position]*entry
-	revision Revision // of the newest entry of any kind
-	term     uint64
-	leader   *voter // that a majority follows; nil: none
-	deposed  *voter // that still takes itself for the leader
-	proposed int    // changes so far, for values that differ
-	interval time.Duration
+	sim            *simulation
+	entries        []*entry // the changes committed, without the entries that are not distributed
+	byPosition     map[Position]*entry
+	revision       Revision // of the newest entry of any kind
+	term           uint64
+	leader         *voter // followed by a majority; nil: none
+	deposed        *voter // isolated, and still considers itself the leader
+	proposedCount  int    // changes so far, which makes their values unique
+	changeInterval time.Duration
 }
 
 // entry is a committed change, with the state after it.
@@ -39,8 +39,8 @@
 	config      map[string]string
 	revocations map[string]int64
 
-	rolledBack   bool // the history was restored to one without it
-	commonPrefix int  // of a lost one: how many of the present entries it follows
+	rolledBack   bool // the history was restored to a state without the entry
+	commonPrefix int  // if rolled back: number of entries that its history shares with the current one
 }
 
 func newCluster(s *simulation) *cluster {
@@ -48,7 +48,7 @@
 	if s.chance(0.25) {
 		interval = simIdleInterval
 	}
-	return &cluster{sim: s, byAt: map[Position]*entry{}, interval: interval}
+	return &cluster{sim: s, byPosition: map[Position]*entry{}, changeInterval: interval}
 }
 
 func (c *cluster) start() {
@@ -58,18 +58,18 @@
 
 // propose commits changes at random times.
 func (c *cluster) propose() {
-	c.sim.after(time.Duration(c.sim.random.ExpFloat64()*float64(c.interval)), c.propose)
+	c.sim.after(time.Duration(c.sim.random.ExpFloat64()*float64(c.changeInterval)), c.propose)
 	c.commit()
 }
 
-// burst commits many changes at once.
+// burst commits n changes at the same time.
 func (c *cluster) burst(n int) {
 	for range n {
 		c.commit()
 	}
 }
 
-// commit enters a random change, where there is a leader with a majority.
+// commit appends a random change if there is a leader with a majority.
 func (c *cluster) commit() {
 	if c.leader == nil || !c.hasQuorum(c.leader) {
 		return
@@ -88,13 +88,14 @@
 	}
 	e.update()
 	c.entries = append(c.entries, e)
-	c.byAt[e.change.Position] = e
+	c.byPosition[e.change.Position] = e
 }
 
-// randomChange makes a change of the next revision. Its time is a little off, as it took a while and clocks differ.
+// randomChange returns a change of the current revision. Its time differs a little from the current time, as proposals take
+// some time and clocks differ.
 func (c *cluster) randomChange() Change {
-	c.proposed++
-	proposedAt := c.sim.clock().Add(-c.sim.between(-100*time.Millisecond, 300*time.Millisecond))
+	c.proposedCount++
+	proposedAt := c.sim.clock().Add(-c.sim.randomBetween(-100*time.Millisecond, 300*time.Millisecond))
 	change := Change{Position: Position{Revision: c.revision, Term: c.term}, At: proposedAt.UnixMilli()}
 	switch draw := c.sim.random.IntN(10); {
 	case draw < 5:
@@ -102,18 +103,18 @@
 	case draw < 9:
 		change.Kind, change.Name = KindPut, settingName(c.sim.random.IntN(simSettings))
 		if !c.sim.chance(0.2) {
-			change.Value = json.RawMessage(fmt.Sprintf(`"%d"`, c.proposed))
+			change.Value = json.RawMessage(fmt.Sprintf(`"%d"`, c.proposedCount))
 		}
 	default:
-		change.Kind, change.Name = KindRevoke, fmt.Sprintf("use-%d", c.proposed)
-		change.Until = proposedAt.Add(c.sim.between(0, time.Minute)).UnixMilli()
+		change.Kind, change.Name = KindRevoke, fmt.Sprintf("use-%d", c.proposedCount)
+		change.Until = proposedAt.Add(c.sim.randomBetween(0, time.Minute)).UnixMilli()
 	}
 	return change
 }
 
 func settingName(i int) string { return fmt.Sprintf("setting-%d", i) }
 
-// update makes the state of an entry from the one before.
+// update applies an entry's change to its state, which is initially that of the previous entry.
 func (e *entry) update() {
 	switch c := e.change; c.Kind {
 	case KindPut:
@@ -129,22 +130,22 @@
 	}
 }
 
-// hasQuorum reports whether a voter reaches a majority, itself included.
+// hasQuorum reports whether a voter can reach a majority, including itself.
 func (c *cluster) hasQuorum(v *voter) bool {
 	if v.down || v.isolated {
 		return false
 	}
-	reached := 0
+	reachable := 0
 	for _, other := range c.sim.voters {
 		if !other.down && !other.isolated {
-			reached++
+			reachable++
 		}
 	}
-	return reached > len(c.sim.voters)/2
+	return reachable > len(c.sim.voters)/2
 }
 
-// lostVoter follows the crash or the isolation of a voter: an election follows where it led.
-func (c *cluster) lostVoter(v *voter) {
+// voterLost is called when a voter has crashed or was isolated. If it was the leader, an election follows.
+func (c *cluster) voterLost(v *voter) {
 	if c.leader != v {
 		return
 	}
@@ -152,18 +153,19 @@
 	if v.isolated {
 		c.deposed = v
 	}
-	c.sim.after(c.sim.between(simElectionTimeout, simElectionDuration), c.elect)
+	c.sim.after(c.sim.randomBetween(simElectionTimeout, simElectionDuration), c.elect)
 }
 
-// voterIsBack ends what a voter took itself for, and elects where there is no leader.
-func (c *cluster) voterIsBack(v *voter) {
+// voterRecovered is called when a voter has restarted or was reconnected. It no longer considers itself the leader, and an
+// election follows if there is none.
+func (c *cluster) voterRecovered(v *voter) {
 	if c.deposed == v {
 		c.deposed = nil
 	}
-	c.sim.after(c.sim.between(simElectionTimeout, simElectionDuration), c.elect)
+	c.sim.after(c.sim.randomBetween(simElectionTimeout, simElectionDuration), c.elect)
 }
 
-// elect makes a leader, whose first entry is of its term and not distributed.
+// elect elects a leader if there is none. The first entry of its term is not distributed.
 func (c *cluster) elect() {
 	if c.leader != nil {
 		return
@@ -178,13 +180,13 @@
 	}
 }
 
-// loseHistory replaces all voters by ones restored from an older state: what was committed since is lost.
+// loseHistory restores all voters from an older state, that of the first changes: those committed since then are lost.
 func (c *cluster) loseHistory(keep int) {
 	for _, e := range c.entries[keep:] {
 		e.rolledBack = true
 	}
 	c.entries = c.entries[:keep]
-	for _, e := range c.byAt {
+	for _, e := range c.byPosition {
 		if e.rolledBack {
 			e.commonPrefix = min(max(e.commonPrefix, e.index), keep)
 		}
@@ -195,14 +197,14 @@
 	for _, v := range c.sim.voters {
 		v.restart(keep)
 	}
-	c.sim.checker.historyLost(keep)
-	c.sim.after(c.sim.between(simElectionTimeout, simElectionDuration), c.elect)
+	c.sim.checker.countLostHistory(keep)
+	c.sim.after(c.sim.randomBetween(simElectionTimeout, simElectionDuration), c.elect)
 }
 
-// last is the position of the newest change.
+// last returns the position of the newest change.
 func (c *cluster) last() Position { return c.position(len(c.entries)) }
 
-// position is that behind the first n changes.
+// position returns the position after the first n changes.
 func (c *cluster) position(n int) Position {
 	if n == 0 {
 		return Position{}
@@ -210,7 +212,7 @@
 	return c.entries[n-1].change.Position
 }
 
-// ackedBy counts the changes acknowledged by a time.
+// ackedBy returns the number of changes acknowledged up to a time.
 func (c *cluster) ackedBy(at time.Duration) int {
 	n := len(c.entries)
 	for n > 0 && c.entries[n-1].ackedAt > at {
@@ -219,9 +221,9 @@
 	return n
 }
 
-// appliedCount returns how many changes of the present history a state at a position has.
+// appliedCount returns how many changes of the current history a state at a position has.
 func (c *cluster) appliedCount(at Position) int {
-	e := c.byAt[at]
+	e := c.byPosition[at]
 	switch {
 	case e == nil:
 		return 0
@@ -231,7 +233,7 @@
 	return e.index + 1
 }
 
-// snapshot makes the snapshot of the first n changes.
+// snapshot returns the snapshot of the first n changes.
 func (c *cluster) snapshot(n int) *Snapshot {
 	s := &Snapshot{
 		Config: map[string]json.RawMessage{}, Revocations: map[string]int64{},
--- a/distribution/sim_gateway_test.go
+++ b/distribution/sim_gateway_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// lease is what a gateway needs of a Lease, so that a mutation can take its place.
+// lease has the methods of a Lease that a gateway uses, so that a mutation can replace it.
 type lease interface {
 	Heartbeat(now time.Time) uint64
 	Renew(m Mark, at Position) bool
@@ -25,25 +25,25 @@
 	backoff *Backoff
 	effects *effectLog
 
-	voters     map[string]*voter
-	choice     *VoterChoice
-	connection *connection // nil: none
-	subscribed bool
-	marked     bool // a mark counted on this connection
+	voters       map[string]*voter
+	choice       *VoterChoice
+	connection   *connection // nil: none
+	subscribed   bool
+	leaseRenewed bool // by a mark on this connection
 
-	startedAt    time.Time     // its clock at the beginning of the simulation
-	connectAt    time.Duration // the next attempt
-	heartbeatAt  time.Duration // the last one
-	progressAt   time.Duration // the last sign that its connection is of use
-	stoppedUntil time.Duration
-	blocked      map[*voter]time.Duration // voters that it does not reach until then
+	startedAt        time.Time     // its clock at the start of the simulation
+	nextConnectAt    time.Duration // when it next attempts to connect
+	lastHeartbeatAt  time.Duration // when it sent the last heartbeat
+	lastProgressAt   time.Duration // when its connection last made progress
+	suspendedUntil   time.Duration
+	unreachableUntil map[*voter]time.Duration // by voter
 }
 
 func newGateway(s *simulation, name string) *gateway {
 	g := &gateway{
 		sim: s, name: name, effects: &effectLog{known: map[Position]bool{}},
-		voters: map[string]*voter{}, blocked: map[*voter]time.Duration{},
-		startedAt: simEpoch.Add(s.between(-time.Hour, time.Hour)),
+		voters: map[string]*voter{}, unreachableUntil: map[*voter]time.Duration{},
+		startedAt: simEpoch.Add(s.randomBetween(-time.Hour, time.Hour)),
 		backoff:   NewBackoff(50*time.Millisecond, 2*time.Second, s.random),
 	}
 	g.view = NewView(s.mutation.effects(g.effects))
@@ -58,25 +58,25 @@
 }
 
 func (g *gateway) start() {
-	g.sim.after(g.sim.upTo(simTick), g.tick)
+	g.sim.after(g.sim.randomUpTo(simTick), g.tick)
 }
 
-// clock is the gateway's monotonic clock, which has its own origin and runs while the gateway is stopped.
+// clock returns the time of the gateway's monotonic clock, which has its own origin and runs while the gateway is suspended.
 func (g *gateway) clock() time.Time { return g.startedAt.Add(g.sim.now) }
 
-// tick does what is due by time, unless the gateway is stopped.
+// tick runs the periodic work that is due, unless the gateway is suspended.
 func (g *gateway) tick() {
-	if g.sim.now < g.stoppedUntil {
-		g.sim.after(min(simTick, g.stoppedUntil-g.sim.now)+g.sim.upTo(time.Millisecond), g.tick)
+	if g.sim.now < g.suspendedUntil {
+		g.sim.after(min(simTick, g.suspendedUntil-g.sim.now)+g.sim.randomUpTo(time.Millisecond), g.tick)
 		return
 	}
 	g.sim.after(simTick, g.tick)
 	switch {
-	case g.connection == nil && g.sim.now >= g.connectAt:
+	case g.connection == nil && g.sim.now >= g.nextConnectAt:
 		g.connect()
-	case g.connection != nil && g.sim.now-g.progressAt > DefaultSilenceTimeout:
+	case g.connection != nil && g.sim.now-g.lastProgressAt > DefaultSilenceTimeout:
 		g.disconnect()
-	case g.subscribed && g.sim.now-g.heartbeatAt >= DefaultHeartbeatInterval:
+	case g.subscribed && g.sim.now-g.lastHeartbeatAt >= DefaultHeartbeatInterval:
 		g.heartbeat()
 	}
 	if g.sim.chance(0.01) {
@@ -84,97 +84,97 @@
 	}
 }
 
-// connect turns to the next voter that did not ask for a later time.
+// connect connects to the next voter, unless the Retry-After of all voters has not passed yet.
 func (g *gateway) connect() {
 	name, wait := g.choice.Next(g.clock())
 	if wait > 0 {
-		g.connectAt = g.sim.now + wait
+		g.nextConnectAt = g.sim.now + wait
 		return
 	}
 	v := g.voters[name]
-	if v.down || g.blocked[v] > g.sim.now {
+	if v.down || g.unreachableUntil[v] > g.sim.now {
 		g.choice.WatchEnded(name, false, 0, g.clock())
-		g.connectAt = g.sim.now + g.backoff.Next(0)
+		g.nextConnectAt = g.sim.now + g.backoff.Next(0)
 		return
 	}
 	c := newConnection(g, v)
 	v.connections = append(v.connections, c)
 	g.connection, g.subscribed = c, false
-	g.progressAt = g.sim.now
+	g.lastProgressAt = g.sim.now
 	position := g.view.Position()
-	c.sendVoter(func() { v.subscribe(c, position) })
+	c.sendToVoter(func() { v.subscribe(c, position) })
 }
 
-// disconnect leaves the voter and plans the next attempt.
-func (g *gateway) disconnect() { g.leave(0) }
+// disconnect disconnects from the voter and schedules the next attempt.
+func (g *gateway) disconnect() { g.disconnectFor(0) }
 
-// leave disconnects, and stays away from the voter for a time.
-func (g *gateway) leave(retryAfter time.Duration) {
+// disconnectFor disconnects, and does not reconnect to this voter before retryAfter has passed.
+func (g *gateway) disconnectFor(retryAfter time.Duration) {
 	c := g.connection
 	if c == nil {
 		return
 	}
-	g.choice.WatchEnded(c.voter.name, g.marked, retryAfter, g.clock())
-	g.marked = false
+	g.choice.WatchEnded(c.voter.name, g.leaseRenewed, retryAfter, g.clock())
+	g.leaseRenewed = false
 	g.connection, g.subscribed = nil, false
 	g.lease.Disconnected()
-	g.connectAt = g.sim.now + g.backoff.Next(0)
-	c.sendVoter(func() { c.voter.close(c) })
+	g.nextConnectAt = g.sim.now + g.backoff.Next(0)
+	c.sendToVoter(func() { c.voter.close(c) })
 }
 
-// refused answers a refusal.
-func (g *gateway) refused(retryAfter time.Duration) {
-	g.leave(g.backoff.Next(retryAfter))
+// rejected handles a rejection.
+func (g *gateway) rejected(retryAfter time.Duration) {
+	g.disconnectFor(g.backoff.Next(retryAfter))
 }
 
-// accepted begins the heartbeats.
+// accepted handles an admission: heartbeats begin.
 func (g *gateway) accepted() {
 	g.subscribed = true
-	g.progressAt = g.sim.now
+	g.lastProgressAt = g.sim.now
 	g.heartbeat()
 }
 
 func (g *gateway) heartbeat() {
-	g.heartbeatAt = g.sim.now
+	g.lastHeartbeatAt = g.sim.now
 	c, number := g.connection, g.lease.Heartbeat(g.clock())
-	c.sendVoter(func() { c.voter.heartbeat(c, number) })
+	c.sendToVoter(func() { c.voter.heartbeat(c, number) })
 }
 
-// apply enters a batch.
+// apply handles a batch.
 func (g *gateway) apply(b *Batch) {
 	before := g.view.Position()
 	g.effects.calls = nil
 	if err := g.view.Apply(b); err != nil {
-		g.sim.checker.gap(g, err)
+		g.sim.checker.countGap(g, err)
 		g.disconnect()
 		return
 	}
-	g.sim.checker.applied(g, before)
+	g.sim.checker.checkBatchEffects(g, before)
 }
 
-// restore enters a snapshot.
+// restore handles a snapshot.
 func (g *gateway) restore(snapshot *Snapshot) {
-	g.progressAt = g.sim.now
+	g.lastProgressAt = g.sim.now
 	g.effects.calls = nil
 	configBefore, knownBefore := maps.Clone(g.view.config), maps.Clone(g.effects.known)
 	g.view.Restore(snapshot, g.sim.clock())
-	g.sim.checker.restored(g, snapshot, configBefore, knownBefore)
+	g.sim.checker.checkSnapshotEffects(g, snapshot, configBefore, knownBefore)
 }
 
-// renew enters a mark. One of a connection that ended comes here too: it must not count.
+// renew handles a mark. Marks of a connection that has ended are delivered too, and must not renew the lease.
 func (g *gateway) renew(m Mark) {
 	if g.lease.Renew(m, g.view.Position()) {
-		g.progressAt = g.sim.now
-		g.marked = true
+		g.lastProgressAt = g.sim.now
+		g.leaseRenewed = true
 		g.backoff.Reset()
 	}
 }
 
-// stop suspends a gateway for a time. Its clock runs, and what it is sent waits.
-func (g *gateway) stop(duration time.Duration) {
-	g.stoppedUntil = max(g.stoppedUntil, g.sim.now+duration)
+// suspend suspends a gateway for a time. Its clock continues, and messages to it are queued.
+func (g *gateway) suspend(duration time.Duration) {
+	g.suspendedUntil = max(g.suspendedUntil, g.sim.now+duration)
 	if g.connection != nil {
-		g.connection.toGateway.stalled = max(g.connection.toGateway.stalled, g.stoppedUntil)
+		g.connection.toGateway.stalledUntil = max(g.connection.toGateway.stalledUntil, g.suspendedUntil)
 	}
 }
 
@@ -204,8 +204,8 @@
 	l.missedBefore = max(l.missedBefore, before)
 }
 
-// knows reports whether a purge has its effect.
-func (l *effectLog) knows(c Change) bool { return l.known[c.Position] || c.At < l.missedBefore }
+// covers reports whether a purge was notified, or is older than the bound of missed purges.
+func (l *effectLog) covers(c Change) bool { return l.known[c.Position] || c.At < l.missedBefore }
 
 func configuredText(name string, value []byte) string { return name + "=" + string(value) }
 
--- a/distribution/sim_link_test.go
+++ b/distribution/sim_link_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// simWindow is how many messages a voter sends ahead of their receipt, as the buffers of a connection are limited.
-const simWindow = 4
+// simMaxInFlight is the maximum number of messages in flight to a gateway, as the buffers of a connection are limited.
+const simMaxInFlight = 4
 
 // connection is a connection of a gateway to a voter: two streams whose messages arrive in order.
 type connection struct {
@@ -14,26 +14,26 @@
 	gateway *gateway
 	voter   *voter
 
-	id             SubscriberID // at the voter, once admitted
+	id             SubscriberID // assigned by the voter on admission
 	admitted       bool
 	closed         bool // by the voter
 	lastReceivedAt time.Duration
-	wakeAt         time.Duration // the next call of serve that is planned
+	wakeAt         time.Duration // for when the last call of serve was scheduled
 	inFlight       int
 	toVoter        stream
 	toGateway      stream
-	lostBefore     *Position // of a mutation that drops a batch: where the next one is to follow
+	nextAfter      *Position // set by dropBatch: the After of the next batch, which hides the dropped one
 }
 
 // stream carries the messages of one direction.
 type stream struct {
-	sim     *simulation
-	delay   time.Duration
-	stalled time.Duration // until then, messages are held
-	queue   []message
+	sim          *simulation
+	delay        time.Duration
+	stalledUntil time.Duration // until then, messages are held
+	queue        []message
 }
 
-// message is carried by calling it at the receiver.
+// message is delivered by calling a function in the receiver.
 type message struct {
 	readyAt time.Duration
 	deliver func()
@@ -41,14 +41,14 @@
 
 func newConnection(g *gateway, v *voter) *connection {
 	s := g.sim
-	delay := s.between(time.Millisecond, 40*time.Millisecond)
+	delay := s.randomBetween(time.Millisecond, 40*time.Millisecond)
 	return &connection{
 		sim: s, gateway: g, voter: v, lastReceivedAt: s.now,
 		toVoter: stream{sim: s, delay: delay}, toGateway: stream{sim: s, delay: delay},
 	}
 }
 
-// send enters a message.
+// send queues a message.
 func (st *stream) send(deliver func()) {
 	st.queue = append(st.queue, message{readyAt: st.sim.now + st.delay, deliver: deliver})
 	st.sim.after(st.delay, st.deliverReady)
@@ -57,8 +57,8 @@
 // deliverReady delivers the messages that are due.
 func (st *stream) deliverReady() {
 	for len(st.queue) > 0 && st.queue[0].readyAt <= st.sim.now {
-		if st.stalled > st.sim.now {
-			st.sim.after(st.stalled-st.sim.now+st.sim.upTo(time.Millisecond), st.deliverReady)
+		if st.stalledUntil > st.sim.now {
+			st.sim.after(st.stalledUntil-st.sim.now+st.sim.randomUpTo(time.Millisecond), st.deliverReady)
 			return
 		}
 		m := st.queue[0]
@@ -67,21 +67,21 @@
 	}
 }
 
-// stall holds the messages of both directions for a time. Those held arrive afterwards.
+// stall holds back the messages of both directions for a time. They are delivered afterwards.
 func (c *connection) stall(duration time.Duration) {
-	c.toVoter.stalled = max(c.toVoter.stalled, c.sim.now+duration)
-	c.toGateway.stalled = max(c.toGateway.stalled, c.sim.now+duration)
+	c.toVoter.stalledUntil = max(c.toVoter.stalledUntil, c.sim.now+duration)
+	c.toGateway.stalledUntil = max(c.toGateway.stalledUntil, c.sim.now+duration)
 }
 
 // resume ends a stall before its time.
 func (c *connection) resume() {
-	c.toVoter.stalled, c.toGateway.stalled = 0, 0
+	c.toVoter.stalledUntil, c.toGateway.stalledUntil = 0, 0
 	c.toVoter.deliverReady()
 	c.toGateway.deliverReady()
 }
 
-// sendVoter carries something to the voter, where it runs unless the voter has closed the connection.
-func (c *connection) sendVoter(run func()) {
+// sendToVoter sends the voter a message that runs a function, unless the voter has closed the connection.
+func (c *connection) sendToVoter(run func()) {
 	c.toVoter.send(func() {
 		if c.closed {
 			return
@@ -91,18 +91,18 @@
 	})
 }
 
-// sendGateway carries something to the gateway, where it runs unless the gateway has turned away.
-func (c *connection) sendGateway(run func()) {
-	c.sendGatewayAlways(func() {
+// sendToGateway sends the gateway a message that runs a function, unless the gateway has disconnected.
+func (c *connection) sendToGateway(run func()) {
+	c.sendToGatewayAlways(func() {
 		if c.gateway.connection == c {
 			run()
 		}
 	})
 }
 
-// sendGatewayAlways carries something to the gateway, also when that has turned away since. What comes to a stopped gateway
-// waits for it in order.
-func (c *connection) sendGatewayAlways(run func()) {
+// sendToGatewayAlways sends the gateway a message that runs a function even if the gateway has disconnected since. Messages to
+// a suspended gateway are queued in order.
+func (c *connection) sendToGatewayAlways(run func()) {
 	c.inFlight++
 	c.toGateway.send(func() {
 		c.inFlight--
--- a/distribution/sim_test.go
+++ b/distribution/sim_test.go
@@ -16,27 +16,27 @@
 	simVoters   = 3
 	simGateways = 10
 
-	simFaultsFrom  = 2 * time.Second
-	simFaultsUntil = 22 * time.Second
-	// simRecovery is the time within which every gateway is fresh after the faults have ended: a silence timeout, a
-	// refusal or two at each voter, an election, a snapshot and a round of confirmation.
-	simRecovery = 12 * time.Second
-	simEnd      = simFaultsUntil + simRecovery + 5*time.Second
+	simFaultsStart = 2 * time.Second
+	simFaultsEnd   = 22 * time.Second
+	// simMaxRecovery is the time within which every gateway is fresh after the faults have ended. It has to cover a silence
+	// timeout, one or two rejections by each voter, an election, a snapshot and a confirmation round.
+	simMaxRecovery = 12 * time.Second
+	simEnd         = simFaultsEnd + simMaxRecovery + 5*time.Second
 
 	simTick = 50 * time.Millisecond
 
-	// The purges in snapshots reach back for a time between these; short, so that some are missed.
-	simShortestRetention = 5 * time.Second
-	simLongestRetention  = 30 * time.Second
+	// The retention of purges in snapshots is between these, and short, so that some purges are missed.
+	simMinPurgeRetention = 5 * time.Second
+	simMaxPurgeRetention = 30 * time.Second
 )
 
-// simLimits are small, so that they are reached.
+// simLimits are small, so that simulations reach them.
 var simLimits = Limits{JournalChanges: 48, Subscribers: 7, Snapshots: 2, BatchBytes: 8 * changeOverhead}
 
-// simEpoch is when a simulation begins, by the clock of the voters.
+// simEpoch is the start of a simulation by the clock of the voters.
 var simEpoch = time.Unix(1_700_000_000, 0)
 
-// simulation holds everything. Its events run one after the other.
+// simulation is the state of a simulation. Its events run sequentially.
 type simulation struct {
 	random   *rand.Rand
 	now      time.Duration
@@ -54,7 +54,7 @@
 // newSimulation sets up a simulation with the faults of a seed.
 func newSimulation(seed uint64, m mutation) *simulation {
 	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), mutation: m}
-	s.purgeRetention = s.between(simShortestRetention, simLongestRetention)
+	s.purgeRetention = s.randomBetween(simMinPurgeRetention, simMaxPurgeRetention)
 	s.cluster = newCluster(s)
 	s.checker = newChecker(s)
 	for i := range simVoters {
@@ -70,12 +70,12 @@
 	for _, g := range s.gateways {
 		g.start()
 	}
-	s.startFaults()
+	s.scheduleFaults()
 	s.checker.start()
 	return s
 }
 
-// run goes through the events up to the end or the first violation, which it gives.
+// run runs the events until the end or the first violation, which it returns.
 func (s *simulation) run() error {
 	for s.now < simEnd && s.checker.violation == nil {
 		e := heap.Pop(&s.events).(*event)
@@ -85,41 +85,41 @@
 	return s.checker.violation
 }
 
-// after runs a function later.
+// after runs a function after a delay.
 func (s *simulation) after(delay time.Duration, run func()) {
 	s.sequence++
 	heap.Push(&s.events, &event{at: s.now + delay, sequence: s.sequence, run: run})
 }
 
-// every runs a function at an interval, from a random time in the first interval on.
+// every runs a function at an interval, starting at a random time within the first interval.
 func (s *simulation) every(interval time.Duration, run func()) {
 	var repeat func()
 	repeat = func() {
 		run()
 		s.after(interval, repeat)
 	}
-	s.after(s.upTo(interval), repeat)
+	s.after(s.randomUpTo(interval), repeat)
 }
 
-// clock is the time of the voters.
+// clock returns the time of the voters.
 func (s *simulation) clock() time.Time { return simEpoch.Add(s.now) }
 
-// between draws a duration evenly.
-func (s *simulation) between(shortest, longest time.Duration) time.Duration {
-	return shortest + s.upTo(longest-shortest)
+// randomBetween returns a uniformly distributed duration.
+func (s *simulation) randomBetween(shortest, longest time.Duration) time.Duration {
+	return shortest + s.randomUpTo(longest-shortest)
 }
 
-func (s *simulation) upTo(longest time.Duration) time.Duration {
+func (s *simulation) randomUpTo(longest time.Duration) time.Duration {
 	return time.Duration(s.random.Int64N(int64(longest) + 1))
 }
 
-// chance draws true with a probability.
+// chance returns true with a probability.
 func (s *simulation) chance(probability float64) bool { return s.random.Float64() < probability }
 
-// event is something that happens at a time.
+// event is a function to run at a time.
 type event struct {
 	at       time.Duration
-	sequence uint64 // of two events at one time, the one entered first runs first
+	sequence uint64 // events of the same time run in the order in which they were scheduled
 	run      func()
 }
 
--- a/distribution/sim_voter_test.go
+++ b/distribution/sim_voter_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Times of a voter.
+// Timing of a voter.
 const (
-	simConnectionTimeout = 6 * time.Second // without a heartbeat, a voter closes a connection
+	simConnectionTimeout = 6 * time.Second // without a message, until a voter closes a connection
 	simNormalLag         = 30 * time.Millisecond
 )
 
@@ -16,27 +16,27 @@
 	sim         *simulation
 	name        string
 	publisher   *Publisher
-	applied     int // changes of the history
+	applied     int // number of applied changes of the history
 	confirmed   Revision
 	connections []*connection
-	own         *MemberLease // of a gateway beside it; nil: there is none
+	memberLease *MemberLease // nil: none
 
-	rounds int              // that succeeded since it was started
-	behind map[Position]int // positions refused as RefuseBehind since then, each with the rounds before
+	confirmedRounds int              // since it was started
+	rejectedAhead   map[Position]int // positions rejected as RejectBehind, each with confirmedRounds at the first rejection
 
-	down     bool
-	isolated bool          // from the other voters, not from gateways
-	lag      time.Duration // with which it applies what is committed
-	slow     time.Duration // further time that a confirmation takes
+	down              bool
+	isolated          bool          // partitioned from the other voters, not from gateways
+	lag               time.Duration // until it applies a committed change
+	confirmationDelay time.Duration // maximum additional time of each step of a round
 }
 
 func newVoter(s *simulation, name string) *voter {
 	v := &voter{
 		sim: s, name: name, publisher: NewPublisher(simLimits, Timing{}, Position{}), lag: simNormalLag,
-		behind: map[Position]int{},
+		rejectedAhead: map[Position]int{},
 	}
-	if len(s.voters) == 0 { // the others have rounds for their subscribers alone
-		v.own = NewMemberLease(Timing{})
+	if len(s.voters) == 0 { // the others run rounds only for their subscribers
+		v.memberLease = NewMemberLease(Timing{})
 	}
 	return v
 }
@@ -44,10 +44,10 @@
 func (v *voter) start() {
 	v.sim.every(simTick, v.applyCommitted)
 	v.sim.every(DefaultHeartbeatInterval, v.confirm)
-	v.sim.every(time.Second, v.closeSilent)
+	v.sim.every(time.Second, v.closeIdle)
 }
 
-// applyCommitted applies what was committed, by its changes or, where it is far behind, by a snapshot of the log.
+// applyCommitted applies the committed changes one by one or, if the voter lags far, sometimes by a snapshot of the log.
 func (v *voter) applyCommitted() {
 	if v.down || v.isolated {
 		return
@@ -58,117 +58,117 @@
 	}
 	if target-v.applied > 30 && v.sim.chance(0.5) {
 		v.publisher.Reset(v.sim.cluster.position(target))
-		v.sim.checker.seen.Resets++
+		v.sim.checker.coverage.Resets++
 	} else {
 		for _, e := range v.sim.cluster.entries[v.applied:target] {
 			v.publisher.Append(e.change)
 		}
 	}
 	v.applied = target
-	v.holds()
+	v.updateMemberLease()
 	v.serveAll()
 	v.sim.checker.checkVoter(v)
 }
 
-// holds enters the changes that the voter has applied in its own lease.
-func (v *voter) holds() {
-	if v.own != nil {
-		v.own.SetApplied(v.sim.cluster.position(v.applied))
+// updateMemberLease records the applied changes in the voter's member lease.
+func (v *voter) updateMemberLease() {
+	if v.memberLease != nil {
+		v.memberLease.SetApplied(v.sim.cluster.position(v.applied))
 	}
 }
 
-// confirm runs a round: the request goes to the leader, which reads the newest revision, has itself confirmed by a majority
-// and answers.
+// confirm starts a round: the request is sent to the leader, which reads the newest revision, is confirmed by a majority and
+// responds.
 func (v *voter) confirm() {
-	if v.down || v.own == nil && !v.publisher.NeedsConfirmation() {
+	if v.down || v.memberLease == nil && !v.publisher.NeedsConfirmation() {
 		return
 	}
 	r := &round{voter: v, publisher: v.publisher, confirmation: v.publisher.BeginConfirmation(), applied: v.applied}
-	if v.own != nil {
-		r.heartbeat = v.own.BeginRound(v.sim.clock())
+	if v.memberLease != nil {
+		r.ownHeartbeat = v.memberLease.BeginRound(v.sim.clock())
 	}
-	v.sim.after(v.roundDelay(), r.atLeader)
+	v.sim.after(v.roundDelay(), r.arriveAtLeader)
 }
 
 func (v *voter) roundDelay() time.Duration {
-	return v.sim.between(0, 60*time.Millisecond) + v.sim.upTo(v.slow)
+	return v.sim.randomBetween(0, 60*time.Millisecond) + v.sim.randomUpTo(v.confirmationDelay)
 }
 
-// round is a confirmation under way.
+// round is a confirmation round in progress.
 type round struct {
 	voter        *voter
 	publisher    *Publisher
 	confirmation Confirmation
-	applied      int    // at its beginning
-	heartbeat    uint64 // of the voter's own lease
+	applied      int    // changes that the voter had applied when the round began
+	ownHeartbeat uint64 // of the voter's member lease
 	leader       *voter
 	term         uint64
 	through      Revision
 }
 
-// atLeader is the receipt of the request: a round whose leader is not to be reached fails.
-func (r *round) atLeader() {
+// arriveAtLeader runs when the leader receives the request. The round fails if the leader is not reachable.
+func (r *round) arriveAtLeader() {
 	c := r.voter.sim.cluster
 	if r.voter.isolated || c.leader == nil || !c.hasQuorum(c.leader) {
 		if c.deposed == r.voter {
-			r.voter.sim.mutation.deposed(r)
+			r.voter.sim.mutation.deposedRound(r)
 		}
 		return
 	}
 	r.leader, r.term, r.through = c.leader, c.term, c.last().Revision
-	r.voter.sim.after(r.voter.roundDelay(), r.atMajority)
+	r.voter.sim.after(r.voter.roundDelay(), r.confirmByMajority)
 }
 
-// atMajority is the end of the leader's exchange with the others: the round fails where it no longer leads.
-func (r *round) atMajority() {
+// confirmByMajority runs at the end of the leader's exchange with the majority. The round fails if it is no longer the leader.
+func (r *round) confirmByMajority() {
 	c := r.voter.sim.cluster
 	if c.leader != r.leader || c.term != r.term || !c.hasQuorum(r.leader) {
 		return
 	}
-	r.voter.sim.after(r.voter.roundDelay(), r.done)
+	r.voter.sim.after(r.voter.roundDelay(), r.finish)
 }
 
-// done is the receipt of the answer.
-func (r *round) done() {
+// finish runs when the voter receives the leader's response.
+func (r *round) finish() {
 	v := r.voter
 	if v.down || v.isolated || v.publisher != r.publisher {
 		return
 	}
 	v.confirmed = r.through
-	v.rounds++
+	v.confirmedRounds++
 	v.sim.mutation.confirm(r)
-	if v.own != nil {
-		v.sim.mutation.confirmOwn(r)
+	if v.memberLease != nil {
+		v.sim.mutation.confirmMemberLease(r)
 	}
 	v.serveAll()
 }
 
-// subscribe answers a subscription.
+// subscribe handles a subscription.
 func (v *voter) subscribe(c *connection, at Position) {
 	d := v.sim.mutation.subscribe(v, at)
 	v.sim.checker.checkVoter(v)
 	if d.Admission == AdmitReject {
-		v.sim.checker.refused(v, at, d.Rejection)
-		c.sendGateway(func() { c.gateway.refused(d.RetryAfter) })
+		v.sim.checker.checkRejection(v, at, d.Rejection)
+		c.sendToGateway(func() { c.gateway.rejected(d.RetryAfter) })
 		v.close(c)
 		return
 	}
 	c.id, c.admitted = d.ID, true
-	c.sendGateway(c.gateway.accepted)
+	c.sendToGateway(c.gateway.accepted)
 	if d.Admission == AdmitSnapshot {
-		v.sim.after(v.sim.upTo(100*time.Millisecond), func() { v.takeSnapshot(c) })
+		v.sim.after(v.sim.randomUpTo(100*time.Millisecond), func() { v.takeSnapshot(c) })
 		return
 	}
 	v.serve(c)
 }
 
-// takeSnapshot begins the transfer of the state, which changes meanwhile.
+// takeSnapshot begins the transfer of the state, which may change before the transfer ends.
 func (v *voter) takeSnapshot(c *connection) {
 	if c.closed {
 		return
 	}
 	snapshot := v.sim.cluster.snapshot(v.applied)
-	v.sim.after(v.sim.between(10*time.Millisecond, time.Second), func() { v.snapshotSent(c, snapshot) })
+	v.sim.after(v.sim.randomBetween(10*time.Millisecond, time.Second), func() { v.snapshotSent(c, snapshot) })
 }
 
 func (v *voter) snapshotSent(c *connection, snapshot *Snapshot) {
@@ -176,7 +176,7 @@
 		return
 	}
 	v.sim.mutation.snapshot(v, snapshot)
-	c.sendGateway(func() { c.gateway.restore(snapshot) })
+	c.sendToGateway(func() { c.gateway.restore(snapshot) })
 	if err := v.publisher.SnapshotSent(c.id, snapshot.At); err != nil {
 		v.close(c)
 		return
@@ -184,7 +184,7 @@
 	v.serve(c)
 }
 
-// heartbeat enters a heartbeat.
+// heartbeat handles a heartbeat.
 func (v *voter) heartbeat(c *connection, number uint64) {
 	if !c.admitted {
 		return
@@ -199,16 +199,16 @@
 	}
 }
 
-// serve sends a subscriber what is due, as far as its window allows.
+// serve sends a subscriber the batches and marks that are due, up to simMaxInFlight messages in flight.
 func (v *voter) serve(c *connection) {
-	for !c.closed && c.admitted && c.inFlight < simWindow {
+	for !c.closed && c.admitted && c.inFlight < simMaxInFlight {
 		batch, mark, wake, err := v.publisher.Next(c.id, v.sim.clock())
 		if err != nil {
 			v.close(c)
 			return
 		}
 		if batch == nil && mark == nil {
-			v.planWake(c, wake)
+			v.scheduleWake(c, wake)
 			return
 		}
 		if batch != nil {
@@ -216,19 +216,19 @@
 		}
 		if mark != nil {
 			m := v.sim.mutation.mark(*mark)
-			c.sendGatewayAlways(func() { c.gateway.renew(m) })
+			c.sendToGatewayAlways(func() { c.gateway.renew(m) })
 		}
 	}
 }
 
 func (v *voter) sendBatch(c *connection, b *Batch) {
 	if b = v.sim.mutation.batch(c, b); b != nil {
-		c.sendGateway(func() { c.gateway.apply(b) })
+		c.sendToGateway(func() { c.gateway.apply(b) })
 	}
 }
 
-// planWake plans the next call of serve.
-func (v *voter) planWake(c *connection, wake time.Time) {
+// scheduleWake schedules the next call of serve.
+func (v *voter) scheduleWake(c *connection, wake time.Time) {
 	if wake.IsZero() {
 		return
 	}
@@ -241,7 +241,7 @@
 	v.sim.after(delay, func() { v.serve(c) })
 }
 
-// close ends a connection at the voter. The gateway learns it behind what was sent before.
+// close closes a connection at the voter. The gateway is notified after the messages sent before.
 func (v *voter) close(c *connection) {
 	if c.closed {
 		return
@@ -251,11 +251,11 @@
 	if c.admitted {
 		v.publisher.Remove(c.id)
 	}
-	c.sendGateway(c.gateway.disconnect)
+	c.sendToGateway(c.gateway.disconnect)
 }
 
-// closeSilent closes the connections that a gateway has left without notice.
-func (v *voter) closeSilent() {
+// closeIdle closes the connections on which no message was received for simConnectionTimeout.
+func (v *voter) closeIdle() {
 	for _, c := range slices.Clone(v.connections) {
 		if v.sim.now-c.lastReceivedAt > simConnectionTimeout {
 			v.close(c)
@@ -263,33 +263,33 @@
 	}
 }
 
-// crash ends a voter for a time.
+// crash stops a voter for a time.
 func (v *voter) crash(duration time.Duration) {
 	if v.down {
 		return
 	}
 	v.down = true
 	v.closeAll()
-	v.sim.cluster.lostVoter(v)
-	v.sim.after(duration, v.startAgain)
+	v.sim.cluster.voterLost(v)
+	v.sim.after(duration, v.restartAfterCrash)
 }
 
-func (v *voter) startAgain() {
+func (v *voter) restartAfterCrash() {
 	if !v.down {
 		return
 	}
 	v.restart(v.applied)
 	v.down = false
-	v.sim.cluster.voterIsBack(v)
+	v.sim.cluster.voterRecovered(v)
 }
 
-// isolate cuts a voter off from the other voters for a time.
+// isolate partitions a voter from the other voters for a time.
 func (v *voter) isolate(duration time.Duration) {
 	if v.isolated || v.down {
 		return
 	}
 	v.isolated = true
-	v.sim.cluster.lostVoter(v)
+	v.sim.cluster.voterLost(v)
 	v.sim.after(duration, v.rejoin)
 }
 
@@ -298,23 +298,23 @@
 		return
 	}
 	v.isolated = false
-	v.sim.cluster.voterIsBack(v)
+	v.sim.cluster.voterRecovered(v)
 }
 
 // restart replaces the publisher by one that replays the newest of the first n changes.
 func (v *voter) restart(n int) {
 	v.closeAll()
 	v.applied = n
-	v.confirmed, v.rounds = 0, 0
-	clear(v.behind)
+	v.confirmed, v.confirmedRounds = 0, 0
+	clear(v.rejectedAhead)
 	from := max(0, n-v.sim.random.IntN(20))
 	v.publisher = NewPublisher(simLimits, Timing{}, v.sim.cluster.position(from))
 	for _, e := range v.sim.cluster.entries[from:n] {
 		v.publisher.Append(e.change)
 	}
-	if v.own != nil {
-		v.own = NewMemberLease(Timing{})
-		v.holds()
+	if v.memberLease != nil {
+		v.memberLease = NewMemberLease(Timing{})
+		v.updateMemberLease()
 	}
 }
 
--- a/distribution/view_test.go
+++ b/distribution/view_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// viewNow is the time of the cases, in Unix ms.
-const viewNow = 1_000_000_000
+// viewNowMs is the current time in the cases, in Unix ms.
+const viewNowMs = 1_000_000_000
 
-// recorder writes down the effects.
-type recorder struct{ calls []string }
+// effectRecorder records the notifications as text.
+type effectRecorder struct{ calls []string }
 
-func (r *recorder) Configured(name string, value []byte) {
+func (r *effectRecorder) Configured(name string, value []byte) {
 	if value == nil {
 		r.calls = append(r.calls, name+" gone")
 		return
@@ -24,35 +24,35 @@
 	r.calls = append(r.calls, name+"="+string(value))
 }
 
-func (r *recorder) Purged(c Change) {
-	r.calls = append(r.calls, fmt.Sprintf("purge %d/%d at %d", c.Object, c.Group, c.At-viewNow))
+func (r *effectRecorder) Purged(c Change) {
+	r.calls = append(r.calls, fmt.Sprintf("purge %d/%d at %d", c.Object, c.Group, c.At-viewNowMs))
 }
 
-func (r *recorder) PurgesMissed(before int64) {
-	r.calls = append(r.calls, fmt.Sprintf("missed before %d", before-viewNow))
+func (r *effectRecorder) PurgesMissed(before int64) {
+	r.calls = append(r.calls, fmt.Sprintf("missed before %d", before-viewNowMs))
 }
 
 func at(revision Revision, term uint64) Position { return Position{Revision: revision, Term: term} }
 
 func put(revision Revision, term uint64, name, value string) Change {
-	return Change{Position: at(revision, term), Kind: KindPut, Name: name, Value: json.RawMessage(value), At: viewNow}
+	return Change{Position: at(revision, term), Kind: KindPut, Name: name, Value: json.RawMessage(value), At: viewNowMs}
 }
 
 func revoke(revision Revision, name string, until int64) Change {
-	return Change{Position: at(revision, 1), Kind: KindRevoke, Name: name, Until: viewNow + until, At: viewNow}
+	return Change{Position: at(revision, 1), Kind: KindRevoke, Name: name, Until: viewNowMs + until, At: viewNowMs}
 }
 
 func purge(revision Revision, object uint64, proposed int64) Change {
-	return Change{Position: at(revision, 1), Kind: KindPurge, Object: object, Group: 7, At: viewNow + proposed}
+	return Change{Position: at(revision, 1), Kind: KindPurge, Object: object, Group: 7, At: viewNowMs + proposed}
 }
 
 func batch(after Position, changes ...Change) *Batch { return &Batch{After: after, Changes: changes} }
 
-// viewSteps are what a case does to a View; each is one of them.
+// viewStep is one operation on a View (apply, restore or, if neither is set, forget) and its expected results.
 type viewStep struct {
 	apply   *Batch
 	restore *Snapshot
-	forget  time.Duration // after viewNow
+	forget  time.Duration // after viewNowMs
 	err     string        // of apply
 	calls   []string
 	at      Position
@@ -82,7 +82,7 @@
 			config: map[string]string{},
 		},
 		{
-			name: "a batch that does not follow is refused whole",
+			name: "a batch that does not follow is rejected completely",
 			steps: []viewStep{
 				{apply: batch(at(1, 1), put(3, 1, "b", "2")), err: "gap"},
 				{apply: two, calls: []string{"a=1", "b=2"}, at: at(3, 1)},
@@ -96,15 +96,15 @@
 			config: map[string]string{"a": "1", "b": "2"},
 		},
 		{
-			name: "a snapshot of an empty view tells everything",
+			name: "a snapshot notifies an empty view of everything",
 			steps: []viewStep{
 				{
 					restore: &Snapshot{
 						At:          at(9, 1),
 						Config:      map[string]json.RawMessage{"b": []byte("2"), "a": []byte("1"), "none": []byte("null")},
-						Revocations: map[string]int64{"x": viewNow + 5},
+						Revocations: map[string]int64{"x": viewNowMs + 5},
 						Purges:      []Change{purge(8, 5, -100)},
-						PurgesSince: viewNow - 60_000,
+						PurgesSince: viewNowMs - 60_000,
 					},
 					calls: []string{"missed before -60000", "purge 5/7 at -100", "a=1", "b=2"},
 					at:    at(9, 1),
@@ -117,7 +117,7 @@
 			purgesKnown: 1,
 		},
 		{
-			name: "a snapshot tells what changed, and keeps what it lacks",
+			name: "a snapshot notifies of the differences, and revocations and purges that it lacks are kept",
 			steps: []viewStep{
 				{
 					apply: batch(at(0, 0), put(1, 1, "a", "1"), put(2, 1, "b", "2"), put(3, 1, "c", "3"),
@@ -130,7 +130,7 @@
 						At:          at(20, 1),
 						Config:      map[string]json.RawMessage{"a": []byte("1"), "b": []byte("5"), "d": []byte("4")},
 						Purges:      []Change{purge(6, 12, 0), purge(19, 13, 10)},
-						PurgesSince: viewNow - 60_000,
+						PurgesSince: viewNowMs - 60_000,
 					},
 					calls: []string{"purge 13/7 at 10", "b=5", "c gone", "d=4"},
 					at:    at(20, 1),
@@ -141,38 +141,38 @@
 			purgesKnown: 3,
 		},
 		{
-			name: "purges are missed where changes since the view may be older than the snapshot's",
+			name: "purges are missed if changes since the view may be older than the snapshot's purges",
 			steps: []viewStep{
 				{apply: batch(at(0, 0), purge(1, 1, 0)), calls: []string{"purge 1/7 at 0"}, at: at(1, 1)},
-				{restore: &Snapshot{At: at(2, 1), PurgesSince: viewNow - 10_000}, at: at(2, 1)},
-				{restore: &Snapshot{At: at(3, 1), PurgesSince: viewNow - 10_000, LatestAt: viewNow}, calls: []string{"missed before -10000"}, at: at(3, 1)},
-				{restore: &Snapshot{At: at(4, 1), PurgesSince: viewNow - 10_000}, at: at(4, 1)},
-				{restore: &Snapshot{At: at(4, 1), PurgesSince: viewNow}, at: at(4, 1)},
-				{restore: &Snapshot{At: at(4, 2), PurgesSince: viewNow}, calls: []string{"missed before 0"}, at: at(4, 2)},
-				{restore: &Snapshot{At: at(3, 3), PurgesSince: viewNow - 99_999}, calls: []string{"missed before -99999"}, at: at(3, 3)},
+				{restore: &Snapshot{At: at(2, 1), PurgesSince: viewNowMs - 10_000}, at: at(2, 1)},
+				{restore: &Snapshot{At: at(3, 1), PurgesSince: viewNowMs - 10_000, LatestAt: viewNowMs}, calls: []string{"missed before -10000"}, at: at(3, 1)},
+				{restore: &Snapshot{At: at(4, 1), PurgesSince: viewNowMs - 10_000}, at: at(4, 1)},
+				{restore: &Snapshot{At: at(4, 1), PurgesSince: viewNowMs}, at: at(4, 1)},
+				{restore: &Snapshot{At: at(4, 2), PurgesSince: viewNowMs}, calls: []string{"missed before 0"}, at: at(4, 2)},
+				{restore: &Snapshot{At: at(3, 3), PurgesSince: viewNowMs - 99_999}, calls: []string{"missed before -99999"}, at: at(3, 3)},
 			},
 			purgesKnown: 1,
 		},
 		{
-			name: "purges are missed where the history was lost",
+			name: "purges are missed if the history was lost",
 			steps: []viewStep{
 				{apply: batch(at(0, 0), purge(5, 1, 0)), calls: []string{"purge 1/7 at 0"}, at: at(5, 1)},
 				{
-					restore: &Snapshot{At: at(3, 2), PurgesSince: viewNow - 60_000, LatestAt: viewNow},
+					restore: &Snapshot{At: at(3, 2), PurgesSince: viewNowMs - 60_000, LatestAt: viewNowMs},
 					calls:   []string{"missed before -60000"},
 					at:      at(3, 2),
 				},
 				{
-					restore: &Snapshot{At: at(3, 3), PurgesSince: viewNow - 60_000, LatestAt: viewNow},
+					restore: &Snapshot{At: at(3, 3), PurgesSince: viewNowMs - 60_000, LatestAt: viewNowMs},
 					calls:   []string{"missed before -60000"},
 					at:      at(3, 3),
 				},
-				{restore: &Snapshot{At: at(4, 3), PurgesSince: viewNow - 60_000, LatestAt: viewNow}, at: at(4, 3)},
+				{restore: &Snapshot{At: at(4, 3), PurgesSince: viewNowMs - 60_000, LatestAt: viewNowMs}, at: at(4, 3)},
 			},
 			purgesKnown: 1,
 		},
 		{
-			name: "what no longer counts is forgotten",
+			name: "expired revocations and purges are dropped",
 			steps: []viewStep{
 				{
 					apply: batch(at(0, 0), revoke(1, "x", -1), revoke(2, "y", 60_000), revoke(3, "z", 1), purge(4, 1, -2000), purge(5, 2, 10)),
@@ -189,18 +189,18 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			effects := &recorder{}
+			effects := &effectRecorder{}
 			view := NewView(effects)
 			for i, step := range test.steps {
 				effects.calls = nil
 				if got := step.run(view); got != step.err {
-					t.Fatalf("step %d: error %q, not %q", i, got, step.err)
+					t.Fatalf("step %d: error %q, want %q", i, got, step.err)
 				}
 				if !slices.Equal(effects.calls, step.calls) {
-					t.Fatalf("step %d: effects %q, not %q", i, effects.calls, step.calls)
+					t.Fatalf("step %d: effects %q, want %q", i, effects.calls, step.calls)
 				}
 				if view.Position() != step.at {
-					t.Fatalf("step %d: at %v, not %v", i, view.Position(), step.at)
+					t.Fatalf("step %d: at %v, want %v", i, view.Position(), step.at)
 				}
 			}
 			if test.config != nil {
@@ -210,7 +210,7 @@
 					got[name] = string(value)
 				}
 				if !reflect.DeepEqual(got, test.config) {
-					t.Errorf("config %v, not %v", got, test.config)
+					t.Errorf("config %v, want %v", got, test.config)
 				}
 			}
 			for _, name := range test.revoked {
@@ -224,13 +224,13 @@
 				}
 			}
 			if len(view.purges) != test.purgesKnown {
-				t.Errorf("%d purges known, not %d", len(view.purges), test.purgesKnown)
+				t.Errorf("%d purges known, want %d", len(view.purges), test.purgesKnown)
 			}
 		})
 	}
 }
 
-// run carries out a step and gives its error.
+// run executes a step and returns the text of its error.
 func (s viewStep) run(v *View) string {
 	switch {
 	case s.apply != nil:
@@ -238,14 +238,14 @@
 			return errorText(err)
 		}
 	case s.restore != nil:
-		v.Restore(s.restore, time.UnixMilli(viewNow))
+		v.Restore(s.restore, time.UnixMilli(viewNowMs))
 	default:
-		v.Forget(time.UnixMilli(viewNow).Add(s.forget))
+		v.Forget(time.UnixMilli(viewNowMs).Add(s.forget))
 	}
 	return ""
 }
 
-func TestViewGetOfWhatIsNotThere(t *testing.T) {
+func TestViewGetUnknownName(t *testing.T) {
 	if value, ok := NewView(nil).Get("a"); ok || value != nil {
 		t.Errorf("got %q, %v", value, ok)
 	}
@@ -269,16 +269,16 @@
 	restored.Restore(&Snapshot{
 		At:          at(5, 1),
 		Config:      map[string]json.RawMessage{"c": []byte("3"), "b": []byte("2"), "a": []byte("1"), "gone": []byte("null")},
-		Revocations: map[string]int64{"x": viewNow + 60_000},
-		LatestAt:    viewNow,
-	}, time.UnixMilli(viewNow))
+		Revocations: map[string]int64{"x": viewNowMs + 60_000},
+		LatestAt:    viewNowMs,
+	}, time.UnixMilli(viewNowMs))
 	if restored.Digest() != want {
-		t.Error("a view by snapshot differs from one by changes")
+		t.Error("a view restored from a snapshot has a different digest than one that applied the changes")
 	}
-	forgetful := apply(base...)
-	forgetful.Forget(time.UnixMilli(viewNow).Add(24 * time.Hour))
-	if forgetful.Digest() != want {
-		t.Error("the digest depends on what was forgotten")
+	expired := apply(base...)
+	expired.Forget(time.UnixMilli(viewNowMs).Add(24 * time.Hour))
+	if expired.Digest() != want {
+		t.Error("the digest depends on the expired entries that were dropped")
 	}
 
 	different := map[string][]Change{
@@ -294,7 +294,7 @@
 	different["until"] = append(slices.Clone(base[:3]), revoke(4, "x", 60_001), base[4])
 	for name, changes := range different {
 		if apply(changes...).Digest() == want {
-			t.Errorf("%s: the digest is the same", name)
+			t.Errorf("%s: the digest does not change", name)
 		}
 	}
 }
@@ -312,16 +312,16 @@
 	}
 	again, _ := before.Encoded(encode)
 	if calls != 1 || &again[0] != &encoded[0] {
-		t.Error("a batch is encoded twice")
+		t.Error("the batch was encoded twice")
 	}
 	var after Batch
 	if err := json.Unmarshal(encoded, &after); err != nil {
 		t.Fatal(err)
 	}
 	if after.After != before.After || !reflect.DeepEqual(after.Changes, before.Changes) {
-		t.Errorf("%s does not decode to itself", encoded)
+		t.Errorf("%s does not decode to the encoded batch", encoded)
 	}
 	if strings.Contains(string(encoded), "encoded") {
-		t.Errorf("%s shows its cache", encoded)
+		t.Errorf("%s contains the cached encoding", encoded)
 	}
 }
--- a/distribution/voter_choice_test.go
+++ b/distribution/voter_choice_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A gateway passes over voters that refused it for a while, and waits only where all did. After a watch that worked it begins
-// anew with the voter that it prefers, without the one that was lost.
+// A gateway skips a voter that rejected it until the voter's Retry-After has passed, and waits only if all voters rejected it.
+// After a successful watch it starts again with its most preferred voter, except for the voter that was just lost.
 func TestVoterChoice(t *testing.T) {
 	start := time.Unix(1000, 0)
 	type ended struct {
@@ -25,17 +25,17 @@
 		voters []string
 		steps  []step
 	}{
-		{"one after the other, as none is reached", []string{"a", "b", "c"}, []step{
+		{"one after the other while none is reachable", []string{"a", "b", "c"}, []step{
 			{voter: "a"},
-			{voter: "a"}, // nothing came of it yet
+			{voter: "a"}, // the watch has not ended yet
 			{ended: ended{voter: "a"}, voter: "b"},
 			{ended: ended{voter: "b"}, voter: "c"},
 			{ended: ended{voter: "c"}, voter: "a"},
 		}},
-		{"without those that refused", []string{"a", "b", "c"}, []step{
+		{"without those that rejected the gateway", []string{"a", "b", "c"}, []step{
 			{voter: "a"},
 			{ended: ended{voter: "a", retryAfter: 5 * time.Second}, voter: "b"},
-			{ended: ended{voter: "b"}, voter: "c"}, // not reached
+			{ended: ended{voter: "b"}, voter: "c"}, // b was not reachable
 			{ended: ended{voter: "c", retryAfter: 3 * time.Second}, voter: "b"},
 			{ended: ended{voter: "b", retryAfter: 4 * time.Second}, voter: "c", wait: 3 * time.Second},
 			{at: 3*time.Second - 1, voter: "c", wait: 1},
@@ -44,9 +44,9 @@
 		{"the preferred one first, once one has worked", []string{"a", "b", "c"}, []step{
 			{ended: ended{voter: "a", retryAfter: 5 * time.Second}, voter: "b"},
 			{ended: ended{voter: "b"}, voter: "c"},
-			{at: 3 * time.Second, ended: ended{voter: "c", worked: true}, voter: "b"}, // a wants more time
+			{at: 3 * time.Second, ended: ended{voter: "c", worked: true}, voter: "b"}, // the Retry-After of a has not passed
 			{at: 5 * time.Second, voter: "a"},
-			{at: 5 * time.Second, ended: ended{voter: "a", worked: true}, voter: "b"}, // not the one that was lost
+			{at: 5 * time.Second, ended: ended{voter: "a", worked: true}, voter: "b"}, // not the voter that was just lost
 		}},
 		{"a single voter", []string{"a"}, []step{
 			{voter: "a"},
@@ -54,7 +54,7 @@
 			{at: time.Second, voter: "a"},
 			{at: time.Second, ended: ended{voter: "a", worked: true}, voter: "a"},
 		}},
-		{"a voter that is not among them", []string{"a", "b"}, []step{
+		{"an unknown voter", []string{"a", "b"}, []step{
 			{ended: ended{voter: "x", worked: true, retryAfter: time.Hour}, voter: "a"},
 		}},
 	}
