--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func near(t *testing.T, what string, got, want, tolerance float64) {
+func checkNear(t *testing.T, what string, got, want, tolerance float64) {
 	t.Helper()
 	if math.Abs(got-want) > tolerance*math.Abs(want) {
 		t.Errorf("%s: %g, want %g", what, got, want)
@@ -15,18 +15,18 @@
 }
 
 func TestPlannedLoad(t *testing.T) {
-	near(t, "requests of a gateway", Planned.Mean(Planned.Gateways).RequestsPerSecond, 853, 0.001)
-	near(t, "bytes of a gateway", Planned.Mean(Planned.Gateways).BytesPerSecond, 0.662e9, 0.001)
-	near(t, "requests of a store", Planned.Mean(Planned.Stores).RequestsPerSecond, 5179, 0.001)
-	near(t, "bytes of an answer", Planned.BytesPerRequest(), 775862, 0.001)
-	near(t, "uneven", Planned.Mean(Planned.Gateways).Times(Unevenness).RequestsPerSecond, 3412, 0.001)
-	near(t, "in hand", Load{RequestsPerSecond: 100}.InHand(3.4e6, 3.4e6), 100, 1e-9)
+	checkNear(t, "requests of a gateway", Planned.Mean(Planned.Gateways).RequestsPerSecond, 853, 0.001)
+	checkNear(t, "bytes of a gateway", Planned.Mean(Planned.Gateways).BytesPerSecond, 0.662e9, 0.001)
+	checkNear(t, "requests of an endpoint", Planned.Mean(Planned.Stores).RequestsPerSecond, 5179, 0.001)
+	checkNear(t, "bytes of a response", Planned.BytesPerRequest(), 775862, 0.001)
+	checkNear(t, "requests of the busiest gateway", Planned.Mean(Planned.Gateways).Times(Unevenness).RequestsPerSecond, 3412, 0.001)
+	checkNear(t, "concurrent transfers", Load{RequestsPerSecond: 100}.InHand(3.4e6, 3.4e6), 100, 1e-9)
 }
 
 func TestFit(t *testing.T) {
 	l, residual := Fit([]Point{{1, 12}, {2, 14}, {10, 30}})
-	near(t, "slope", l.Slope, 2, 1e-9)
-	near(t, "intercept", l.Intercept, 10, 1e-9)
+	checkNear(t, "slope", l.Slope, 2, 1e-9)
+	checkNear(t, "intercept", l.Intercept, 10, 1e-9)
 	if residual > 1e-9 {
 		t.Errorf("residual %g of a straight line", residual)
 	}
@@ -40,12 +40,12 @@
 		t.Errorf("bend at %v, %v", at, bends)
 	}
 	if at, bends := Bend([]Point{{1, 10}, {2, 20}, {3, 31}}, 0.1); bends {
-		t.Errorf("a line bends at %v", at)
+		t.Errorf("bend of a straight line at %v", at)
 	}
 }
 
-// Voters of which each has a machine, rack, zone and region of its own fail independently: the binomial distribution says
-// the same as the sum over all sets.
+// Voters that share no machine, rack, zone or region fail independently: the binomial distribution has to give the same result
+// as the sum over all sets of failed voters.
 func TestMajorityLossOfIndependentVoters(t *testing.T) {
 	f := Failures{Machine: Failure{PerYear: 10, Repair: 24 * time.Hour}}
 	var places []Place
@@ -56,28 +56,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "unavailability", got.Unavailability, AtLeast(3, 5, f.Machine.Unavailability()), 1e-9)
+	checkNear(t, "unavailability", got.Unavailability, AtLeast(3, 5, f.Machine.Unavailability()), 1e-9)
 	p := f.Machine.Unavailability()
-	near(t, "frequency", got.PerYear, 5*f.Machine.Frequency()*6*p*p*(1-p)*(1-p), 1e-9) // one fails while two of four are out
+	checkNear(t, "frequency", got.PerYear, 5*f.Machine.Frequency()*6*p*p*(1-p)*(1-p), 1e-9) // one fails while two of the other four are down
 }
 
-// Voters that share a unit are out together, so the group is out at least as long as the unit is.
+// Voters that share a unit are down together, so the group has no majority for at least as long as the unit is down.
 func TestMajorityLossOfSharedUnits(t *testing.T) {
 	f := Failures{Zone: Failure{PerYear: 2, Repair: 3 * time.Hour}, Rack: Failure{PerYear: 1, Repair: time.Hour}}
 	one, err := f.MajorityLoss([]Place{{1, 1, 1}, {1, 1, 2}, {1, 1, 3}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "one zone", one.Unavailability, f.Zone.Unavailability(), 0.001)
-	near(t, "one zone's mean", one.Mean().Hours(), 3, 0.01)
-	near(t, "one zone's time", one.PerYearTime().Hours(), 6, 0.01)
+	checkNear(t, "one zone", one.Unavailability, f.Zone.Unavailability(), 0.001)
+	checkNear(t, "one zone, mean outage", one.Mean().Hours(), 3, 0.01)
+	checkNear(t, "one zone, outage per year", one.PerYearTime().Hours(), 6, 0.01)
 	same, err := f.MajorityLoss([]Place{{1, 1, 1}, {1, 2, 1}, {1, 3, 1}})
 	if err != nil || same.Unavailability > one.Unavailability/100 {
-		t.Errorf("rack 1 of three zones counts as one rack: %+v, %v", same, err)
+		t.Errorf("rack 1 of each of three zones is counted as a single rack: %+v, %v", same, err)
 	}
 }
 
-func TestMajorityLossOfNoVoters(t *testing.T) {
+func TestMajorityLossVoterCount(t *testing.T) {
 	if _, err := (Failures{}).MajorityLoss(nil); !errors.Is(err, ErrVoters) {
 		t.Error(err)
 	}
@@ -87,7 +87,7 @@
 }
 
 func TestAtLeast(t *testing.T) {
-	near(t, "any", AtLeast(0, 5, 0.3), 1, 1e-12)
-	near(t, "three of five", AtLeast(3, 5, 0.5), 0.5, 1e-12)
-	near(t, "all", AtLeast(5, 5, 0.1), 1e-5, 1e-9)
+	checkNear(t, "any", AtLeast(0, 5, 0.3), 1, 1e-12)
+	checkNear(t, "three of five", AtLeast(3, 5, 0.5), 0.5, 1e-12)
+	checkNear(t, "all", AtLeast(5, 5, 0.1), 1e-5, 1e-9)
 }
--- a/capacity/connections_test.go
+++ b/capacity/connections_test.go
@@ -18,20 +18,20 @@
 	"turnfork.dev/turnfork/upstream/resp"
 )
 
-// silent accepts connections and never reads them. It keeps them open, for which it spends a descriptor and about 0.5 KB each.
-type silent struct {
+// unreadListener accepts connections, never reads from them and keeps them open. Each takes a descriptor and about 0.5 KB.
+type unreadListener struct {
 	net.Listener
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-func listenSilent(b *testing.B) *silent {
+func listenUnread(b *testing.B) *unreadListener {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := &silent{Listener: l}
+	s := &unreadListener{Listener: l}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -46,13 +46,13 @@
 	return s
 }
 
-func (s *silent) count() int {
+func (s *unreadListener) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-func (s *silent) close() {
+func (s *unreadListener) close() {
 	s.Listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,8 +61,8 @@
 	}
 }
 
-// descriptors are those that this process has open.
-func descriptors(b *testing.B) int {
+// openDescriptors returns the number of this process's open file descriptors.
+func openDescriptors(b *testing.B) int {
 	b.Helper()
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -71,41 +71,42 @@
 	return len(open)
 }
 
-// await waits until a count is reached.
-func await(b *testing.B, want int, count func() int) {
+// waitForCount waits until a count is reached, for 10 s at most.
+func waitForCount(b *testing.B, want int, count func() int) {
 	b.Helper()
 	for end := time.Now().Add(10 * time.Second); count() < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			b.Fatalf("%d of %d", count(), want)
+			b.Fatalf("count is %d after 10 s, want %d", count(), want)
 		}
 	}
 }
 
-// BenchmarkStoreConnection measures a gateway's connection to a store: memory and descriptors of the gateway's side. A
-// connection's bare price, with nobody at either end, is measured first and taken off for the store's side.
+// BenchmarkStoreConnection measures the memory and file descriptors of a gateway's connection to an endpoint, on the gateway's
+// side. The memory of the endpoint's side is measured first, with plain connections that no code reads or writes, and is
+// subtracted.
 func BenchmarkStoreConnection(b *testing.B) {
-	for _, stores := range []int{50, 100, 200, 390} {
-		b.Run(fmt.Sprintf("connections=%d", stores), func(b *testing.B) {
+	for _, endpoints := range []int{50, 100, 200, 390} {
+		b.Run(fmt.Sprintf("connections=%d", endpoints), func(b *testing.B) {
 			for b.Loop() {
-				bare := measureBareConnections(b, stores)
-				s := listenSilent(b)
+				bare := measureBareConnections(b, endpoints)
+				s := listenUnread(b)
 				pool := resp.New(resp.Options{
 					DialTimeout: 5000, ProbeTimeout: 60000, Streams: 100, MaxConns: 400, Clock: clock.System(), Log: zerolog.Nop(),
 				}, func(core.Event) {})
 				list := core.EndpointList{Snapshot: true}
-				for i := range stores {
+				for i := range endpoints {
 					list.Endpoints = append(list.Endpoints, core.Endpoint{Addr: s.Addr().String(), Info: control.Endpoint{
-						ID: control.EndpointID(i + 1), State: control.Ready, Weight: storeWeight}})
+						ID: control.EndpointID(i + 1), State: control.Ready, Weight: endpointWeight}})
 				}
 				pool.UpdateEndpoints(list)
-				memory, open := memoryInUse(), descriptors(b)
+				memory, open := memoryInUse(), openDescriptors(b)
 				for _, e := range list.Endpoints {
 					pool.CheckHealth(uint32(e.Info.ID))
 				}
-				await(b, stores, s.count)
-				time.Sleep(100 * time.Millisecond) // for readers and writers to have begun
-				reportOnly(b, (float64(memoryInUse()-memory)-bare/2)/float64(stores), "B/connection")
-				b.ReportMetric(float64(descriptors(b)-open)/float64(stores)-1, "descriptors/connection")
+				waitForCount(b, endpoints, s.count)
+				time.Sleep(100 * time.Millisecond) // until the goroutines of all connections have started
+				reportWithoutTime(b, (float64(memoryInUse()-memory)-bare/2)/float64(endpoints), "B/connection")
+				b.ReportMetric(float64(openDescriptors(b)-open)/float64(endpoints)-1, "descriptors/connection")
 				pool.Close()
 				s.close()
 			}
@@ -113,9 +114,9 @@
 	}
 }
 
-// measureBareConnections gives the memory of connections with nobody at either end, of both sides.
+// measureBareConnections returns the memory of both sides of connections that no code reads or writes.
 func measureBareConnections(b *testing.B, connections int) float64 {
-	s := listenSilent(b)
+	s := listenUnread(b)
 	defer s.close()
 	before := memoryInUse()
 	var dialled []net.Conn
@@ -126,7 +127,7 @@
 		}
 		dialled = append(dialled, c)
 	}
-	await(b, connections, s.count)
+	waitForCount(b, connections, s.count)
 	used := memoryInUse() - before
 	for _, c := range dialled {
 		c.Close()
@@ -134,9 +135,9 @@
 	return float64(used)
 }
 
-// BenchmarkClientConnection measures an idle client's connection at a front: memory of the gateway's side.
+// BenchmarkClientConnection measures the memory of an idle client connection to a frontend, on the gateway's side.
 func BenchmarkClientConnection(b *testing.B) {
-	fronts := map[string]func() func(net.Conn){
+	frontends := map[string]func() func(net.Conn){
 		"fastcgi": func() func(net.Conn) {
 			return fastcgi.New(fastcgi.Options{Post: func(core.Event) {}, Clock: clock.System(), Log: zerolog.Nop(), MaxConns: 600}).Handle
 		},
@@ -148,19 +149,19 @@
 			return signed.New(signed.Options{Post: func(core.Event) {}, Clock: clock.System(), Log: zerolog.Nop(), MaxConns: 600, Ring: keys}).Handle
 		},
 	}
-	for name, open := range fronts {
+	for name, open := range frontends {
 		for _, connections := range []int{100, 200, 580} {
 			b.Run(fmt.Sprintf("%s/connections=%d", name, connections), func(b *testing.B) {
 				for b.Loop() {
-					reportOnly(b, measureClients(b, open(), connections), "B/connection")
+					reportWithoutTime(b, measureClientConnections(b, open(), connections), "B/connection")
 				}
 			})
 		}
 	}
 }
 
-// measureClients gives the memory of a front's side of idle connections, each.
-func measureClients(b *testing.B, handle func(net.Conn), connections int) float64 {
+// measureClientConnections returns the memory of a frontend's side of an idle connection.
+func measureClientConnections(b *testing.B, handle func(net.Conn), connections int) float64 {
 	bare := measureBareConnections(b, connections)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -182,7 +183,7 @@
 		dialled = append(dialled, c)
 		serving.Go(func() { handle(accepted) })
 	}
-	time.Sleep(100 * time.Millisecond) // for readers and writers to have begun
+	time.Sleep(100 * time.Millisecond) // until the goroutines of all connections have started
 	used := memoryInUse() - before
 	for _, c := range dialled {
 		c.Close()
@@ -191,18 +192,19 @@
 	return (float64(used) - bare/2) / float64(connections)
 }
 
-// BenchmarkPoolUpdate measures what the list of stores costs the upstream: a whole list, and a change of one entry.
+// BenchmarkPoolUpdate measures how long the connection pool takes to apply a complete list of endpoints, and a change of one
+// entry.
 func BenchmarkPoolUpdate(b *testing.B) {
-	for _, stores := range storeCounts {
+	for _, endpoints := range endpointCounts {
 		for _, whole := range []bool{true, false} {
-			b.Run(fmt.Sprintf("stores=%d/whole=%v", stores, whole), func(b *testing.B) {
+			b.Run(fmt.Sprintf("stores=%d/whole=%v", endpoints, whole), func(b *testing.B) {
 				pool := resp.New(resp.Options{DialTimeout: 400, ProbeTimeout: 240, Streams: 100, MaxConns: 400, Clock: clock.System(),
 					Log: zerolog.Nop()}, func(core.Event) {})
 				defer pool.Close()
-				list := core.EndpointList{Snapshot: true, Endpoints: storeList(stores)}
+				list := core.EndpointList{Snapshot: true, Endpoints: endpointList(endpoints)}
 				pool.UpdateEndpoints(list)
 				if !whole {
-					list = core.EndpointList{Endpoints: list.Endpoints[stores/2 : stores/2+1]}
+					list = core.EndpointList{Endpoints: list.Endpoints[endpoints/2 : endpoints/2+1]}
 				}
 				for b.Loop() {
 					pool.UpdateEndpoints(list)
--- a/capacity/discovery_test.go
+++ b/capacity/discovery_test.go
@@ -21,45 +21,45 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// Kinds of the frames of discovery.
+// Kinds of discovery frames.
 const (
 	kindSnapshot    = 1
 	kindPurgeObject = 3
 )
 
-// frame is a frame of discovery.
-func frame(number uint64, kind byte, payload []byte) []byte {
+// encodeFrame encodes a discovery frame.
+func encodeFrame(number uint64, kind byte, payload []byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
 	b = binary.BigEndian.AppendUint64(b, number)
 	return append(append(b, kind), payload...)
 }
 
-// purgeFrame purges an object.
-func purgeFrame(number uint64) []byte {
+// encodePurgeFrame encodes a frame that purges an object.
+func encodePurgeFrame(number uint64) []byte {
 	payload := binary.BigEndian.AppendUint64(nil, 0x7f3a9c21e0b4d655+number)
-	return frame(number, kindPurgeObject, binary.BigEndian.AppendUint64(payload, uint64(startMs)+number))
+	return encodeFrame(number, kindPurgeObject, binary.BigEndian.AppendUint64(payload, uint64(startTimeMs)+number))
 }
 
-// listFrame is a whole list of so many caches.
-func listFrame(stores int) []byte {
+// encodeListFrame encodes a frame with a complete list of endpoints.
+func encodeListFrame(endpoints int) []byte {
 	var payload []byte
-	for i := range stores {
+	for i := range endpoints {
 		record := make([]byte, 27)
 		binary.BigEndian.PutUint32(record, uint32(i+1))
 		copy(record[4:], []byte{127, 0, 0, 1})
 		binary.BigEndian.PutUint16(record[8:], uint16(10000+i))
 		record[11] = byte(i % capacity.Planned.Zones)
-		binary.BigEndian.PutUint32(record[15:], storeWeight*1000)
+		binary.BigEndian.PutUint32(record[15:], endpointWeight*1000)
 		payload = append(payload, record...)
 	}
-	return frame(1, kindSnapshot, payload)
+	return encodeFrame(1, kindSnapshot, payload)
 }
 
-// BenchmarkReadFrame measures reading a frame of discovery, and reports its size.
+// BenchmarkReadFrame measures reading a discovery frame, and reports the frame's size.
 func BenchmarkReadFrame(b *testing.B) {
-	frames := map[string][]byte{"purge": purgeFrame(1)}
-	for _, stores := range storeCounts {
-		frames[fmt.Sprintf("stores=%d", stores)] = listFrame(stores)
+	frames := map[string][]byte{"purge": encodePurgeFrame(1)}
+	for _, endpoints := range endpointCounts {
+		frames[fmt.Sprintf("stores=%d", endpoints)] = encodeListFrame(endpoints)
 	}
 	for name, f := range frames {
 		b.Run(name, func(b *testing.B) {
@@ -74,14 +74,14 @@
 	}
 }
 
-// Headers that a TCP segment with time stamps has below its payload.
+// Sizes of the headers of a TCP segment with timestamps, in bytes.
 const (
 	segmentHeaders  = 20 + 32         // IPv4, TCP
-	ethernetHeaders = 14 + 4 + 8 + 12 // header, checksum, preamble, gap
+	ethernetHeaders = 14 + 4 + 8 + 12 // header, checksum, preamble, interframe gap
 )
 
-// BenchmarkPurgesOnTheWire sends purges at the planned rate over loopback to a gateway's own feed and counts the segments
-// that the kernel sent both ways.
+// BenchmarkPurgesOnTheWire sends purges at the planned rate over loopback to a gateway's discovery client, and counts the
+// segments in both directions by the kernel's statistics.
 func BenchmarkPurgesOnTheWire(b *testing.B) {
 	const seconds = 5
 	for _, delay := range []time.Duration{0, 250 * time.Millisecond} {
@@ -91,7 +91,7 @@
 				out, in, payload = sendPurges(b, int(seconds*capacity.Planned.PurgesPerSecond), delay)
 			}
 			headers := func(segments int) float64 { return float64(segments * segmentHeaders) }
-			reportOnly(b, float64(payload)/seconds, "payload-B/s")
+			reportWithoutTime(b, float64(payload)/seconds, "payload-B/s")
 			b.ReportMetric(float64(out)/seconds, "segments-out/s")
 			b.ReportMetric(float64(in)/seconds, "segments-back/s")
 			b.ReportMetric((float64(payload)+headers(out+in))/seconds, "IP-B/s")
@@ -100,7 +100,7 @@
 	}
 }
 
-// sendPurges sends purges evenly in time, each by itself or in batches, and counts segments and bytes.
+// sendPurges sends purges at a constant rate, one by one or in batches, and counts segments and bytes.
 func sendPurges(b *testing.B, purges int, delay time.Duration) (out, in, payload int) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,7 +125,7 @@
 	begun := time.Now()
 	for i := range purges {
 		time.Sleep(time.Until(begun.Add(time.Duration(i+1) * gap)))
-		if batch = append(batch, purgeFrame(uint64(i+1))...); time.Duration(len(batch)/29)*gap < delay {
+		if batch = append(batch, encodePurgeFrame(uint64(i+1))...); time.Duration(len(batch)/29)*gap < delay {
 			continue
 		}
 		n, err := conn.Write(batch)
@@ -139,7 +139,7 @@
 	return outAfter - outBefore, inAfter - inBefore, payload
 }
 
-// segments gives the segments that a connection has sent and received so far, of the kernel's tcp_info.
+// segments returns the number of segments that a connection has sent and received so far, from the kernel's tcp_info.
 func segments(b *testing.B, conn net.Conn) (out, in int) {
 	b.Helper()
 	const outAt, inAt = 136, 140
@@ -160,8 +160,8 @@
 	return int(binary.NativeEndian.Uint32(info[outAt:])), int(binary.NativeEndian.Uint32(info[inAt:]))
 }
 
-// BenchmarkBatchSize tells the bytes of a batch of purges as package distribution words it, and measures wording it. A voter
-// does that once for all its subscribers.
+// BenchmarkBatchSize reports the encoded size of a batch of purges of package distribution, and measures the encoding. A voter
+// encodes a batch once for all its subscribers.
 func BenchmarkBatchSize(b *testing.B) {
 	for _, purges := range []int{1, 12, 46, 460} {
 		b.Run(fmt.Sprintf("purges=%d", purges), func(b *testing.B) {
@@ -180,7 +180,7 @@
 	}
 }
 
-// purgeBatch is a batch of purges at revisions and times as long as real ones.
+// purgeBatch returns a batch of purges whose revisions and times have as many digits as in operation.
 func purgeBatch(purges int) *distribution.Batch {
 	const revision, term = 123456789, 41
 	batch := &distribution.Batch{After: distribution.Position{Revision: revision, Term: term}}
@@ -193,11 +193,12 @@
 	return batch
 }
 
-// BenchmarkNodeConfig tells the size of what a gateway reads at its start, by the size of its list of stores.
+// BenchmarkNodeConfig reports the size of the configuration that a gateway reads when it starts, by the length of its list of
+// endpoints.
 func BenchmarkNodeConfig(b *testing.B) {
-	for _, stores := range storeCounts {
-		b.Run(fmt.Sprintf("stores=%d", stores), func(b *testing.B) {
-			path := writeNodeConfig(b, stores)
+	for _, endpoints := range endpointCounts {
+		b.Run(fmt.Sprintf("stores=%d", endpoints), func(b *testing.B) {
+			path := writeNodeConfig(b, endpoints)
 			info, err := os.Stat(path)
 			if err != nil {
 				b.Fatal(err)
@@ -207,7 +208,7 @@
 					b.Fatal(err)
 				}
 			}
-			reportOnly(b, float64(info.Size())/float64(stores), "B/store")
+			reportWithoutTime(b, float64(info.Size())/float64(endpoints), "B/store")
 		})
 	}
 }
--- a/capacity/failures_test.go
+++ b/capacity/failures_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Assumptions of docs/CAPACITY.md about how often one unit fails. A planned restart takes one voter at a time and is no
-// failure.
+// Assumptions of docs/CAPACITY.md about how often one unit fails. A planned restart stops one voter at a time and does not
+// count as a failure.
 const (
-	machines       = 3965 // gateways, stores and control machines
-	racks          = 280  // two at each site
-	rackDays       = 45   // between failures of a rack or switch anywhere
-	zoneDays       = 60   // between losses of a zone anywhere
-	regionCutsYear = 6    // of regions, all together
-	daysPerYear    = 365
+	machines                = 3965 // gateways, endpoints and control machines
+	racks                   = 280  // two at each site
+	daysBetweenRackFailures = 45   // between failures of a rack or switch anywhere
+	daysBetweenZoneFailures = 60   // between losses of a zone anywhere
+	regionFailuresPerYear   = 6    // of all regions together
+	daysPerYear             = 365
 )
 
-// repairs are how long each kind of unit is out.
+// repairs holds the time that the repair of each kind of unit takes.
 type repairs struct {
 	name                        string
 	machine, rack, zone, region time.Duration
@@ -25,20 +25,20 @@
 func (r repairs) failures() Failures {
 	return Failures{
 		Machine: Failure{Planned.MachineFailuresPerDay * daysPerYear / machines, r.machine},
-		Rack:    Failure{daysPerYear / float64(rackDays) / racks, r.rack},
-		Zone:    Failure{daysPerYear / float64(zoneDays) / float64(Planned.Zones), r.zone},
-		Region:  Failure{regionCutsYear / float64(Planned.Regions), r.region},
+		Rack:    Failure{daysPerYear / float64(daysBetweenRackFailures) / racks, r.rack},
+		Zone:    Failure{daysPerYear / float64(daysBetweenZoneFailures) / float64(Planned.Zones), r.zone},
+		Region:  Failure{regionFailuresPerYear / float64(Planned.Regions), r.region},
 	}
 }
 
 var repairTimes = []repairs{
 	{"fast", 15 * time.Minute, time.Hour, 30 * time.Minute, 5 * time.Minute},
-	{"planned for", 4 * time.Hour, 4 * time.Hour, 2 * time.Hour, 10 * time.Minute},
+	{"planned", 4 * time.Hour, 4 * time.Hour, 2 * time.Hour, 10 * time.Minute},
 	{"slow", 24 * time.Hour, 24 * time.Hour, 8 * time.Hour, time.Hour},
 	{"by hand", 96 * time.Hour, 72 * time.Hour, 24 * time.Hour, 4 * time.Hour},
 }
 
-// placements of five voters, and of three.
+// placements are the locations of groups of five voters, and of a group of three.
 var placements = []struct {
 	name   string
 	places []Place
@@ -51,8 +51,8 @@
 	{"3 in three regions", []Place{{Region: 1}, {Region: 2}, {Region: 3}}},
 }
 
-// TestPlacements prints the table of the page (-v) and checks its rule: more kinds of units kept apart is never worse, as
-// long as what is kept apart fails on its own.
+// TestPlacements prints the table of docs/CAPACITY.md (with -v) and checks its rule: if voters share fewer kinds of units, the
+// group is never less available, as long as units fail independently.
 func TestPlacements(t *testing.T) {
 	for _, r := range repairTimes {
 		f := r.failures()
@@ -73,6 +73,6 @@
 			}
 		}
 		machine := f.Machine.Unavailability()
-		t.Logf("of 5 independent machines alone, 3 or more out: %.2g; a machine's unavailability %.2g", AtLeast(3, 5, machine), machine)
+		t.Logf("probability that 3 or more of 5 independent machines are down: %.2g; unavailability of a machine: %.2g", AtLeast(3, 5, machine), machine)
 	}
 }
--- a/capacity/fleet_size_test.go
+++ b/capacity/fleet_size_test.go
@@ -19,24 +19,24 @@
 	"turnfork.dev/turnfork/upstream/resp"
 )
 
-// fleetSizes are the usual size of a fleet, in stores, and the largest.
+// fleetSizes are the usual number of endpoints of a fleet, and the largest.
 var fleetSizes = []int{200, 3200}
 
 const kindChanges = 2
 
-// listChange is a way in which the list comes, as the events that a gateway gets; the second half undoes the first, so that it
-// may be repeated.
+// listChange is a kind of update of the list of endpoints, as the events that a gateway receives. The second half undoes the
+// first, so that the events may be repeated.
 type listChange struct {
 	name   string
 	events []core.EndpointList
 }
 
-// listChanges are the ways in which a list of so many stores comes: whole, as a change of one entry, as a burst of single
-// changes in which a tenth is replaced, and the same in one piece, as after a gap.
-func listChanges(stores int) []listChange {
-	list := storeList(stores)
-	out, in := slices.Clone(list[stores-stores/10:]), storeList(stores + stores/10)[stores:]
-	one := slices.Clone(list[stores/2 : stores/2+1])
+// listChanges returns the kinds of updates of a list of endpoints: the complete list, a change of one entry, the replacement of
+// a tenth of the endpoints by a burst of single changes, and the same replacement in one event, as after a gap.
+func listChanges(endpoints int) []listChange {
+	list := endpointList(endpoints)
+	out, in := slices.Clone(list[endpoints-endpoints/10:]), endpointList(endpoints + endpoints/10)[endpoints:]
+	one := slices.Clone(list[endpoints/2 : endpoints/2+1])
 	one[0].Info.Weight++
 	replaced := append(withState(out, control.Gone), withState(in, control.Ready)...)
 	restored := append(withState(in, control.Gone), withState(out, control.Ready)...)
@@ -46,29 +46,29 @@
 	}
 	return []listChange{
 		{"whole", []core.EndpointList{{Snapshot: true, Endpoints: list}}},
-		{"delta", []core.EndpointList{{Endpoints: one}, {Endpoints: list[stores/2 : stores/2+1]}}},
+		{"delta", []core.EndpointList{{Endpoints: one}, {Endpoints: list[endpoints/2 : endpoints/2+1]}}},
 		{"burst", burst},
 		{"gap", []core.EndpointList{{Endpoints: replaced}, {Endpoints: restored}}},
 	}
 }
 
-// withState gives the stores in another state.
-func withState(stores []core.Endpoint, state control.State) (changed []core.Endpoint) {
-	for _, s := range stores {
+// withState returns the endpoints with another state.
+func withState(endpoints []core.Endpoint, state control.State) (changed []core.Endpoint) {
+	for _, s := range endpoints {
 		s.Info.State = state
 		changed = append(changed, s)
 	}
 	return changed
 }
 
-// BenchmarkFleetList measures what each way costs each part of a gateway. An iteration is the change and its undoing, of the
-// whole list one telling.
+// BenchmarkFleetList measures each kind of update in each part of a gateway. An iteration is a change and its reversal, or the
+// complete list once.
 func BenchmarkFleetList(b *testing.B) {
-	for _, stores := range fleetSizes {
-		for _, change := range listChanges(stores) {
-			for name, update := range listTakers(b) {
-				b.Run(fmt.Sprintf("%s/%s/%d", name, change.name, stores), func(b *testing.B) {
-					update(core.EndpointList{Snapshot: true, Endpoints: storeList(stores)})
+	for _, endpoints := range fleetSizes {
+		for _, change := range listChanges(endpoints) {
+			for name, update := range listConsumers(b) {
+				b.Run(fmt.Sprintf("%s/%s/%d", name, change.name, endpoints), func(b *testing.B) {
+					update(core.EndpointList{Snapshot: true, Endpoints: endpointList(endpoints)})
 					b.ReportAllocs()
 					for b.Loop() {
 						for _, ev := range change.events {
@@ -77,17 +77,17 @@
 					}
 				})
 			}
-			b.Run(fmt.Sprintf("decode/%s/%d", change.name, stores), func(b *testing.B) { measureDecoding(b, change.events) })
+			b.Run(fmt.Sprintf("decode/%s/%d", change.name, endpoints), func(b *testing.B) { measureDecoding(b, change.events) })
 		}
 	}
 }
 
-// listTakers are the parts that take the list.
-func listTakers(b *testing.B) map[string]func(core.EndpointList) {
+// listConsumers returns the update functions of the parts of a gateway that receive the list.
+func listConsumers(b *testing.B) map[string]func(core.EndpointList) {
 	pool := resp.New(poolOptions(), func(core.Event) {})
 	rest := resp.New(poolOptions(), func(core.Event) {})
-	stores := map[uint32]httpstore.Store{}
-	httpStores := httpstore.New(httpstore.Options{Stores: stores, Clock: clock.System(), Log: zerolog.Nop()}, func(core.Event) {})
+	endpoints := map[uint32]httpstore.Store{}
+	httpStores := httpstore.New(httpstore.Options{Stores: endpoints, Clock: clock.System(), Log: zerolog.Nop()}, func(core.Event) {})
 	mux := &mux.Upstream{Primary: httpStores, Fallback: rest}
 	g := newGateway(b, settings(900, 900), zerolog.Nop())
 	b.Cleanup(func() {
@@ -107,7 +107,7 @@
 	return resp.Options{DialTimeout: 400, ProbeTimeout: 240, Streams: 100, MaxConns: 393, Clock: clock.System(), Log: zerolog.Nop()}
 }
 
-// measureDecoding reads the frames that tell of the events, and reports their bytes.
+// measureDecoding measures reading the frames that encode the events, and reports their size.
 func measureDecoding(b *testing.B, events []core.EndpointList) {
 	var frames []byte
 	for i, ev := range events {
@@ -115,8 +115,8 @@
 		if ev.Snapshot {
 			kind = kindSnapshot
 		}
-		whole := listFrame(len(ev.Endpoints))
-		frames = append(frames, frame(uint64(i+1), kind, whole[13:])...)
+		whole := encodeListFrame(len(ev.Endpoints))
+		frames = append(frames, encodeFrame(uint64(i+1), kind, whole[13:])...)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -129,11 +129,12 @@
 	b.ReportMetric(float64(len(frames)), "B")
 }
 
-// BenchmarkFleetMemory measures what one entry of the list costs core and module, and the pool, without connections.
+// BenchmarkFleetMemory measures the memory of the list in the core with its decision module after requests, and in the
+// connection pool without connections.
 func BenchmarkFleetMemory(b *testing.B) {
 	const copies = 10
-	for _, stores := range fleetSizes {
-		b.Run(fmt.Sprintf("core/%d", stores), func(b *testing.B) {
+	for _, endpoints := range fleetSizes {
+		b.Run(fmt.Sprintf("core/%d", endpoints), func(b *testing.B) {
 			for b.Loop() {
 				var gateways []*gateway
 				for range copies {
@@ -141,16 +142,16 @@
 				}
 				before := memoryInUse()
 				for _, g := range gateways {
-					g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: storeList(stores)})
-					for i := range 5000 { // as many objects as there are places for rankings, and more
+					g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: endpointList(endpoints)})
+					for i := range 5000 { // more objects than the module caches rankings for
 						g.serve(uint64(i+1), requestGap())
 					}
 				}
-				reportOnly(b, float64(memoryInUse()-before)/copies/1e6, "MB")
+				reportWithoutTime(b, float64(memoryInUse()-before)/copies/1e6, "MB")
 				runtime.KeepAlive(gateways)
 			}
 		})
-		b.Run(fmt.Sprintf("resp/%d", stores), func(b *testing.B) {
+		b.Run(fmt.Sprintf("resp/%d", endpoints), func(b *testing.B) {
 			for b.Loop() {
 				var pools []*resp.Pool
 				for range copies {
@@ -158,9 +159,9 @@
 				}
 				before := memoryInUse()
 				for _, p := range pools {
-					p.UpdateEndpoints(core.EndpointList{Snapshot: true, Endpoints: storeList(stores)})
+					p.UpdateEndpoints(core.EndpointList{Snapshot: true, Endpoints: endpointList(endpoints)})
 				}
-				reportOnly(b, float64(memoryInUse()-before)/copies/1e6, "MB")
+				reportWithoutTime(b, float64(memoryInUse()-before)/copies/1e6, "MB")
 				for _, p := range pools {
 					p.Close()
 				}
@@ -169,16 +170,17 @@
 	}
 }
 
-// BenchmarkFleetReach counts the stores that one gateway asks and probes within a minute of 20 requests a second, by the size of
-// the fleet and the zones that it is spread over: each needs a connection. In the middle a tenth of the stores is replaced.
-// Half of the requests are for 200 objects, the others for objects asked for once.
+// BenchmarkFleetReach counts the endpoints to which one gateway sends attempts within a minute at 20 requests per second, and
+// its probes, by the size of the fleet and the number of zones that it is spread over: each such endpoint needs a connection.
+// After half of the requests a tenth of the endpoints is replaced. Half of the requests are for 200 objects, the others for
+// objects that are requested once.
 func BenchmarkFleetReach(b *testing.B) {
 	for _, zones := range []int{1, capacity.Planned.Zones} {
-		for _, stores := range fleetSizes {
-			b.Run(fmt.Sprintf("zones=%d/%d", zones, stores), func(b *testing.B) {
+		for _, endpoints := range fleetSizes {
+			b.Run(fmt.Sprintf("zones=%d/%d", zones, endpoints), func(b *testing.B) {
 				for b.Loop() {
-					before, all, probes := reach(b, stores, zones)
-					reportOnly(b, float64(before), "stores-asked-in-30s")
+					before, all, probes := countContacted(b, endpoints, zones)
+					reportWithoutTime(b, float64(before), "stores-asked-in-30s")
 					b.ReportMetric(float64(all), "stores-asked-in-60s")
 					b.ReportMetric(float64(probes), "probes")
 				}
@@ -187,20 +189,20 @@
 	}
 }
 
-func reach(b *testing.B, stores, zones int) (before, all, probes int) {
+func countContacted(b *testing.B, endpoints, zones int) (before, all, probes int) {
 	const requests, gap = 1200, 50
 	g := newGateway(b, settings(900/zones, 900), zerolog.Nop())
-	list := storeList(stores + stores/10)
+	list := endpointList(endpoints + endpoints/10)
 	for i := range list {
 		list[i].Info.Zone = i % zones
 	}
-	g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: list[:stores]})
+	g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: list[:endpoints]})
 	random := rand.New(rand.NewPCG(1, 1))
 	asked := map[uint32]bool{}
 	for i := range requests {
 		if i == requests/2 {
 			before = len(asked)
-			g.core.Handle(core.EndpointList{Endpoints: append(withState(list[stores-stores/10:stores], control.Gone), list[stores:]...)})
+			g.core.Handle(core.EndpointList{Endpoints: append(withState(list[endpoints-endpoints/10:endpoints], control.Gone), list[endpoints:]...)})
 		}
 		object := uint64(1000 + i)
 		if i%2 == 0 {
@@ -211,5 +213,5 @@
 			asked[s.To] = true
 		}
 	}
-	return before, len(asked), g.ports.probed
+	return before, len(asked), g.ports.probes
 }
--- a/capacity/gateway_test.go
+++ b/capacity/gateway_test.go
@@ -15,26 +15,26 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// What the measured gateway is told.
+// Settings and traffic of the measured gateway.
 const (
 	cacheKind, parentKind, originKind = 0, 1, 2
 
-	storesPerParent = 10 // one store in so many is a parent
-	storeWeight     = 1200
-	clientKBps      = 3400
-	partKB          = 776
-	purgeDone       = 7 * time.Second
-	coldFor         = 10 * time.Second
-	startMs         = 1e12
+	endpointsPerParent = 10 // one endpoint of each ten is a parent
+	endpointWeight     = 1200
+	clientKBps         = 3400
+	partKB             = 776
+	purgeCompletion    = 7 * time.Second
+	slowStartDuration  = 10 * time.Second
+	startTimeMs        = 1e12
 )
 
-// storeCounts are sizes of the list of stores: today's, two between, and the planned one.
-var storeCounts = []int{35, 100, 300, capacity.Planned.Stores}
+// endpointCounts are lengths of the list of endpoints: the current one, two in between, and the planned one.
+var endpointCounts = []int{35, 100, 300, capacity.Planned.Stores}
 
-// ports stand in for the front and the stores: every attempt succeeds when the test says so.
+// ports replaces the frontend and the endpoints. It records the attempts sent; the benchmarks deliver their results.
 type ports struct {
 	sent   []core.AttemptRequest
-	probed int
+	probes int
 }
 
 func (p *ports) Answer(uint64, core.Answer)                 {}
@@ -42,11 +42,12 @@
 func (p *ports) Cancel(core.AttemptKey, control.Outcome)    {}
 func (p *ports) LimitCopyAge(core.AttemptKey, float64)      {}
 func (p *ports) ConfirmCancel(core.AttemptKey, uint32) bool { return false }
-func (p *ports) CheckHealth(uint32)                         { p.probed++ }
+func (p *ports) CheckHealth(uint32)                         { p.probes++ }
 func (p *ports) UpdateEndpoints(core.EndpointList)          {}
 func (p *ports) Exclude(member uint32, excluded bool)       {}
 
-// settings are those of a gateway in zone 0, with the gateways of its zone and of all zones that share the stores.
+// settings returns the settings of a gateway in zone 0, given the number of gateways in its zone and in all zones that share
+// the endpoints.
 func settings(zoneGateways, gateways int) control.Settings {
 	byZone, hubs := make([]int, capacity.Planned.Zones), make([]int, capacity.Planned.Zones)
 	for i := range byZone {
@@ -55,21 +56,21 @@
 	return control.Settings{
 		Gateways: gateways, GatewaysByZone: byZone, HubOfZone: hubs, Kinds: 3, ParentKind: parentKind, OriginKind: originKind,
 		BatchInterval: 2 * time.Millisecond, ClientKBps: clientKBps, WeightsKnown: true, MaxAttempts: 8, CanCancel: true, CanCheckHealth: true,
-		CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, AnswersDetailed: true, PurgeCompletion: purgeDone,
-		SlowStartShare: 0.25, SlowStartDuration: coldFor, CollapseMultiple: 2, CollapseWindow: time.Second,
-		ParentSlowStartShare: 0.25, ParentSlowStartDuration: coldFor, ParentCollapseMultiple: 2,
+		CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, AnswersDetailed: true, PurgeCompletion: purgeCompletion,
+		SlowStartShare: 0.25, SlowStartDuration: slowStartDuration, CollapseMultiple: 2, CollapseWindow: time.Second,
+		ParentSlowStartShare: 0.25, ParentSlowStartDuration: slowStartDuration, ParentCollapseMultiple: 2,
 		Classes: []control.Class{{LatencyObjective: 600 * time.Millisecond, Deadline: 5 * time.Second, PriorityWeight: 1}},
 	}
 }
 
-// storeList is a list of stores spread over the planned zones, with one origin.
-func storeList(stores int) (list []core.Endpoint) {
-	for i := range stores {
-		m := control.Endpoint{ID: control.EndpointID(i + 1), Zone: i % capacity.Planned.Zones, Weight: storeWeight, State: control.Ready}
+// endpointList returns endpoints spread over the planned zones, with one origin.
+func endpointList(endpoints int) (list []core.Endpoint) {
+	for i := range endpoints {
+		m := control.Endpoint{ID: control.EndpointID(i + 1), Zone: i % capacity.Planned.Zones, Weight: endpointWeight, State: control.Ready}
 		switch {
 		case i == 0:
 			m.Kind = originKind
-		case i%storesPerParent == 1:
+		case i%endpointsPerParent == 1:
 			m.Kind = parentKind
 		}
 		list = append(list, core.Endpoint{Addr: fmt.Sprintf("127.0.0.1:%d", 10000+i), Info: m})
@@ -77,7 +78,7 @@
 	return list
 }
 
-// gateway is a core with its decision module, led by a manual clock.
+// gateway is a core with its decision module and a manual clock.
 type gateway struct {
 	core   *core.Core
 	ports  *ports
@@ -87,7 +88,7 @@
 
 func newGateway(tb testing.TB, s control.Settings, log zerolog.Logger) *gateway {
 	tb.Helper()
-	g := &gateway{ports: &ports{}, clock: clock.Manual(startMs)}
+	g := &gateway{ports: &ports{}, clock: clock.Manual(startTimeMs)}
 	var err error
 	g.core, err = core.New(core.Options{Settings: s, Classes: []string{"part"}, Seed: 1, Clock: g.clock, Log: log}, g.ports)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return g
 }
 
-// serve carries out one request from its arrival to its answer, ms after the one before.
+// serve processes one request from its arrival to its response, ms after the previous one.
 func (g *gateway) serve(object uint64, ms float64) (attempts int) {
 	g.clock.Advance(ms)
 	g.core.Tick()
@@ -112,18 +113,18 @@
 	return len(g.ports.sent)
 }
 
-// requestGap is the mean time between the requests of a gateway at the planned peak, in ms.
+// requestGap returns the mean time between the requests of a gateway at the planned peak, in ms.
 func requestGap() float64 {
 	return 1000 / capacity.Planned.Mean(capacity.Planned.Gateways).RequestsPerSecond
 }
 
-// BenchmarkRequest measures the decisions on one request, without sockets, by the size of the list of stores. Objects are
-// drawn from more than a gateway remembers.
+// BenchmarkRequest measures the decisions on one request, without sockets, by the length of the list of endpoints. Objects are
+// drawn from more than a gateway keeps state for.
 func BenchmarkRequest(b *testing.B) {
-	for _, stores := range storeCounts {
-		b.Run(fmt.Sprintf("stores=%d", stores), func(b *testing.B) {
+	for _, endpoints := range endpointCounts {
+		b.Run(fmt.Sprintf("stores=%d", endpoints), func(b *testing.B) {
 			g := newGateway(b, settings(121, 3400), zerolog.Nop())
-			g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: storeList(stores)})
+			g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: endpointList(endpoints)})
 			random := rand.New(rand.NewPCG(1, 2))
 			b.ReportAllocs()
 			sent := 0
@@ -135,18 +136,17 @@
 	}
 }
 
-// BenchmarkStoreList measures taking a whole list of stores, and a change of one entry, with 200 requests in hand: each
-// list has them ranked anew.
+// BenchmarkStoreList measures applying a complete list of endpoints, and a change of one entry.
 func BenchmarkStoreList(b *testing.B) {
-	for _, stores := range storeCounts {
+	for _, endpoints := range endpointCounts {
 		for _, whole := range []bool{true, false} {
-			b.Run(fmt.Sprintf("stores=%d/whole=%v", stores, whole), func(b *testing.B) {
+			b.Run(fmt.Sprintf("stores=%d/whole=%v", endpoints, whole), func(b *testing.B) {
 				g := newGateway(b, settings(121, 3400), zerolog.Nop())
-				list := storeList(stores)
+				list := endpointList(endpoints)
 				g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: list})
 				changed := list
 				if !whole {
-					changed = list[stores/2 : stores/2+1]
+					changed = list[endpoints/2 : endpoints/2+1]
 				}
 				for b.Loop() {
 					g.core.Handle(core.EndpointList{Snapshot: whole, Endpoints: changed})
@@ -156,11 +156,11 @@
 	}
 }
 
-// BenchmarkStoreMemory measures what one entry of the list costs core and module.
+// BenchmarkStoreMemory measures the memory of one entry of the list in the core and its decision module.
 func BenchmarkStoreMemory(b *testing.B) {
-	const copies = 20 // of the whole, so that a list's memory stands out
-	for _, stores := range storeCounts {
-		b.Run(fmt.Sprintf("stores=%d", stores), func(b *testing.B) {
+	const copies = 20 // of the gateway, so that the memory of the list exceeds the noise
+	for _, endpoints := range endpointCounts {
+		b.Run(fmt.Sprintf("stores=%d", endpoints), func(b *testing.B) {
 			var bytes int64
 			for b.Loop() {
 				var gateways []*gateway
@@ -169,22 +169,22 @@
 				}
 				before := memoryInUse()
 				for _, g := range gateways {
-					g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: storeList(stores)})
+					g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: endpointList(endpoints)})
 				}
 				bytes = memoryInUse() - before
 				runtime.KeepAlive(gateways)
 			}
-			reportOnly(b, float64(bytes)/copies/float64(stores), "B/store")
+			reportWithoutTime(b, float64(bytes)/copies/float64(endpoints), "B/store")
 		})
 	}
 }
 
-// BenchmarkPurge measures one purge, at the planned rate and 200 requests a purge apart, as the module forgets them on time.
+// BenchmarkPurge measures one purge, at the planned rate, so that the module drops purges as they expire.
 func BenchmarkPurge(b *testing.B) {
 	for _, group := range []bool{false, true} {
 		b.Run(fmt.Sprintf("group=%v", group), func(b *testing.B) {
 			g := newGateway(b, settings(121, 3400), zerolog.Nop())
-			g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: storeList(capacity.Planned.Stores)})
+			g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: endpointList(capacity.Planned.Stores)})
 			object := uint64(1)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -202,9 +202,9 @@
 	}
 }
 
-// BenchmarkPurgeMemory measures what a remembered purge costs.
+// BenchmarkPurgeMemory measures the memory of a purge that is in effect.
 func BenchmarkPurgeMemory(b *testing.B) {
-	for _, purges := range []int{368, 3680, 36800, 368000} { // eight seconds at the planned rate, and multiples
+	for _, purges := range []int{368, 3680, 36800, 368000} { // 8 s at the planned rate, and multiples
 		b.Run(fmt.Sprintf("purges=%d", purges), func(b *testing.B) {
 			var bytes int64
 			for b.Loop() {
@@ -216,19 +216,19 @@
 				bytes = memoryInUse() - before
 				runtime.KeepAlive(g)
 			}
-			reportOnly(b, float64(bytes)/float64(purges), "B/purge")
+			reportWithoutTime(b, float64(bytes)/float64(purges), "B/purge")
 		})
 	}
 }
 
-// BenchmarkObjectMemory measures what a gateway remembers of the objects that it was asked for, by how many there were.
+// BenchmarkObjectMemory measures the memory of a gateway's state of requested objects, by their number.
 func BenchmarkObjectMemory(b *testing.B) {
 	for _, objects := range []int{4096, 8192, 16384, 32768, 65536, 131072} {
 		b.Run(fmt.Sprintf("objects=%d", objects), func(b *testing.B) {
 			var bytes int64
 			for b.Loop() {
 				g := newGateway(b, settings(121, 3400), zerolog.Nop())
-				g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: storeList(35)})
+				g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: endpointList(35)})
 				before := memoryInUse()
 				for i := range objects {
 					g.serve(uint64(i+1), requestGap())
@@ -238,16 +238,16 @@
 				bytes = memoryInUse() - before
 				runtime.KeepAlive(g)
 			}
-			reportOnly(b, float64(bytes)/1e6, "MB")
+			reportWithoutTime(b, float64(bytes)/1e6, "MB")
 			b.ReportMetric(float64(bytes)/float64(objects), "B/object")
 		})
 	}
 }
 
-// BenchmarkProbes measures the probes that one store gets from all gateways of a zone, by the module's own decisions: each
-// gateway has its own module, and all see the planned load.
+// BenchmarkProbes counts the probes that the gateways of a zone send to one endpoint. Each gateway has its own decision module
+// and the planned load.
 func BenchmarkProbes(b *testing.B) {
-	const seconds, storesOfZone = 5, 20
+	const seconds, endpointsOfZone = 5, 20
 	for _, gateways := range []int{3, 24, 121} {
 		b.Run(fmt.Sprintf("gateways=%d", gateways), func(b *testing.B) {
 			probes := 0
@@ -255,56 +255,57 @@
 				probes = 0
 				for range gateways {
 					g := newGateway(b, settings(gateways, 28*gateways), zerolog.Nop())
-					g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: zoneStores(storesOfZone)})
+					g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: zoneEndpoints(endpointsOfZone)})
 					for i := range int(seconds * 1000 / requestGap()) {
 						g.serve(uint64(i%5000+1), requestGap())
-						g.answerProbes(storesOfZone)
+						g.respondToProbes(endpointsOfZone)
 					}
-					probes += g.ports.probed
+					probes += g.ports.probes
 				}
 			}
-			reportOnly(b, float64(probes)/seconds/storesOfZone, "probes/s/store")
+			reportWithoutTime(b, float64(probes)/seconds/endpointsOfZone, "probes/s/store")
 			b.ReportMetric(float64(probes)/seconds/float64(gateways), "probes/s/gateway")
 		})
 	}
 }
 
-// zoneStores are stores that all stand in the gateway's zone.
-func zoneStores(stores int) []core.Endpoint {
-	list := storeList(stores)
+// zoneEndpoints returns endpoints that are all caches in the gateway's zone.
+func zoneEndpoints(endpoints int) []core.Endpoint {
+	list := endpointList(endpoints)
 	for i := range list {
 		list[i].Info.Zone, list[i].Info.Kind = 0, cacheKind
 	}
 	return list
 }
 
-// answerProbes has every store answer the probe that it may have.
-func (g *gateway) answerProbes(stores int) {
-	for i := range stores {
+// respondToProbes reports a successful health check of every endpoint.
+func (g *gateway) respondToProbes(endpoints int) {
+	for i := range endpoints {
 		g.core.Handle(core.HealthCheckResult{Endpoint: uint32(i + 1), Outcome: control.OK, Load: &control.LoadReport{InFlight: 10, Utilization: -1, HitRate: -1, LinkUtilization: -1}})
 	}
 }
 
-// BenchmarkColdStore measures how many requests one gateway may send to a store in the ten seconds after that store's start,
-// by the number of gateways that share it: each gateway has 20 requests a second and no other store for them. Gateways that
-// have served before know how long a request takes; those that start together with the store take it for as long as its aim.
+// BenchmarkColdStore counts the requests that one gateway sends to an endpoint in the ten seconds after the endpoint's start,
+// by the number of gateways that share it: each gateway gets 20 requests per second and has no other endpoint for them.
+// Gateways that have served requests before have measured their latency; those that start together with the endpoint assume
+// the latency objective of the class.
 func BenchmarkColdStore(b *testing.B) {
-	const samples = 100 // gateways, spread evenly over their numbers, by which they take turns
+	const samples = 100 // gateways, spread evenly over the numbers by which gateways take turns
 	for _, fresh := range []bool{false, true} {
-		for _, weight := range []float64{12, storeWeight} {
+		for _, weight := range []float64{12, endpointWeight} {
 			for _, gateways := range []int{3, 24, 121, 425, 3400} {
 				b.Run(fmt.Sprintf("fresh=%v/weight=%v/gateways=%d", fresh, weight, gateways), func(b *testing.B) {
 					sent, none := 0, 0
 					for b.Loop() {
 						sent, none = 0, 0
 						for sample := range samples {
-							n := sendsToColdStore(b, gateways, sample*gateways/samples, weight, fresh)
+							n := requestsToColdEndpoint(b, gateways, sample*gateways/samples, weight, fresh)
 							if sent += n; n == 0 {
 								none++
 							}
 						}
 					}
-					reportOnly(b, float64(sent)/samples, "requests/gateway")
+					reportWithoutTime(b, float64(sent)/samples, "requests/gateway")
 					b.ReportMetric(float64(sent)/samples*float64(gateways), "requests/store")
 					b.ReportMetric(float64(none)/samples, "share-without")
 				})
@@ -313,30 +314,31 @@
 	}
 }
 
-// oneStore is a list that names one store alone.
-func oneStore(id control.EndpointID, weight float64, started time.Duration) control.EndpointList {
+// singleEndpointList returns a list with a single endpoint.
+func singleEndpointList(id control.EndpointID, weight float64, started time.Duration) control.EndpointList {
 	return control.EndpointList{Snapshot: true, Endpoints: []control.Endpoint{{ID: id, Weight: weight, State: control.Ready, StartedAt: started}}}
 }
 
-// sendsToColdStore counts the requests that leave for a store within the time in which it is cold.
-func sendsToColdStore(b *testing.B, gateways, number int, weight float64, fresh bool) (sent int) {
+// requestsToColdEndpoint returns the number of requests that are sent to an endpoint during its slow start.
+func requestsToColdEndpoint(b *testing.B, gateways, number int, weight float64, fresh bool) (sent int) {
 	s := settings(gateways, gateways)
-	s.SlowStartDuration, s.Gateway = coldFor, number
+	s.SlowStartDuration, s.Gateway = slowStartDuration, number
 	c, err := control.New(s, uint64(number))
 	if err != nil {
 		b.Fatal(err)
 	}
 	now := time.Hour
 	if !fresh {
-		c.Handle(now, oneStore(2, weight, 0), nil)
-		offer(c, &now, 1, coldFor)
+		c.Handle(now, singleEndpointList(2, weight, 0), nil)
+		offerRequests(c, &now, 1, slowStartDuration)
 	}
-	c.Handle(now, oneStore(1, weight, now), nil)
-	return offer(c, &now, 1<<20, coldFor-time.Second/10) // it ends while the store is cold
+	c.Handle(now, singleEndpointList(1, weight, now), nil)
+	return offerRequests(c, &now, 1<<20, slowStartDuration-time.Second/10) // ends before the slow start does
 }
 
-// offer has requests arrive for a while, 20 a second, and counts those that leave; each is answered at a client's pace.
-func offer(c *control.Controller, now *time.Duration, firstID control.RequestID, duration time.Duration) (sent int) {
+// offerRequests offers a controller 20 requests per second for a duration, and returns the number of attempts sent. Each
+// attempt succeeds after the time that a transfer at the client's rate takes.
+func offerRequests(c *control.Controller, now *time.Duration, firstID control.RequestID, duration time.Duration) (sent int) {
 	const (
 		gap      = 50 * time.Millisecond
 		timeTick = 0xfd
@@ -362,7 +364,7 @@
 	return sent
 }
 
-// countingWriter counts what is written to it.
+// countingWriter counts the bytes and lines written to it.
 type countingWriter struct{ bytes, lines int }
 
 func (w *countingWriter) Write(p []byte) (int, error) {
@@ -373,13 +375,13 @@
 
 var _ io.Writer = (*countingWriter)(nil)
 
-// BenchmarkTrace measures what the log gets for one request that one attempt serves, and what that costs.
+// BenchmarkTrace measures a request that is served by one attempt, and the log that it produces, by log level.
 func BenchmarkTrace(b *testing.B) {
 	for _, level := range []zerolog.Level{zerolog.InfoLevel, zerolog.DebugLevel} {
 		b.Run(level.String(), func(b *testing.B) {
 			w := &countingWriter{}
 			g := newGateway(b, settings(121, 3400), zerolog.New(w).Level(level).With().Timestamp().Logger())
-			g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: storeList(35)})
+			g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: endpointList(35)})
 			for i := uint64(0); b.Loop(); i++ {
 				g.serve(i%5000+1, requestGap())
 			}
--- a/capacity/measure_test.go
+++ b/capacity/measure_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// processorTime is what this process has used so far.
+// processorTime returns the processor time that this process has used so far.
 func processorTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
@@ -18,7 +18,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// memoryInUse is the memory of live objects and of stacks, after a collection.
+// memoryInUse returns the memory of live objects and of stacks, after a garbage collection.
 func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -27,8 +27,8 @@
 	return int64(samples[0].Value.Uint64() + samples[1].Value.Uint64())
 }
 
-// reportOnly leaves out the time of one iteration, which says nothing where a benchmark measures something else.
-func reportOnly(b *testing.B, value float64, unit string) {
+// reportWithoutTime reports a value and suppresses the time per iteration, for benchmarks that measure something else.
+func reportWithoutTime(b *testing.B, value float64, unit string) {
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(value, unit)
 }
--- a/capacity/start_test.go
+++ b/capacity/start_test.go
@@ -17,24 +17,24 @@
 	"turnfork.dev/turnfork/config"
 )
 
-// knownStore is an entry of the list of stores in a node's configuration.
-type knownStore struct {
+// knownEndpoint is an entry of the list of endpoints in a node's configuration.
+type knownEndpoint struct {
 	ID, Addr, Zone, Kind, State string
 	Cell                        int
 	Weight                      float64
 	StartedMs                   float64 `json:"started_ms"`
 }
 
-// nodeConfig is a node's configuration that names so many stores.
-func nodeConfig(stores int) []byte {
+// nodeConfig returns a node's configuration with a list of endpoints.
+func nodeConfig(endpoints int) []byte {
 	var zones []string
 	for i := range capacity.Planned.Zones {
 		zones = append(zones, fmt.Sprintf("zone-%02d", i))
 	}
 	kinds := []string{"box", "parent", "origin"}
-	servers := []knownStore{}
-	for _, s := range storeList(stores) {
-		servers = append(servers, knownStore{
+	servers := []knownEndpoint{}
+	for _, s := range endpointList(endpoints) {
+		servers = append(servers, knownEndpoint{
 			ID: fmt.Sprintf("s-%08x", uint32(s.Info.ID)), Addr: s.Addr, Zone: zones[s.Info.Zone], Kind: kinds[s.Info.Kind],
 			State: "Ready", Weight: s.Info.Weight,
 		})
@@ -49,25 +49,25 @@
 			"classes": []any{object{"name": "firmware", "aim": 0.6, "deadline": 5, "repeat": "free", "worth": 1}},
 			"allowed": object{"max-attempts": 8, "cancel": true, "dial-timeout": 0.4, "idle-close": 15, "probes": true},
 			"family-info": object{"origin-kind": originKind, "shield-kind": parentKind, "client-kb-per-s": clientKBps,
-				"purge-done": purgeDone.Seconds(), "says": "all", "straight": true},
+				"purge-done": purgeCompletion.Seconds(), "says": "all", "straight": true},
 		},
 	})
 	if err != nil {
-		panic(err) // it is made of plain values
+		panic(err) // impossible: all values can be encoded
 	}
 	return text
 }
 
-func writeNodeConfig(tb testing.TB, stores int) string {
+func writeNodeConfig(tb testing.TB, endpoints int) string {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "config.json")
-	if err := os.WriteFile(path, nodeConfig(stores), 0o600); err != nil {
+	if err := os.WriteFile(path, nodeConfig(endpoints), 0o600); err != nil {
 		tb.Fatal(err)
 	}
 	return path
 }
 
-// TestNodeConfig checks that the configuration which the starts are measured with is read whole.
+// TestNodeConfig checks that the configuration used by BenchmarkStart is read completely.
 func TestNodeConfig(t *testing.T) {
 	node, err := config.Load(writeNodeConfig(t, 100), func(string) string { return "" })
 	if err != nil || len(node.Known) != 1 || node.Settings.Gateways != capacity.Planned.Gateways {
@@ -75,26 +75,26 @@
 	}
 }
 
-// BenchmarkStart measures the built program from its start until it serves, the memory that it holds then, and its processor
-// time so far and in each second without traffic.
+// BenchmarkStart measures the built program: the time from its start until it serves, its processor time until then and in one
+// second without traffic, and its resident memory after that second.
 func BenchmarkStart(b *testing.B) {
 	program := filepath.Join(b.TempDir(), "turnfork")
 	if out, err := exec.Command("go", "build", "-o", program, "../cmd/turnfork").CombinedOutput(); err != nil {
 		b.Fatalf("%v\n%s", err, out)
 	}
-	for _, stores := range storeCounts {
-		b.Run(fmt.Sprintf("stores=%d", stores), func(b *testing.B) {
-			path := writeNodeConfig(b, stores)
+	for _, endpoints := range endpointCounts {
+		b.Run(fmt.Sprintf("stores=%d", endpoints), func(b *testing.B) {
+			path := writeNodeConfig(b, endpoints)
 			var ready, processor, idle time.Duration
 			var memory float64
 			runs := 0
 			for b.Loop() {
-				s := startOnce(b, program, path)
+				s := measureStart(b, program, path)
 				ready, processor, idle, memory = ready+s.ready, processor+s.processor, idle+s.idle, memory+s.memory
 				runs++
 			}
 			n := float64(runs)
-			reportOnly(b, ready.Seconds()*1000/n, "ms-to-serve")
+			reportWithoutTime(b, ready.Seconds()*1000/n, "ms-to-serve")
 			b.ReportMetric(processor.Seconds()*1000/n, "processor-ms")
 			b.ReportMetric(idle.Seconds()*100/n, "idle-%core")
 			b.ReportMetric(memory/n/1e6, "MB-resident")
@@ -102,14 +102,14 @@
 	}
 }
 
-// start is what one start was measured to take.
-type start struct {
-	ready, processor, idle time.Duration // idle: processor time in a second
+// startMeasurement is the result of measuring one start.
+type startMeasurement struct {
+	ready, processor, idle time.Duration // idle: processor time in one second without traffic
 	memory                 float64       // bytes resident
 }
 
-// startOnce starts the program, waits until it serves and for a second more, and ends it.
-func startOnce(b *testing.B, program, config string) (s start) {
+// measureStart starts the program, waits until it serves and for one more second, and stops it.
+func measureStart(b *testing.B, program, config string) (s startMeasurement) {
 	cmd := exec.Command(program)
 	cmd.Env = append(os.Environ(), "NODE_CONFIG="+config, "TMPDIR="+b.TempDir())
 	log, err := cmd.StderrPipe()
@@ -128,15 +128,15 @@
 	for lines.Scan() && !strings.Contains(lines.Text(), `"serving"`) {
 	}
 	s.ready = time.Since(begun)
-	s.processor = processorOf(b, cmd.Process.Pid)
+	s.processor = processorTimeOf(b, cmd.Process.Pid)
 	time.Sleep(time.Second)
-	s.idle = processorOf(b, cmd.Process.Pid) - s.processor
-	s.memory = residentOf(b, cmd.Process.Pid)
+	s.idle = processorTimeOf(b, cmd.Process.Pid) - s.processor
+	s.memory = residentBytes(b, cmd.Process.Pid)
 	return s
 }
 
-// processorOf is the processor time that a process has used so far, of its threads.
-func processorOf(b *testing.B, process int) (used time.Duration) {
+// processorTimeOf returns the processor time that the threads of a process have used so far.
+func processorTimeOf(b *testing.B, process int) (used time.Duration) {
 	b.Helper()
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process))
 	if err != nil || len(threads) == 0 {
@@ -156,8 +156,8 @@
 	return used
 }
 
-// residentOf is the memory that a process holds, in bytes.
-func residentOf(b *testing.B, process int) float64 {
+// residentBytes returns the resident memory of a process.
+func residentBytes(b *testing.B, process int) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process))
 	if err != nil {
--- a/capacity/voters_test.go
+++ b/capacity/voters_test.go
@@ -21,15 +21,15 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// voterCounts are sizes of the group of voters: today's, the planned one, and more.
+// voterCounts are sizes of the group of voters: the current one, the planned one, and larger ones.
 var voterCounts = []int{3, 5, 9, 15, 25}
 
 const stepTimeout = 20 * time.Second
 
-// traffic counts the bytes of links, both ways, without the headers of TCP and IP.
+// traffic counts the bytes of links in both directions, without the headers of TCP and IP.
 type traffic struct{ bytes, connections atomic.Int64 }
 
-// countingListener counts what its connections carry.
+// countingListener counts its connections and their bytes.
 type countingListener struct {
 	net.Listener
 	traffic *traffic
@@ -61,21 +61,21 @@
 	return n, err
 }
 
-// group is a group of voters in this process, on loopback, with their logs on disk.
+// group is a group of voters in this process, connected over loopback, with their logs on disk.
 type group struct {
 	tb          testing.TB
 	members     []replica.Member
-	folders     []string
+	dirs        []string
 	certificate func() (*tls.Config, error)
 	stores      []*replica.Store
 	ownLease    bool
 	traffic     traffic
 }
 
-func newGroup(tb testing.TB, voters int) *group { return newGroupOf(tb, voters, false) }
+func newGroup(tb testing.TB, voters int) *group { return newGroupWithLease(tb, voters, false) }
 
-// newGroupOf starts a group whose members keep a lease on their own state or do not.
-func newGroupOf(tb testing.TB, voters int, ownLease bool) *group {
+// newGroupWithLease starts a group. ownLease determines whether its members keep a lease on their own state.
+func newGroupWithLease(tb testing.TB, voters int, ownLease bool) *group {
 	tb.Helper()
 	g := &group{tb: tb, stores: make([]*replica.Store, voters), ownLease: ownLease}
 	var err error
@@ -90,7 +90,7 @@
 		}
 		listeners = append(listeners, l)
 		g.members = append(g.members, replica.Member{ID: fmt.Sprintf("voter-%d", i), Addr: l.Addr().String()})
-		g.folders = append(g.folders, tb.TempDir())
+		g.dirs = append(g.dirs, tb.TempDir())
 	}
 	for i := range voters {
 		g.open(i, listeners[i])
@@ -105,7 +105,7 @@
 	return g
 }
 
-// open starts a voter; with no listener, at the address that it had.
+// open starts a voter. Without a listener it listens on its previous address.
 func (g *group) open(i int, l net.Listener) {
 	g.tb.Helper()
 	conf, err := g.certificate()
@@ -116,7 +116,7 @@
 		g.tb.Fatal(err)
 	}
 	g.stores[i], err = replica.Open(replica.Options{
-		ID: g.members[i].ID, Members: g.members, Listener: countingListener{l, &g.traffic}, TLS: conf, Dir: g.folders[i],
+		ID: g.members[i].ID, Members: g.members, Listener: countingListener{l, &g.traffic}, TLS: conf, Dir: g.dirs[i],
 		Clock: clock.System(), Log: zerolog.Nop(), OwnLease: g.ownLease,
 	})
 	if err != nil {
@@ -124,11 +124,11 @@
 	}
 }
 
-// leader waits for a leader other than the voter left out (-1: none is).
-func (g *group) leader(leftOut int) int {
+// leader waits until a voter other than the excluded one (-1: none) is the leader, and returns its index.
+func (g *group) leader(excluded int) int {
 	for {
 		for i, s := range g.stores {
-			if i != leftOut && s.Leads() {
+			if i != excluded && s.Leads() {
 				return i
 			}
 		}
@@ -136,8 +136,8 @@
 	}
 }
 
-// use makes a whole use of a single-use token: held, sent and settled, three entries of the log.
-func use(s *replica.Store) error {
+// useToken records the complete use of a single-use token in its three steps (hold, send, settle), each a log entry.
+func useToken(s *replica.Store) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
 	name, owner := "url-1/"+rand.Text(), rand.Text()
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// BenchmarkVoters measures groups of voters: uses at the leader and by way of it, and what the group does with nothing to do.
-// Processor times are of the whole group.
+// BenchmarkVoters measures groups of voters: uses of tokens at the leader, uses at a follower that are forwarded to the leader,
+// and an idle group. Processor times are the sum over the group.
 func BenchmarkVoters(b *testing.B) {
 	for _, voters := range voterCounts {
 		b.Run(fmt.Sprintf("voters=%d", voters), func(b *testing.B) {
@@ -167,11 +167,12 @@
 	}
 }
 
-// BenchmarkOwnLease measures what a group of five spends with nothing to do, without leases on their own state and with them.
+// BenchmarkOwnLease measures the processor time and traffic of an idle group of five, with and without leases on their own
+// state.
 func BenchmarkOwnLease(b *testing.B) {
 	for _, ownLease := range []bool{false, true} {
 		b.Run(fmt.Sprintf("lease=%v", ownLease), func(b *testing.B) {
-			g := newGroupOf(b, 5, ownLease)
+			g := newGroupWithLease(b, 5, ownLease)
 			g.leader(-1)
 			g.measureIdle(b)
 		})
@@ -181,23 +182,23 @@
 func (g *group) measureIdle(b *testing.B) {
 	const seconds = 3
 	for b.Loop() {
-		time.Sleep(time.Second) // what came before settles
+		time.Sleep(time.Second) // until the work before has ended
 		used, bytes := processorTime(b), g.traffic.bytes.Load()
 		time.Sleep(seconds * time.Second)
 		voters := float64(len(g.stores))
-		reportOnly(b, 100*(processorTime(b)-used).Seconds()/seconds/voters, "%core/voter")
+		reportWithoutTime(b, 100*(processorTime(b)-used).Seconds()/seconds/voters, "%core/voter")
 		b.ReportMetric(float64(g.traffic.bytes.Load()-bytes)/seconds/(voters-1), "B/s/follower")
 	}
 }
 
-// measureUses has eight goroutines for each of the parallelism make uses at one voter.
+// measureUses measures uses of tokens at one voter, made by parallelism goroutines per processor.
 func (g *group) measureUses(b *testing.B, voter, parallelism int) {
 	used, bytes, connections := processorTime(b), g.traffic.bytes.Load(), g.traffic.connections.Load()
 	b.SetParallelism(parallelism)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			if err := use(g.stores[voter]); err != nil {
+			if err := useToken(g.stores[voter]); err != nil {
 				b.Error(err)
 				return
 			}
@@ -210,7 +211,7 @@
 	b.ReportMetric(float64(g.traffic.connections.Load()-connections)/n, "connections/use")
 }
 
-// BenchmarkLeaderLoss measures the time without a leader after the leader of five voters is stopped.
+// BenchmarkLeaderLoss measures the time without a leader after the leader of a group of five is stopped.
 func BenchmarkLeaderLoss(b *testing.B) {
 	g := newGroup(b, 5)
 	var total, longest time.Duration
@@ -222,17 +223,18 @@
 			b.Fatal(err)
 		}
 		g.leader(leader)
-		without := time.Since(begun)
-		total, longest = total+without, max(longest, without)
+		leaderless := time.Since(begun)
+		total, longest = total+leaderless, max(longest, leaderless)
 		runs++
 		g.open(leader, nil)
 		time.Sleep(time.Second)
 	}
-	reportOnly(b, total.Seconds()/float64(runs), "s-mean")
+	reportWithoutTime(b, total.Seconds()/float64(runs), "s-mean")
 	b.ReportMetric(longest.Seconds(), "s-longest")
 }
 
-// BenchmarkStoredUses measures what remembered uses cost a voter: memory, a snapshot's size and time, and a start from it.
+// BenchmarkStoredUses measures the cost of stored uses for a voter: memory, size and duration of a snapshot, and the time of a
+// restart from it.
 func BenchmarkStoredUses(b *testing.B) {
 	for _, uses := range []int{5000, 20000, 50000} {
 		b.Run(fmt.Sprintf("uses=%d", uses), func(b *testing.B) {
@@ -243,21 +245,21 @@
 	}
 }
 
-// usesPerSnapshot is about how many uses, of three entries each, there are between two snapshots.
+// usesPerSnapshot is the approximate number of uses, of three entries each, between two snapshots.
 const usesPerSnapshot = 4096 / 3
 
 func measureStoredUses(b *testing.B, uses int) {
 	g := newGroup(b, 1)
 	g.leader(-1)
-	g.makeUses(b, 1)
+	g.useTokens(b, 1)
 	before := memoryInUse()
-	g.makeUses(b, uses)
-	log := sizeOf(b, filepath.Join(g.folders[0], "raft.db"))
-	// A voter takes a snapshot each 4,096 entries. The first one here has the whole log to cut, which takes longer.
+	g.useTokens(b, uses)
+	log := fileSize(b, filepath.Join(g.dirs[0], "raft.db"))
+	// A voter takes a snapshot every 4,096 entries. The first one here takes longer, as it truncates the complete log.
 	if err := g.stores[0].Snapshot(); err != nil {
 		b.Fatal(err)
 	}
-	g.makeUses(b, usesPerSnapshot)
+	g.useTokens(b, usesPerSnapshot)
 	taken, longest := g.snapshotUnderUse(b)
 	memory := memoryInUse() - before
 	begun := time.Now()
@@ -267,22 +269,22 @@
 	g.open(0, nil)
 	started := time.Since(begun)
 	runtime.KeepAlive(g)
-	reportOnly(b, float64(memory)/float64(uses), "B-memory/use")
-	b.ReportMetric(float64(snapshotSize(b, g.folders[0]))/float64(uses), "B-snapshot/use")
+	reportWithoutTime(b, float64(memory)/float64(uses), "B-memory/use")
+	b.ReportMetric(float64(snapshotSize(b, g.dirs[0]))/float64(uses), "B-snapshot/use")
 	b.ReportMetric(taken.Seconds()*1000, "ms-snapshot")
 	b.ReportMetric(longest.Seconds()*1000, "ms-longest-use")
 	b.ReportMetric(started.Seconds()*1000, "ms-restart")
 	b.ReportMetric(float64(log)/1e6, "MB-log")
 }
 
-// snapshotUnderUse takes a snapshot while uses are made one after the other, and tells how long the longest of them took.
+// snapshotUnderUse takes a snapshot during sequential uses of tokens, and returns its duration and that of the longest use.
 func (g *group) snapshotUnderUse(b *testing.B) (taken, longest time.Duration) {
 	var done atomic.Bool
 	var using sync.WaitGroup
 	using.Go(func() {
 		for !done.Load() {
 			begun := time.Now()
-			if err := use(g.stores[0]); err != nil {
+			if err := useToken(g.stores[0]); err != nil {
 				b.Error(err)
 				return
 			}
@@ -300,8 +302,8 @@
 	return taken, longest
 }
 
-// makeUses has many goroutines make uses.
-func (g *group) makeUses(b *testing.B, uses int) {
+// useTokens makes a number of uses of tokens concurrently.
+func (g *group) useTokens(b *testing.B, uses int) {
 	const goroutines = 256
 	var left atomic.Int64
 	left.Store(int64(uses))
@@ -309,7 +311,7 @@
 	for range goroutines {
 		making.Go(func() {
 			for left.Add(-1) >= 0 {
-				if err := use(g.stores[0]); err != nil {
+				if err := useToken(g.stores[0]); err != nil {
 					b.Error(err)
 					return
 				}
@@ -319,7 +321,7 @@
 	making.Wait()
 }
 
-func sizeOf(b *testing.B, path string) int64 {
+func fileSize(b *testing.B, path string) int64 {
 	b.Helper()
 	info, err := os.Stat(path)
 	if err != nil {
@@ -328,7 +330,7 @@
 	return info.Size()
 }
 
-// snapshotSize is that of the largest state which a voter's snapshots hold.
+// snapshotSize returns the size of the largest of a voter's snapshots.
 func snapshotSize(b *testing.B, folder string) (size int64) {
 	b.Helper()
 	states, err := filepath.Glob(filepath.Join(folder, "snapshots", "*", "state.bin"))
@@ -336,25 +338,25 @@
 		b.Fatal("no snapshot:", err)
 	}
 	for _, path := range states {
-		size = max(size, sizeOf(b, path))
+		size = max(size, fileSize(b, path))
 	}
 	return size
 }
 
-// BenchmarkLogEntry measures the log on disk, by entry, while it has not been cut.
+// BenchmarkLogEntry measures the size of an entry of the log on disk, before the log is first truncated.
 func BenchmarkLogEntry(b *testing.B) {
 	const uses, entriesPerUse = 1000, 3
 	for b.Loop() {
 		g := newGroup(b, 1)
 		g.leader(-1)
-		path := filepath.Join(g.folders[0], "raft.db")
-		before := sizeOf(b, path)
-		g.makeUses(b, uses)
-		reportOnly(b, float64(sizeOf(b, path)-before)/uses/entriesPerUse, "B-disk/entry")
+		path := filepath.Join(g.dirs[0], "raft.db")
+		before := fileSize(b, path)
+		g.useTokens(b, uses)
+		reportWithoutTime(b, float64(fileSize(b, path)-before)/uses/entriesPerUse, "B-disk/entry")
 	}
 }
 
-// tlsPair gives both ends of a mutual TLS connection over loopback, as links between voters are.
+// tlsPair returns both ends of a mutual TLS connection over loopback, like the links between voters.
 func tlsPair(b *testing.B, l net.Listener, server, client *tls.Config) (accepted, dialled *tls.Conn) {
 	b.Helper()
 	done := make(chan *tls.Conn, 1)
@@ -375,13 +377,13 @@
 		b.Fatal(err)
 	}
 	if accepted = <-done; accepted == nil {
-		b.Fatal("no handshake")
+		b.Fatal("TLS handshake failed")
 	}
 	return accepted, c
 }
 
-// tlsSides gives a listener and the configurations of both sides, as package replica sets them.
-func tlsSides(b *testing.B) (l net.Listener, server, client *tls.Config) {
+// listenTLS returns a listener and the TLS configurations of both sides, as package replica sets them.
+func listenTLS(b *testing.B) (l net.Listener, server, client *tls.Config) {
 	b.Helper()
 	certificate, err := fakestore.Authority()
 	if err == nil {
@@ -401,9 +403,9 @@
 	return l, server, client
 }
 
-// BenchmarkHandshake measures the processor time of a mutual TLS handshake, of both sides.
+// BenchmarkHandshake measures the processor time of a mutual TLS handshake, as the sum of both sides.
 func BenchmarkHandshake(b *testing.B) {
-	l, server, client := tlsSides(b)
+	l, server, client := listenTLS(b)
 	used := processorTime(b)
 	b.ResetTimer()
 	for range b.N {
@@ -414,10 +416,11 @@
 	b.ReportMetric((processorTime(b)-used).Seconds()*1e6/float64(b.N), "processor-us")
 }
 
-// BenchmarkLinkMemory measures the memory of a mutual TLS link at one side, without a goroutine or buffer of its user.
+// BenchmarkLinkMemory measures the memory of one side of a mutual TLS link, without goroutines and buffers of the code that
+// uses it.
 func BenchmarkLinkMemory(b *testing.B) {
 	const links = 200
-	l, server, client := tlsSides(b)
+	l, server, client := listenTLS(b)
 	for b.Loop() {
 		before := memoryInUse()
 		var open []*tls.Conn
@@ -425,26 +428,26 @@
 			accepted, dialled := tlsPair(b, l, server, client)
 			open = append(open, accepted, dialled)
 		}
-		reportOnly(b, float64(memoryInUse()-before)/links/2, "B/side")
+		reportWithoutTime(b, float64(memoryInUse()-before)/links/2, "B/side")
 		for _, c := range open {
 			c.Close()
 		}
 	}
 }
 
-// BenchmarkLinkWrite measures the processor time of sending a block over a link and reading it there, and the same for many
-// links one after the other, as a voter that serves many subscribers does.
+// BenchmarkLinkWrite measures the processor time of writing a block to a link and reading it at the other end, with one link
+// and with many in turn, as for a voter that serves many subscribers.
 func BenchmarkLinkWrite(b *testing.B) {
 	for _, size := range []int{100, 1200, 16000} {
 		for _, links := range []int{1, 100} {
 			b.Run(fmt.Sprintf("bytes=%d/links=%d", size, links), func(b *testing.B) {
-				l, server, client := tlsSides(b)
+				l, server, client := listenTLS(b)
 				var from, to []*tls.Conn
 				for range links {
 					accepted, dialled := tlsPair(b, l, server, client)
 					from, to = append(from, accepted), append(to, dialled)
 				}
-				block, room := make([]byte, size), make([]byte, size)
+				block, buffer := make([]byte, size), make([]byte, size)
 				used := processorTime(b)
 				b.ResetTimer()
 				for i := range b.N {
@@ -452,7 +455,7 @@
 						b.Fatal(err)
 					}
 					for read := 0; read < size; {
-						n, err := to[i%links].Read(room)
+						n, err := to[i%links].Read(buffer)
 						if err != nil {
 							b.Fatal(err)
 						}
--- a/distribution/publisher_test.go
+++ b/distribution/publisher_test.go
@@ -95,16 +95,16 @@
 			subscribe zero 0.0 => snapshot
 			subscribe floor 10.2 => resume
 			subscribe floorterm 10.1 => snapshot
-			subscribe held 15.2 => resume
-			subscribe heldterm 15.3 => snapshot
+			subscribe change 15.2 => resume
+			subscribe changeterm 15.3 => snapshot
 			subscribe between 14.2 => snapshot
 			subscribe last 20.3 => resume
 			subscribe lastterm 20.2 => snapshot
-			subscribe beyond 21.3 => refuse behind
+			subscribe ahead 21.3 => refuse behind
 			next floor => wake 250ms
 			wait 250ms
 			next floor => 10.2<12.2,15.2,20.3
-			next held => 10.2<12.2,15.2,20.3 shared
+			next change => 10.2<12.2,15.2,20.3 shared
 			next last => -`,
 	},
 	{
