--- a/capacity/failures_test.go
+++ b/capacity/failures_test.go
@@ -33,7 +33,7 @@
 
 var repairTimes = []repairs{
 	{"fast", 15 * time.Minute, time.Hour, 30 * time.Minute, 5 * time.Minute},
-	{"planned", 4 * time.Hour, 4 * time.Hour, 2 * time.Hour, 10 * time.Minute},
+	{"planned for", 4 * time.Hour, 4 * time.Hour, 2 * time.Hour, 10 * time.Minute},
 	{"slow", 24 * time.Hour, 24 * time.Hour, 8 * time.Hour, time.Hour},
 	{"by hand", 96 * time.Hour, 72 * time.Hour, 24 * time.Hour, 4 * time.Hour},
 }
--- a/capacity/quorum.go
+++ b/capacity/quorum.go
@@ -62,7 +62,7 @@
 	units := f.units(places)
 	outage := Outage{Unavailability: majorityLossProbability(units, len(places), -1, 0)}
 	for i, u := range units {
-		// The rate of outages caused by a unit is the unit's failure rate multiplied by the probability that the majority
+		// The rate of outages caused by a unit is its failure frequency multiplied by the probability that the majority
 		// depends on this unit (Birnbaum's importance).
 		importance := majorityLossProbability(units, len(places), i, 1) - majorityLossProbability(units, len(places), i, 0)
 		outage.PerYear += u.failure.Frequency() * importance
--- a/capacity/voters_test.go
+++ b/capacity/voters_test.go
@@ -305,12 +305,12 @@
 // useTokens makes a number of uses of tokens concurrently.
 func (g *group) useTokens(b *testing.B, uses int) {
 	const goroutines = 256
-	var left atomic.Int64
-	left.Store(int64(uses))
+	var remaining atomic.Int64
+	remaining.Store(int64(uses))
 	var making sync.WaitGroup
 	for range goroutines {
 		making.Go(func() {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				if err := useToken(g.stores[0]); err != nil {
 					b.Error(err)
 					return
--- a/distribution/checker_test.go
+++ b/distribution/checker_test.go
@@ -109,16 +109,16 @@
 	if v.memberLease.Fresh(now) {
 		c.coverage.OwnFreshChecks++
 		needed := cluster.ackedBy(v.memberLease.CompleteAt().Sub(simEpoch))
-		if held := cluster.appliedCount(v.memberLease.AppliedPosition()); held < needed {
-			c.reportViolation("the member lease of %s is fresh at %v, but %d changes are missing", v.name, v.memberLease.AppliedPosition(), needed-held)
+		if applied := cluster.appliedCount(v.memberLease.AppliedPosition()); applied < needed {
+			c.reportViolation("the member lease of %s is fresh at %v, but %d changes are missing", v.name, v.memberLease.AppliedPosition(), needed-applied)
 		}
 	} else {
 		c.coverage.OwnStaleChecks++
 	}
 	if v.memberLease.MaxCopyAge(now) == 0 {
 		needed := cluster.ackedBy(c.sim.now - DefaultPurgeDeadline)
-		if held := cluster.appliedCount(v.memberLease.AppliedPosition()); held < needed {
-			c.reportViolation("the member lease of %s allows copies of any age, but %d changes are missing", v.name, needed-held)
+		if applied := cluster.appliedCount(v.memberLease.AppliedPosition()); applied < needed {
+			c.reportViolation("the member lease of %s allows copies of any age, but %d changes are missing", v.name, needed-applied)
 		}
 	}
 }
@@ -129,8 +129,8 @@
 	if g.lease.Fresh(g.clock()) {
 		c.coverage.FreshChecks++
 		needed := cluster.ackedBy(g.lease.CompleteAt().Sub(g.startedAt))
-		if held := cluster.appliedCount(g.view.Position()); held < needed {
-			c.reportViolation("%s is fresh at %v, but %d changes are missing", g.name, g.view.Position(), needed-held)
+		if applied := cluster.appliedCount(g.view.Position()); applied < needed {
+			c.reportViolation("%s is fresh at %v, but %d changes are missing", g.name, g.view.Position(), needed-applied)
 		}
 		c.checkPurges(g, needed, "is fresh")
 	}
