--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts instances of the decision module on the simulator's wire: batches of
-// events on standard input, one reply each on standard output.
+// Command simadapter runs instances of the decision module for the simulator: it reads batches of events from standard input
+// and writes one reply to each on standard output.
 package main
 
 import (
@@ -21,6 +21,7 @@
 	}
 }
 
+// instance is a running decision module with the names of its load report values.
 type instance struct {
 	module *control.Controller
 	loads  simproto.Loads
@@ -52,7 +53,7 @@
 		case rec.Event != nil:
 			inst, ok := instances[rec.Instance]
 			if !ok {
-				return nil // an event for an instance that is not running concerns nobody
+				return nil // the instance is not running: ignore the event
 			}
 			actions = inst.module.Handle(now, rec.Event, actions[:0])
 			for _, a := range actions {
--- a/cmd/turnfork/main.go
+++ b/cmd/turnfork/main.go
@@ -1,4 +1,4 @@
-// Command turnfork is the gateway; without arguments it serves as NODE_CONFIG says.
+// Command turnfork is the gateway. Without arguments it serves with the configuration that NODE_CONFIG names.
 package main
 
 import (
--- a/cmd/turnfork/main_test.go
+++ b/cmd/turnfork/main_test.go
@@ -300,7 +300,7 @@
 	// for what follows the last event held.
 	os.WriteFile(conf, []byte("{"), 0o600)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.await(t, "the old one stays")
+	p.await(t, "configuration reload failed; keeping the previous configuration")
 	os.WriteFile(conf, fmt.Appendf(nil, settings, moved.Addr()), 0o600)
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	late, err := moved.Accept()
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of the gateway: flags, signals and the exit code.
+// Package cli implements the command line of the gateway: subcommands, flags, signals and the exit code.
 package cli
 
 import (
@@ -26,17 +26,17 @@
 )
 
 const usage = `usage:
-  turnfork [serve] [-config FILE]         serve; without a file as NODE_CONFIG says
+  turnfork [serve] [-config FILE]         serve; without FILE as NODE_CONFIG says
   turnfork token issue -config FILE ...   sign a URL or a token (-h lists the flags)
   turnfork token key                      print a new secret for a key
   turnfork pcap read  [-config FILE] [-front signed|fastcgi] [-port N] PCAP
   turnfork pcap write [-config FILE] [-plain] PCAP
 `
 
-// errUsage has been told already.
+// errUsage makes Main print the usage and exit with code 2.
 var errUsage = errors.New("usage")
 
-// Main runs the command line and gives the exit code.
+// Main runs the command line and returns the exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	log := zerolog.New(errOut).Level(logLevel(os.Getenv("TURNFORK_LOG"))).With().Timestamp().Logger()
 	err := run(args, out, errOut, log)
@@ -47,7 +47,7 @@
 		fmt.Fprint(errOut, usage)
 		return 2
 	}
-	log.Error().Err(err).Msg("turnfork ends")
+	log.Error().Err(err).Msg("turnfork exits with an error")
 	return 1
 }
 
@@ -57,7 +57,7 @@
 	}
 	if len(args) == 0 || args[0][0] == '-' {
 		flags := flagSet("serve", errOut)
-		file := flags.String("config", "", "the operator's file; without it NODE_CONFIG counts")
+		file := flags.String("config", "", "the operator's file; without it the file that NODE_CONFIG names")
 		if err := flags.Parse(args); err != nil {
 			return err
 		}
@@ -95,7 +95,7 @@
 	return f
 }
 
-// load reads the operator's file, or what the platform tells.
+// load reads the operator's file; without one, the platform's configuration that NODE_CONFIG names.
 func load(file string, log zerolog.Logger) (turnfork.Config, error) {
 	cfg := turnfork.Config{Log: log, Clock: clock.System()}
 	if file == "" {
@@ -114,12 +114,12 @@
 	return cfg, err
 }
 
-// serve runs the gateway until a signal asks it to end. SIGHUP has the configuration read again.
+// serve runs the gateway until SIGTERM or SIGINT. SIGHUP reloads the configuration.
 func serve(cfg turnfork.Config, file string) error {
-	// Guards against SIGHUP ending the program: it is caught before anything is served.
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	defer signal.Stop(hup)
+	// SIGHUP is caught before the gateway starts serving, since by default it terminates the process.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	cfg.SharedDir = os.Getenv("TMPDIR")
 	turnfork.Limit(cfg.Node.Cores, cfg.Node.MemoryMB)
 	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -127,24 +127,24 @@
 	cfg.Stop = stop.Done()
 	ended := make(chan struct{})
 	defer close(ended)
-	cfg.Reload = reload(hup, ended, file, cfg.Log)
+	cfg.Reload = reload(hangups, ended, file, cfg.Log)
 	return turnfork.Run(context.Background(), cfg)
 }
 
-// reload reads the configuration at each signal. A file that can't be used is logged, and the old
-// configuration stays.
-func reload(hup <-chan os.Signal, ended <-chan struct{}, file string, log zerolog.Logger) <-chan config.Node {
+// reload sends the configuration, read again, at each signal. An invalid file is logged, and the previous configuration
+// stays in use.
+func reload(hangups <-chan os.Signal, ended <-chan struct{}, file string, log zerolog.Logger) <-chan config.Node {
 	out := make(chan config.Node)
 	go func() {
 		for {
 			select {
 			case <-ended:
 				return
-			case <-hup:
+			case <-hangups:
 			}
 			cfg, err := load(file, log)
 			if err != nil {
-				log.Error().Err(err).Msg("configuration not read again: the old one stays")
+				log.Error().Err(err).Msg("configuration reload failed; keeping the previous configuration")
 				continue
 			}
 			select {
@@ -157,27 +157,28 @@
 	return out
 }
 
+// issue signs a URL or token with a key of the operator's file and prints it as JSON.
 func issue(args []string, out, errOut io.Writer) error {
 	flags := flagSet("token issue", errOut)
 	var q signed.IssueRequest
 	file := flags.String("config", "", "the operator's file, with the keys")
 	kind := flags.String("kind", "hmac", "the dialect: "+kinds())
-	flags.StringVar(&q.Key, "key", "", "the key; the newest that signs where left out")
-	flags.StringVar(&q.URI, "uri", "", "the whole URI; a path does for hmac and edgeauth")
-	flags.StringVar(&q.Regex, "regex", "", "jws: a POSIX regular expression of the URIs allowed")
-	flags.StringVar(&q.Cover, "cover", "", "in place of the one URI, as the dialect writes it: edgeauth: an acl such as /v1/firmware/*")
-	flags.StringVar(&q.Address, "address", "", "the client's address, where the dialect can say it")
-	flags.StringVar(&q.Method, "method", "", "presign: the method, GET where left out")
-	flags.StringVar(&q.Data, "data", "", "edgeauth: passed along in the token")
-	flags.Float64Var(&q.After, "after", 0, "seconds from now on that it is not valid yet")
-	flags.Float64Var(&q.Seconds, "seconds", 3600, "how long it is valid")
-	flags.BoolVar(&q.SingleUse, "single-use", false, "give it a jti (signed URLs have a nonce anyhow)")
-	flags.IntVar(&q.Renew, "renew", 0, "jws: seconds of a package renewed by cookie; 0: none")
+	flags.StringVar(&q.Key, "key", "", "the key; by default the newest one that can sign")
+	flags.StringVar(&q.URI, "uri", "", "the complete URI; a path suffices for hmac and edgeauth")
+	flags.StringVar(&q.Regex, "regex", "", "jws: a POSIX regular expression that matches the allowed URIs")
+	flags.StringVar(&q.Cover, "cover", "", "a set of URIs in place of one, in the dialect's own form; for edgeauth an acl such as /v1/firmware/*")
+	flags.StringVar(&q.Address, "address", "", "the client's address, for dialects that can bind a token to it")
+	flags.StringVar(&q.Method, "method", "", "presign: the method; GET by default")
+	flags.StringVar(&q.Data, "data", "", "edgeauth: data to include in the token")
+	flags.Float64Var(&q.After, "after", 0, "seconds from now until it becomes valid")
+	flags.Float64Var(&q.Seconds, "seconds", 3600, "seconds for which it is valid")
+	flags.BoolVar(&q.SingleUse, "single-use", false, "include a jti (signed URLs always have a nonce)")
+	flags.IntVar(&q.Renew, "renew", 0, "jws: lifetime in seconds of a package that is renewed by cookie; 0: none")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
 	if *file == "" {
-		return fmt.Errorf("-config: the operator's file is needed")
+		return fmt.Errorf("-config: missing; the operator's file is required")
 	}
 	o, err := config.LoadOperator(*file)
 	if err != nil {
@@ -188,20 +189,20 @@
 		return err
 	}
 	q.Kind = token.Kind(*kind)
-	most := o.TokenS
-	if most == 0 {
-		most = signed.DefaultTokenSeconds
+	maxSeconds := o.TokenS
+	if maxSeconds == 0 {
+		maxSeconds = signed.DefaultTokenSeconds
 	}
-	got, err := signed.Issue(keys, q, clock.System().Unix()/1000, most, rand.Text())
+	issued, err := signed.Issue(keys, q, clock.System().Unix()/1000, maxSeconds, rand.Text())
 	if err != nil {
 		return err
 	}
 	enc := json.NewEncoder(out)
 	enc.SetEscapeHTML(false)
-	return enc.Encode(got)
+	return enc.Encode(issued)
 }
 
-// kinds names the dialects.
+// kinds lists the names of the dialects, separated by commas.
 func kinds() string {
 	var out []string
 	for _, k := range ring.Kinds() {
@@ -210,7 +211,7 @@
 	return strings.Join(out, ", ")
 }
 
-// logLevel is the level that TURNFORK_LOG names (debug traces every request); info where it names none it knows.
+// logLevel parses the value of TURNFORK_LOG (debug traces every request); an empty or unknown name means info.
 func logLevel(name string) zerolog.Level {
 	if l, err := zerolog.ParseLevel(name); err == nil && name != "" {
 		return l
--- a/internal/cli/pcap.go
+++ b/internal/cli/pcap.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	openMost   = 256             // requests unanswered while a file is read
-	answerWait = 8 * time.Second // beyond the longest deadline of a sensible site
-	pollEvery  = 2 * time.Millisecond
+	maxOpenRequests = 256             // in flight while a file is replayed
+	responseTimeout = 8 * time.Second // longer than the deadlines that sites usually configure
+	pollInterval    = 2 * time.Millisecond
 )
 
-// pcapWrite serves like serve and writes the fronts' exchanges to a file.
+// pcapWrite runs the gateway like serve and records the traffic of its frontends in a pcap file.
 func pcapWrite(args []string, errOut io.Writer, log zerolog.Logger) (err error) {
 	flags := flagSet("pcap write", errOut)
-	file := flags.String("config", "", "the operator's file; without it NODE_CONFIG counts")
-	plain := flags.Bool("plain", false, "write tokens and secrets as they are")
+	file := flags.String("config", "", "the operator's file; without it the file that NODE_CONFIG names")
+	plain := flags.Bool("plain", false, "write tokens and secrets unmasked")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
@@ -51,16 +51,17 @@
 	return errors.Join(serve(cfg, *file), w.Flush())
 }
 
-// pcapRead feeds a file's conversations to a front and reports what came of it.
+// pcapRead replays the conversations of a pcap file to the frontends and prints a JSON report with the number of conversations
+// and bytes.
 func pcapRead(args []string, out, errOut io.Writer, log zerolog.Logger) error {
 	flags := flagSet("pcap read", errOut)
-	file := flags.String("config", "", "the operator's file; without it NODE_CONFIG counts")
-	front := flags.String("front", "", "signed or fastcgi; left out, each conversation's first byte tells")
+	file := flags.String("config", "", "the operator's file; without it the file that NODE_CONFIG names")
+	frontend := flags.String("front", "", "signed or fastcgi; by default chosen for each conversation by its first byte")
 	port := flags.Int("port", 0, "read only conversations to this port; 0: all")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	if flags.NArg() != 1 || *front != "" && *front != "signed" && *front != "fastcgi" {
+	if flags.NArg() != 1 || *frontend != "" && *frontend != "signed" && *frontend != "fastcgi" {
 		return errUsage
 	}
 	cfg, err := load(*file, log)
@@ -78,158 +79,159 @@
 	ready, ended := make(chan turnfork.Addrs, 1), make(chan error, 1)
 	cfg.Ready = func(a turnfork.Addrs) { ready <- a }
 	go func() { ended <- turnfork.Run(ctx, cfg) }()
-	feed := &feeder{front: *front, port: uint16(*port), live: map[int]*replay{}}
+	player := &replayer{frontend: *frontend, port: uint16(*port), conversations: map[int]*conversation{}}
 	select {
-	case feed.fronts = <-ready:
+	case player.frontends = <-ready:
 	case err := <-ended:
 		return err
 	}
-	rep, err := pcapio.Read(f, feed)
-	feed.wait()
+	report, err := pcapio.Read(f, player)
+	player.wait()
 	cancel()
 	result := struct {
 		pcapio.Report
 		Fed, PassedOver  int
 		BytesIn, BytesTo int64
-	}{rep, feed.fed, feed.passed, feed.in, feed.to.Load()}
+	}{report, player.replayed, player.skipped, player.bytesIn, player.bytesOut.Load()}
 	return errors.Join(err, json.NewEncoder(out).Encode(result), <-ended)
 }
 
-// feeder hands conversations to the fronts, over pipes within the process.
-type feeder struct {
-	fronts turnfork.Addrs
-	front  string
-	port   uint16
-	live   map[int]*replay
-	fed    int
-	passed int
-	in     int64
-	to     atomic.Int64
-	wg     sync.WaitGroup
+// replayer sends the recorded client data of each conversation to a frontend through a pipe within the process.
+type replayer struct {
+	frontends     turnfork.Addrs
+	frontend      string
+	port          uint16
+	conversations map[int]*conversation
+	replayed      int
+	skipped       int
+	bytesIn       int64
+	bytesOut      atomic.Int64
+	wg            sync.WaitGroup
 }
 
-// replay is one conversation; c is nil until its first byte has told the front.
-type replay struct {
-	c    net.Conn
-	far  *watched
-	sent int64
+// conversation is one recorded connection. The two ends of its pipe are nil until the first byte determines the frontend.
+type conversation struct {
+	clientEnd   net.Conn
+	frontendEnd *frontendConn
+	bytesSent   int64
 }
 
-// watched is the front's end of a pipe. It tells whether the front has dealt with all that was sent and
-// waits for more: only then are the requests that it has taken counted.
-type watched struct {
+// frontendConn is the frontend's end of a pipe. It records whether the frontend has read everything that was sent and waits
+// for more: only then does the number of open requests include all requests of the conversation.
+type frontendConn struct {
 	net.Conn
-	got    atomic.Int64
-	asking atomic.Bool
-	closed atomic.Bool
+	bytesReceived atomic.Int64
+	reading       atomic.Bool
+	closed        atomic.Bool
 }
 
-// Read reads, marks the time during which the front waits for bytes, and counts the bytes that it received.
-func (w *watched) Read(b []byte) (int, error) {
-	w.asking.Store(true)
+// Read reads from the pipe, sets the reading flag meanwhile, and counts the bytes received.
+func (w *frontendConn) Read(b []byte) (int, error) {
+	w.reading.Store(true)
 	n, err := w.Conn.Read(b)
-	w.asking.Store(false)
-	w.got.Add(int64(n))
+	w.reading.Store(false)
+	w.bytesReceived.Add(int64(n))
 	return n, err
 }
 
-// Close closes the pipe and records that the front has closed it.
-func (w *watched) Close() error {
+// Close closes the pipe and records that the frontend has closed it.
+func (w *frontendConn) Close() error {
 	w.closed.Store(true)
 	return w.Conn.Close()
 }
 
-// taken waits until the front has dealt with all bytes of a conversation.
-func (r *replay) taken() {
-	for end := time.Now().Add(answerWait); time.Now().Before(end); time.Sleep(pollEvery) {
-		if r.far.closed.Load() || r.far.got.Load() == r.sent && r.far.asking.Load() {
+// waitConsumed waits until the frontend has processed all bytes of the conversation or closed it, at most responseTimeout.
+func (r *conversation) waitConsumed() {
+	for end := time.Now().Add(responseTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
+		if r.frontendEnd.closed.Load() || r.frontendEnd.bytesReceived.Load() == r.bytesSent && r.frontendEnd.reading.Load() {
 			return
 		}
 	}
 }
 
-// Open notes a conversation.
-func (f *feeder) Open(id int, server uint16) error {
+// Open registers a conversation, unless its server port is filtered out.
+func (f *replayer) Open(id int, server uint16) error {
 	if f.port != 0 && server != f.port {
-		f.passed++
+		f.skipped++
 		return nil
 	}
-	f.live[id] = &replay{}
+	f.conversations[id] = &conversation{}
 	return nil
 }
 
-// Data writes what the client sent. It waits while too much is unanswered.
-func (f *feeder) Data(id int, b []byte) error {
-	r := f.live[id]
+// Data writes client data to the frontend. It first waits while more than maxOpenRequests requests are open.
+func (f *replayer) Data(id int, b []byte) error {
+	r := f.conversations[id]
 	if r == nil {
 		return nil
 	}
-	if r.c == nil {
-		serve := f.fronts.Fronts.Signed
-		if f.front == "fastcgi" || f.front == "" && b[0] == 1 { // FastCGI's version; no method begins so
-			serve = f.fronts.Fronts.FastCGI
+	if r.clientEnd == nil {
+		serveConn := f.frontends.Fronts.Signed
+		if f.frontend == "fastcgi" || f.frontend == "" && b[0] == 1 { // 1 is the FastCGI version; no HTTP method starts with it
+			serveConn = f.frontends.Fronts.FastCGI
 		}
-		if serve == nil {
-			f.passed++
-			delete(f.live, id)
+		if serveConn == nil {
+			f.skipped++
+			delete(f.conversations, id)
 			return nil
 		}
-		var far net.Conn
-		r.c, far = net.Pipe()
-		r.far = &watched{Conn: far}
-		f.fed++
+		var frontendEnd net.Conn
+		r.clientEnd, frontendEnd = net.Pipe()
+		r.frontendEnd = &frontendConn{Conn: frontendEnd}
+		f.replayed++
 		f.wg.Add(2)
-		go func() { defer f.wg.Done(); serve(r.far) }()
+		go func() { defer f.wg.Done(); serveConn(r.frontendEnd) }()
 		go func() {
 			defer f.wg.Done()
-			n, _ := io.Copy(io.Discard, r.c)
-			f.to.Add(n)
+			n, _ := io.Copy(io.Discard, r.clientEnd)
+			f.bytesOut.Add(n)
 		}()
 	}
-	f.settle(openMost)
-	r.c.SetWriteDeadline(time.Now().Add(answerWait))
-	n, err := r.c.Write(b)
-	f.in += int64(n)
-	r.sent += int64(n)
-	if err != nil { // the front has ended this conversation; the others go on
-		r.c.Close()
-		delete(f.live, id)
+	f.waitOpenRequests(maxOpenRequests)
+	r.clientEnd.SetWriteDeadline(time.Now().Add(responseTimeout))
+	n, err := r.clientEnd.Write(b)
+	f.bytesIn += int64(n)
+	r.bytesSent += int64(n)
+	if err != nil { // the frontend closed this conversation; the others continue
+		r.clientEnd.Close()
+		delete(f.conversations, id)
 	}
 	return nil
 }
 
-// settle waits until no more than so many requests are unanswered.
-func (f *feeder) settle(most int) {
-	for end := time.Now().Add(answerWait); f.fronts.Fronts.Open() > most && time.Now().Before(end); {
-		time.Sleep(pollEvery)
+// waitOpenRequests waits until at most maxOpen requests are open, but no longer than responseTimeout.
+func (f *replayer) waitOpenRequests(maxOpen int) {
+	for end := time.Now().Add(responseTimeout); f.frontends.Fronts.Open() > maxOpen && time.Now().Before(end); {
+		time.Sleep(pollInterval)
 	}
 }
 
-// Close ends a conversation once its answers have come.
-func (f *feeder) Close(id int, gap int) error {
-	r := f.live[id]
-	delete(f.live, id)
-	if r == nil || r.c == nil {
+// Close closes a conversation after its responses have been received.
+func (f *replayer) Close(id int, gap int) error {
+	r := f.conversations[id]
+	delete(f.conversations, id)
+	if r == nil || r.clientEnd == nil {
 		return nil
 	}
 	if gap > 0 {
-		fmt.Fprintf(os.Stderr, "conversation %d: %d bytes are missing; read up to there\n", id, gap)
+		fmt.Fprintf(os.Stderr, "conversation %d: %d bytes are missing from the file; replayed up to the gap\n", id, gap)
 	}
-	r.taken()
-	f.settle(0)
-	return r.c.Close()
+	r.waitConsumed()
+	f.waitOpenRequests(0)
+	return r.clientEnd.Close()
 }
 
-func (f *feeder) wait() {
-	for _, r := range f.live {
-		if r.c != nil {
-			r.taken()
+// wait waits for the responses of the conversations that are still open, and closes these.
+func (f *replayer) wait() {
+	for _, r := range f.conversations {
+		if r.clientEnd != nil {
+			r.waitConsumed()
 		}
 	}
-	f.settle(0)
-	for _, r := range f.live {
-		if r.c != nil {
-			r.c.Close()
+	f.waitOpenRequests(0)
+	for _, r := range f.conversations {
+		if r.clientEnd != nil {
+			r.clientEnd.Close()
 		}
 	}
 	f.wg.Wait()
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -6,7 +6,7 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Codes of the records that arrive.
+// Codes of the events in a frame.
 const (
 	codeEndpointList      = 256
 	codeStart             = 257
@@ -32,7 +32,7 @@
 	actionAttempt          = 268
 )
 
-// Forms of an endpoint list.
+// Modes of an endpoint list.
 const (
 	listSnapshot       = 0
 	listFailed         = 1
@@ -52,17 +52,18 @@
 	attemptCachedOnly = 2
 )
 
-// refreshOnce is the argument of the action that asks for the endpoint list.
+// refreshOnce is the argument of the action that requests the endpoint list.
 const refreshOnce = 1
 
 const (
 	minRecordBytes = 6  // code and instance
 	endpointBytes  = 21 // one entry of an endpoint list
 
-	// maxSeconds bounds a time, so that two of them can be added as durations.
+	// maxSeconds bounds a time, so that the sum of two does not overflow a time.Duration.
 	maxSeconds = float64(math.MaxInt64/2) / 1e9
 )
 
+// outcomes maps the codes of the wire to the outcomes of attempts and health checks.
 var outcomes = map[byte]control.Outcome{
 	0:   control.OK,
 	1:   control.Miss,
@@ -75,7 +76,7 @@
 	255: control.ServerError,
 }
 
-// Names that settings give to the values of a load report.
+// Names of the load report values, as report.fields of the settings lists them.
 const (
 	reportInFlight        = "inflight"
 	reportUtilization     = "util"
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -7,14 +7,14 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Start is the event that an instance begins.
+// Start is the event that starts an instance.
 type Start struct {
 	Seed uint64
-	Env  []byte // the text of its settings, valid until the frame's buffer is used again
+	Env  []byte // the settings as JSON, valid until the frame's buffer is reused
 }
 
-// Record is one event for one instance. Exactly one of Start, Stop and Event is set; none is for
-// records that carry nothing for the module.
+// Record is one event for one instance. At most one of Start, Stop and Event is set: none for records that the decision
+// module does not use.
 type Record struct {
 	Instance uint32
 	Start    *Start
@@ -22,17 +22,17 @@
 	Event    control.Event
 }
 
-// Loads maps the report values of an instance, in their order, to the fields of a load report.
+// Loads lists the names of the load report values of an instance, in the order in which they are sent.
 type Loads []string
 
-// Decode reads the records of a frame's content and hands each to fn with the frame's clock.
-// Report values are read with the order that loads returns for the record's instance.
+// Decode reads the records of a frame's content and calls fn for each with the frame's clock. Load report values are assigned
+// to fields in the order that loads returns for the record's instance.
 func Decode(frame []byte, loads func(uint32) Loads, fn func(now time.Duration, r Record) error) error {
 	d := &decoder{reader: reader{frame: frame}, loads: loads}
 	count := int(d.u32())
 	now := d.seconds()
 	if count < 0 || count > (len(frame)-headerBytes)/minRecordBytes {
-		d.fail("impossible number of records %d", count)
+		d.fail("invalid number of records %d", count)
 	}
 	for i := 0; i < count && d.problem == ""; i++ {
 		d.recordNumber = i
@@ -54,10 +54,10 @@
 	loads        func(instance uint32) Loads
 }
 
-// end checks that nothing is left, and gives the first problem with where it was found.
+// end checks that no bytes are left, and returns the first problem with its position.
 func (d *decoder) end() error {
 	if left := len(d.frame) - d.offset; left != 0 {
-		d.fail("%d bytes behind the last record", left)
+		d.fail("%d bytes after the last record", left)
 	}
 	if d.problem == "" {
 		return nil
@@ -87,7 +87,7 @@
 	return &Start{Seed: seed, Env: d.take(size)}
 }
 
-// skipPeerMessage reads a message of another instance, which decides nothing here.
+// skipPeerMessage skips a message of another instance, which the decision module does not use.
 func (d *decoder) skipPeerMessage() {
 	d.u16()
 	size := int(d.u16())
@@ -122,7 +122,7 @@
 	var q control.Request
 	q.ID = control.RequestID(d.u64())
 	q.Class = int(d.u8())
-	d.u16() // the tenant decides nothing here
+	d.u16() // tenant, not used
 	q.Object = control.ObjectID(d.u64())
 	q.Remaining = d.seconds()
 	q.SizeKB = d.f32()
@@ -160,9 +160,9 @@
 func (d *decoder) responseStarted() control.ResponseStarted {
 	var s control.ResponseStarted
 	s.ID = control.RequestID(d.u64())
-	d.seconds() // the latency decides nothing here
+	d.seconds() // latency, not used
 	s.Attempt = int(d.u8())
-	d.u32() // nor does the endpoint
+	d.u32() // endpoint, not used
 	return s
 }
 
@@ -176,13 +176,13 @@
 
 func (d *decoder) endpointList() control.Event {
 	mode := d.u8()
-	d.u64() // changes come in order and leave nothing out, so the version decides nothing
+	d.u64() // version, not used: changes arrive in order and without gaps
 	count := int(d.u32())
 	if mode > listDelta {
 		d.fail("unknown list mode %d", mode)
 	}
 	if count < 0 || count > (len(d.frame)-d.offset)/endpointBytes {
-		d.fail("impossible number of entries %d", count)
+		d.fail("invalid number of entries %d", count)
 		return nil
 	}
 	list := control.EndpointList{
@@ -221,7 +221,8 @@
 	return outcome
 }
 
-// loadReport reads the values of a report, which may be none, in the order that the instance's settings give.
+// loadReport reads the values of a load report in the order that the instance's settings define. It returns nil if there are
+// none; values that are not reported are -1.
 func (d *decoder) loadReport(instance uint32) *control.LoadReport {
 	order := d.loads(instance)
 	count := int(d.u8())
@@ -248,7 +249,7 @@
 	return report
 }
 
-// clampCount brings a number into the range from 0 to a highest; NaN becomes 0.
+// clampCount limits a number to the range from 0 to highest; NaN becomes 0.
 func clampCount(v float64, highest float64) float64 {
 	if !(v > 0) {
 		return 0
--- a/internal/simproto/deployments_test.go
+++ b/internal/simproto/deployments_test.go
@@ -9,23 +9,24 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// figures are what deployments differ in.
-type figures struct {
-	attempts                   int
-	drain, purge, fall, retry  float64 // seconds
-	multiple, parents, share   float64
-	cold, parentCold, parentAt float64
-	effect, says, weights      string
-	keyFor, fresh              float64
-	marks, joins, straight     bool
-	fields                     []string
-	seats, hubs                []int
-	link                       []float64
-	effectIs                   control.Idempotency
-	notesTold, weightsTold     bool
+// deploymentSettings are the settings in which deployments differ, and the values that are expected from them.
+type deploymentSettings struct {
+	maxAttempts                                              int
+	drainGrace, purgeGrace, collapseWindow, maxRetryAfter    float64 // seconds
+	collapseMultiple, parentCollapseMultiple, slowStartShare float64
+	slowStart, parentSlowStart, parentSlowStartShare         float64
+	repeat, says, weights                                    string
+	dedupWindow, freshFor                                    float64
+	marksRetries, joinsFills, bypassesCaches                 bool
+	reportFields                                             []string
+	gatewaysByZone, hubOfZone                                []int
+	linkKBps                                                 []float64
+	wantIdempotency                                          control.Idempotency
+	wantDetailedAnswers, wantWeightsKnown                    bool
 }
 
-func (f figures) text() string {
+// json returns the settings in the form of the wire.
+func (f deploymentSettings) json() string {
 	return fmt.Sprintf(`{"balancers":3,"az":1,"kinds":["box","parent","origin"],"weights":%q,"quantum":0.001,
 		"allowed":{"max-attempts":%d,"max-retry-after":%g,"cancel":true},"clients":{"marks-retry":%t},
 		"classes":[{"aim":0.7,"deadline":3,"repeat":%q,"group":"all","key-ttl":%g,"worth":3}],
@@ -33,53 +34,66 @@
 		"family-info":{"notice-time":%g,"upper-fall-multiple":%g,"parent-warms-in":%g,"parent-starts-at":%g,"says":%q,
 		"joins":%t,"straight":%t,"class-fresh":[%g],"seats-by-zone":%s,"zone-hub":%s,"link-in-kb-per-s":%s,
 		"client-kb-per-s":3400,"shield-kind":1,"origin-kind":2},"report":{"fields":%s,"via":"pull"}}`,
-		f.weights, f.attempts, f.retry, f.marks, f.effect, f.keyFor, f.drain, f.fall, f.multiple, f.cold, f.share, f.purge,
-		f.parents, f.parentCold, f.parentAt, f.says, f.joins, f.straight, f.fresh, list(f.seats), list(f.hubs), list(f.link),
-		list(f.fields))
+		f.weights, f.maxAttempts, f.maxRetryAfter, f.marksRetries, f.repeat, f.dedupWindow, f.drainGrace, f.collapseWindow,
+		f.collapseMultiple, f.slowStart, f.slowStartShare, f.purgeGrace, f.parentCollapseMultiple, f.parentSlowStart,
+		f.parentSlowStartShare, f.says, f.joinsFills, f.bypassesCaches, f.freshFor, toJSON(f.gatewaysByZone),
+		toJSON(f.hubOfZone), toJSON(f.linkKBps), toJSON(f.reportFields))
 }
 
-func list(v any) string {
+func toJSON(v any) string {
 	text, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // lists of numbers and words alone
+		panic(err) // cannot happen: all values are lists of numbers or strings
 	}
 	return string(text)
 }
 
-// Every figure in which deployments differ comes from the settings and from nowhere else.
-func TestSettingsCarryWhatDiffers(t *testing.T) {
-	for name, f := range map[string]figures{
-		"unsafe writes, all told": {
-			attempts: 8, drain: 0.25, purge: 1, fall: 1, retry: 0.5, multiple: 4, parents: 2, share: 0.15, cold: 17, parentCold: 18,
-			parentAt: 0.07, effect: "single_shot", says: "all", weights: "nominal", keyFor: 5, fresh: 12, straight: true,
-			fields: []string{"inflight", "util", "x0", "x1"}, seats: []int{0, 2, 1}, hubs: []int{0, 0, 0}, link: []float64{0, 17871, 18528},
-			effectIs: control.NonIdempotent, notesTold: true, weightsTold: true,
+// Every setting in which deployments differ is taken from the settings of the instance, not from a default.
+func TestSettingsOfDifferentDeployments(t *testing.T) {
+	for name, f := range map[string]deploymentSettings{
+		"non-idempotent writes, detailed answers, known weights": {
+			maxAttempts: 8, drainGrace: 0.25, purgeGrace: 1, collapseWindow: 1, maxRetryAfter: 0.5, collapseMultiple: 4,
+			parentCollapseMultiple: 2, slowStartShare: 0.15, slowStart: 17, parentSlowStart: 18, parentSlowStartShare: 0.07,
+			repeat: "single_shot", says: "all", weights: "nominal", dedupWindow: 5, freshFor: 12, bypassesCaches: true,
+			reportFields: []string{"inflight", "util", "x0", "x1"}, gatewaysByZone: []int{0, 2, 1}, hubOfZone: []int{0, 0, 0},
+			linkKBps:        []float64{0, 17871, 18528},
+			wantIdempotency: control.NonIdempotent, wantDetailedAnswers: true, wantWeightsKnown: true,
 		},
-		"keyed writes, little told": {
-			attempts: 6, drain: 0.5, purge: 0.3, fall: 2, retry: 2, multiple: 3, parents: 2.5, share: 0.18, cold: 16, parentCold: 22,
-			parentAt: 0.09, effect: "guarded", says: "hit", weights: "silent", keyFor: 2, marks: true, joins: true,
-			fields: []string{"util", "x0"}, seats: []int{0, 1, 3, 1}, hubs: []int{0, 1, 0, 1}, link: []float64{0, 0},
-			effectIs: control.IdempotentByKey,
+		"idempotent by key, plain answers, unknown weights": {
+			maxAttempts: 6, drainGrace: 0.5, purgeGrace: 0.3, collapseWindow: 2, maxRetryAfter: 2, collapseMultiple: 3,
+			parentCollapseMultiple: 2.5, slowStartShare: 0.18, slowStart: 16, parentSlowStart: 22, parentSlowStartShare: 0.09,
+			repeat: "guarded", says: "hit", weights: "silent", dedupWindow: 2, marksRetries: true, joinsFills: true,
+			reportFields: []string{"util", "x0"}, gatewaysByZone: []int{0, 1, 3, 1}, hubOfZone: []int{0, 1, 0, 1},
+			linkKBps:        []float64{0, 0},
+			wantIdempotency: control.IdempotentByKey,
 		},
 	} {
-		s, loads, err := Settings([]byte(f.text()))
+		s, loads, err := Settings([]byte(f.json()))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		c := s.Classes[0]
 		for what, ok := range map[string]bool{
-			"attempts": s.MaxAttempts == f.attempts, "drain": s.DrainGrace == seconds(f.drain), "purge": s.PurgeGrace == seconds(f.purge),
-			"fall":    s.CollapseWindow == seconds(f.fall) && s.CollapseMultiple == f.multiple && s.ParentCollapseMultiple == f.parents,
-			"cold":    s.SlowStartShare == f.share && s.SlowStartDuration == seconds(f.cold) && s.ParentSlowStartDuration == seconds(f.parentCold) && s.ParentSlowStartShare == f.parentAt,
-			"advice":  s.MaxRetryAfter == seconds(f.retry),
-			"effect":  c.Idempotency == f.effectIs && c.DedupWindow == seconds(f.keyFor) && c.DedupScope == control.DedupScopeAll,
-			"repeats": s.ClientsMarkRetries == f.marks, "notes": s.AnswersDetailed == f.notesTold, "joins": s.CanJoinFills == f.joins,
-			"straight": s.CanBypassCaches == f.straight, "fresh": c.FreshFor == seconds(f.fresh), "weights": s.WeightsKnown == f.weightsTold,
-			"reports": slices.Equal(loads, f.fields), "seats": slices.Equal(s.GatewaysByZone, f.seats),
-			"hubs": slices.Equal(s.HubOfZone, f.hubs), "link": slices.Equal(s.LinkKBps, f.link),
+			"max attempts":    s.MaxAttempts == f.maxAttempts,
+			"drain grace":     s.DrainGrace == seconds(f.drainGrace),
+			"purge grace":     s.PurgeGrace == seconds(f.purgeGrace),
+			"collapse":        s.CollapseWindow == seconds(f.collapseWindow) && s.CollapseMultiple == f.collapseMultiple && s.ParentCollapseMultiple == f.parentCollapseMultiple,
+			"slow start":      s.SlowStartShare == f.slowStartShare && s.SlowStartDuration == seconds(f.slowStart) && s.ParentSlowStartDuration == seconds(f.parentSlowStart) && s.ParentSlowStartShare == f.parentSlowStartShare,
+			"max Retry-After": s.MaxRetryAfter == seconds(f.maxRetryAfter),
+			"idempotency":     c.Idempotency == f.wantIdempotency && c.DedupWindow == seconds(f.dedupWindow) && c.DedupScope == control.DedupScopeAll,
+			"marked retries":  s.ClientsMarkRetries == f.marksRetries,
+			"answer details":  s.AnswersDetailed == f.wantDetailedAnswers,
+			"fill joining":    s.CanJoinFills == f.joinsFills,
+			"cache bypass":    s.CanBypassCaches == f.bypassesCaches,
+			"freshness":       c.FreshFor == seconds(f.freshFor),
+			"weights":         s.WeightsKnown == f.wantWeightsKnown,
+			"report fields":   slices.Equal(loads, f.reportFields),
+			"gateways":        slices.Equal(s.GatewaysByZone, f.gatewaysByZone),
+			"hubs":            slices.Equal(s.HubOfZone, f.hubOfZone),
+			"links":           slices.Equal(s.LinkKBps, f.linkKBps),
 		} {
 			if !ok {
-				t.Errorf("%s: %s is not as the settings say: %+v", name, what, s)
+				t.Errorf("%s: %s differs from the settings: %+v", name, what, s)
 			}
 		}
 	}
--- a/internal/simproto/doc.go
+++ b/internal/simproto/doc.go
@@ -1,17 +1,16 @@
-// Package simproto reads and writes the protocol of the simulator: frames of big-endian records, and the settings with which an
+// Package simproto implements the protocol of the simulator: frames of big-endian records, and the settings with which an
 // instance starts. It translates between them and the events, actions and settings of package control.
 //
-// It does not decide anything, does not run the decision module and does not open connections: cmd/simadapter does. Sizes that
-// a peer announces are bounded before memory is taken.
+// It does not run the decision module and does not do any input or output of its own: cmd/simadapter does. Announced sizes are
+// checked against bounds before memory is allocated.
 //
-// A frame is a length of 4 bytes and that many bytes of content: the number of records (4 bytes), the clock in seconds (8 bytes),
-// then the records, each with its code (2 bytes) and the instance that it is for (4 bytes). A reply has the same form without
-// the clock.
+// A frame is a length (4 bytes) and its content: the number of records (4 bytes), the clock in seconds (8 bytes), then the
+// records, each with its code (2 bytes) and the number of its instance (4 bytes). A reply has the same form without the clock.
 //
 // # Names
 //
-// The wire and the settings' keys have names of their own. This is the one list of what they are called here; a field of a record
-// is named in decode.go, where it is read.
+// The keys of the settings differ from the names in this project's code. The following list is the only place that maps them;
+// the fields of a record are named in decode.go, where they are read.
 //
 // Settings, with fields of [control.Settings] unless another type is named:
 //
@@ -55,7 +54,7 @@
 //	family-info.goes-through (by class)        Class.Write
 //	report.fields                              [Loads]
 //
-// Fields of a load report, with those of [control.LoadReport]:
+// Values of a load report, with fields of [control.LoadReport]:
 //
 //	inflight, util, x0, x1                     InFlight, Utilization, HitRate, LinkUtilization
 package simproto
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// reader reads big-endian numbers. After the first problem, which it keeps, all further numbers are zero.
+// reader reads big-endian numbers. It keeps the first problem, after which all numbers read are zero.
 type reader struct {
 	frame   []byte
 	offset  int
 	problem string // "": none
 }
 
-// fail keeps the first problem.
+// fail records a problem, unless there is one already.
 func (r *reader) fail(format string, args ...any) {
 	if r.problem == "" {
 		r.problem = fmt.Sprintf(format, args...)
 	}
 }
 
-// take gives the next bytes of the frame; nil where they are not there.
+// take returns the next n bytes of the frame; nil if fewer are left, or after a problem.
 func (r *reader) take(n int) []byte {
 	if n < 0 || n > len(r.frame)-r.offset {
 		r.fail("truncated")
@@ -64,11 +64,11 @@
 
 func (r *reader) f32() float64 { return float64(math.Float32frombits(r.u32())) }
 
-// seconds reads a time as a duration, to the nanosecond.
+// seconds reads a time in seconds as a duration, rounded to the nanosecond.
 func (r *reader) seconds() time.Duration {
 	s := math.Float64frombits(r.u64())
 	if math.IsNaN(s) || math.Abs(s) > maxSeconds {
-		r.fail("impossible time")
+		r.fail("invalid time")
 		return 0
 	}
 	return time.Duration(math.Round(s * 1e9))
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -10,7 +10,7 @@
 
 const replyHeaderBytes = 8 // the length and the number of records
 
-// Reply collects the actions of a batch.
+// Reply encodes the actions of a batch.
 type Reply struct {
 	buf   []byte
 	count uint32
@@ -22,7 +22,7 @@
 	r.count = 0
 }
 
-// Bytes closes the reply and returns its frame, valid until Reset.
+// Bytes completes the reply and returns its frame, valid until Reset.
 func (r *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(r.buf, uint32(len(r.buf)-lengthBytes))
 	binary.BigEndian.PutUint32(r.buf[lengthBytes:], r.count)
@@ -76,7 +76,7 @@
 	r.seconds(a.MaxAge)
 }
 
-// begin starts a record.
+// begin starts a record with its code and instance.
 func (r *Reply) begin(code uint16, instance uint32) {
 	r.count++
 	r.buf = binary.BigEndian.AppendUint16(r.buf, code)
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -8,7 +8,7 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// settingsFile is the text of the settings. Its tags are the keys, which are read whatever their case; times are in seconds.
+// settingsFile is the JSON form of the settings. Keys are matched without regard to case; times are in seconds.
 type settingsFile struct {
 	Gateway     int               `json:"me"`
 	Gateways    int               `json:"balancers"`
@@ -49,7 +49,7 @@
 	MarkRetries bool `json:"marks-retry"`
 }
 
-// siteSettings describe the site; lists without another index are by class.
+// siteSettings describe the site. Lists are indexed by class unless stated otherwise.
 type siteSettings struct {
 	StaleValue              []float64 `json:"aged-worth"`
 	FreshFor                []float64 `json:"class-fresh"`
@@ -84,7 +84,7 @@
 	Fields []string `json:"fields"`
 }
 
-// Words that settings have for values.
+// Values of settings, and noSuchKind for a kind that the site does not have.
 const (
 	discoveryPolled  = "ask"
 	weightsUnknown   = "silent"
@@ -98,7 +98,8 @@
 	noSuchKind       = -1
 )
 
-// Settings reads the settings of an instance and the order of its report values. Keys that it does not know are ignored.
+// Settings parses the settings of an instance. It also returns the names of its load report values, in their order. Unknown
+// keys are ignored.
 func Settings(text []byte) (control.Settings, Loads, error) {
 	var file settingsFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -111,7 +112,7 @@
 	return s, Loads(file.LoadReports.Fields), nil
 }
 
-// settings translates all but the classes.
+// settings converts all settings except the classes.
 func (f *settingsFile) settings() control.Settings {
 	return control.Settings{
 		Gateway:                 f.Gateway,
@@ -151,7 +152,7 @@
 	}
 }
 
-// class translates one class, part of which stands in lists by class.
+// class converts one class. Some of its settings are in the lists of siteSettings.
 func (f *settingsFile) class(i int) control.Class {
 	c := f.Classes[i]
 	return control.Class{
@@ -181,7 +182,7 @@
 	}
 }
 
-// idempotency takes every value that is not known for a class whose requests must not run twice.
+// idempotency treats every unknown value as non-idempotent: requests of the class must not run twice.
 func idempotency(value string) control.Idempotency {
 	switch value {
 	case repeatIdempotent:
@@ -206,7 +207,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// elementOrZero returns an element of a list that may be too short.
+// elementOrZero returns an element of a list, or zero if the list is too short.
 func elementOrZero[T any](list []T, i int) (element T) {
 	if i < len(list) {
 		element = list[i]
@@ -214,9 +215,9 @@
 	return element
 }
 
-func valueOr(p *int, other int) int {
+func valueOr(p *int, defaultValue int) int {
 	if p == nil {
-		return other
+		return defaultValue
 	}
 	return *p
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -25,22 +25,22 @@
 
 func noLoads(uint32) Loads { return nil }
 
-// frame puts a clock of 8.5 s and a count before records.
+// frame builds the content of a frame from a record count, a clock of 8.5 s and records, all hexadecimal.
 func frame(t testing.TB, count string, records ...string) []byte {
 	return unhex(t, count+"4021000000000000"+strings.Join(records, ""))
 }
 
 const (
-	demandRecord   = "010a00000003000f84b95d3a91c400000091f03b7c55d20a643fceb851eb851eb84420000041300000404000000005"
-	returnedRecord = "010600000003000f84b95d3a91c43f92f1a9fbe76c8b000203124a073f83404ea4a8c155000104" +
+	requestRecord       = "010a00000003000f84b95d3a91c400000091f03b7c55d20a643fceb851eb851eb84420000041300000404000000005"
+	attemptResultRecord = "010600000003000f84b95d3a91c43f92f1a9fbe76c8b000203124a073f83404ea4a8c155000104" +
 		"40e000003f1eb8523ecccccd3fa00000"
-	targetsRecord = "0100000000030200000000000000290000000100004018666666666666" + "2c9011f200013fc0000001"
+	endpointListRecord = "0100000000030200000000000000290000000100004018666666666666" + "2c9011f200013fc0000001"
 )
 
 func TestDecodeRecords(t *testing.T) {
 	loads := func(uint32) Loads { return Loads{"inflight", "util", "new-value", "x1"} }
 	var got []control.Event
-	err := Decode(frame(t, "00000003", demandRecord, returnedRecord, targetsRecord), loads,
+	err := Decode(frame(t, "00000003", requestRecord, attemptResultRecord, endpointListRecord), loads,
 		func(now time.Duration, r Record) error {
 			if now != 8500*time.Millisecond || r.Instance != 3 {
 				t.Errorf("clock %v, instance %d", now, r.Instance)
@@ -57,39 +57,39 @@
 	}
 	o := got[1].(control.AttemptResult)
 	if o.Outcome != control.OK || o.Note != control.Filled || !o.RequestClosed || o.Attempt != 0 || o.Load == nil {
-		t.Fatalf("outcome %+v", o)
+		t.Fatalf("attempt result %+v", o)
 	}
 	if o.Load.InFlight != 7 || math.Abs(o.Load.LinkUtilization-1.25) > 1e-6 || o.Load.HitRate != -1 {
-		t.Errorf("load %+v: values go by the settings' order, unknown ones are passed over", *o.Load)
+		t.Errorf("load %+v: want values in the order of the settings, without unknown ones", *o.Load)
 	}
 	m := got[2].(control.EndpointList)
 	if !m.Snapshot || len(m.Endpoints) != 1 || m.Endpoints[0].Weight != 1.5 || m.Endpoints[0].State != control.Ready {
-		t.Errorf("members %+v", m)
+		t.Errorf("endpoint list %+v", m)
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestDecodeMalformed(t *testing.T) {
 	for name, b := range map[string][]byte{
-		"too many records": frame(t, "00ffffff", demandRecord),
+		"too many records": frame(t, "00ffffff", requestRecord),
 		"unknown code":     frame(t, "00000001", "0999000000030000"),
-		"cut record":       frame(t, "00000001", demandRecord[:40]),
-		"bytes behind":     frame(t, "00000001", demandRecord, "00"),
+		"truncated record": frame(t, "00000001", requestRecord[:40]),
+		"trailing bytes":   frame(t, "00000001", requestRecord, "00"),
 		"too many entries": frame(t, "00000001", "0100000000030200000000000000297fffffff"),
-		"unknown outcome":  frame(t, "00000001", strings.Replace(returnedRecord, "6c8b00", "6c8b77", 1)),
-		"clock is no time": unhex(t, "000000007ff8000000000001"),
+		"unknown outcome":  frame(t, "00000001", strings.Replace(attemptResultRecord, "6c8b00", "6c8b77", 1)),
+		"clock is NaN":     unhex(t, "000000007ff8000000000001"),
 		"huge settings":    frame(t, "00000001", "01010000000300000000000000 01ffffffff"),
 	} {
 		err := Decode(b, noLoads, func(time.Duration, Record) error { return nil })
 		var e *Error
 		if !errors.As(err, &e) {
-			t.Errorf("%s: error %v, want one that names record and byte", name, err)
+			t.Errorf("%s: error %v, want one with record and byte", name, err)
 		}
 	}
 }
 
 func TestReadFrame(t *testing.T) {
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); err != io.EOF {
-		t.Errorf("clean end: %v", err)
+		t.Errorf("end of input between frames: %v", err)
 	}
 	for _, s := range []string{"0000", "00000003", "ffffffff", "0000000c00", "0fffffff00000000"} {
 		if _, err := ReadFrame(bytes.NewReader(unhex(t, s)), nil); err == nil || err == io.EOF {
@@ -117,7 +117,7 @@
 	r.Reset()
 	r.Add(3, control.Attempt{ID: 1, To: 2, Source: 3, CachedOnly: true})
 	if got := r.Bytes()[8+15]; got != 2 {
-		t.Errorf("bits %d of an attempt for what the source holds, want 2", got)
+		t.Errorf("flags %d of a cached-only attempt, want 2", got)
 	}
 	r.Reset()
 	for _, a := range []control.Action{control.Reject{ID: 1}, control.Fail{ID: 1}, control.Cancel{ID: 1, Attempt: 2},
@@ -146,18 +146,18 @@
 		t.Errorf("class 1 %+v", s.Classes[1])
 	}
 	if s.Classes[2].Idempotency != control.NonIdempotent {
-		t.Error("an effect that is not known must be taken for unsafe")
+		t.Error("an unknown value of repeat must mean non-idempotent")
 	}
 	if s.PeerFillScope != control.PeerScopeAny || len(loads) != 1 {
-		t.Errorf("siblings %v, loads %v", s.PeerFillScope, loads)
+		t.Errorf("peer fill scope %v, load report fields %v", s.PeerFillScope, loads)
 	}
 	if _, _, err := Settings([]byte(`{"az":`)); err == nil {
-		t.Error("unreadable settings gave no error")
+		t.Error("malformed settings were accepted")
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(frame(f, "00000003", demandRecord, returnedRecord, targetsRecord))
+	f.Add(frame(f, "00000003", requestRecord, attemptResultRecord, endpointListRecord))
 	f.Add(frame(f, "00000001", "0105000000030000000000000001"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		n := 0
@@ -169,7 +169,7 @@
 			return nil
 		})
 		if err == nil && len(b) >= headerBytes && n != int(binary.BigEndian.Uint32(b)) {
-			t.Errorf("%d records handed on, the frame has %d", n, binary.BigEndian.Uint32(b))
+			t.Errorf("decoded %d records of %d", n, binary.BigEndian.Uint32(b))
 		}
 	})
 }
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -12,7 +12,7 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// encode puts numbers and bytes one behind the other, big-endian.
+// encode concatenates numbers, big-endian, and bytes.
 func encode(t testing.TB, fields ...any) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -24,12 +24,12 @@
 	return b.Bytes()
 }
 
-// batch is a frame's content: the number of records, the clock in seconds, the records.
+// batch builds a frame's content: the number of records, the clock in seconds, the records.
 func batch(t testing.TB, clock float64, records ...[]byte) []byte {
 	return append(encode(t, uint32(len(records)), clock), bytes.Join(records, nil)...)
 }
 
-// decodeAll gives every record of a frame, with report values in this order.
+// decodeAll returns all records of a frame; order names the load report values.
 func decodeAll(frame []byte, order Loads) (records []Record, err error) {
 	err = Decode(frame, func(uint32) Loads { return order }, func(_ time.Duration, r Record) error {
 		records = append(records, r)
@@ -38,20 +38,20 @@
 	return records, err
 }
 
-// The report of every record that has one, and its fields: one more than the settings name.
+// The load report used in all records that have one, and its encoded fields: one more than the settings name.
 var (
 	wantLoad   = &control.LoadReport{InFlight: 7, Utilization: 0.5, HitRate: 0.25, LinkUtilization: 1.5}
 	loadFields = []any{uint8(5), float32(7), float32(0.5), float32(0.25), float32(1.5), float32(9)}
 )
 
-// endpointChange is a list of two endpoints.
-var endpointChange = []any{
+// endpointListFields are the encoded fields of a list of two endpoints.
+var endpointListFields = []any{
 	uint8(3), uint64(41), uint32(2),
 	uint16(1), 1.5, uint32(11), uint8(0), uint8(2), float32(12), uint8(1),
 	uint16(2), 0.0, uint32(12), uint8(1), uint8(0), float32(20), uint8(2),
 }
 
-// recordCase is a record and what it is read into.
+// recordCase is an encoded record and the expected result of decoding it.
 type recordCase struct {
 	name   string
 	code   uint16
@@ -59,7 +59,7 @@
 	want   Record
 }
 
-// recordCases are all kinds of records.
+// recordCases cover all kinds of records.
 var recordCases = []recordCase{
 	{"start", 257, []any{uint64(5), uint32(2), []byte("{}")}, Record{Start: &Start{Seed: 5, Env: []byte("{}")}}},
 	{"stop", 265, nil, Record{Stop: true}},
@@ -85,7 +85,7 @@
 	{"write", 266, []any{uint64(9), uint8(1), uint16(77), uint64(8), float64(0.5), float32(640), float32(-1), float32(1e12), uint16(4)}, Record{Event: control.Request{
 		ID: 9, Class: 1, Object: 8, Remaining: 500 * time.Millisecond, SizeKB: 640, Part: 1<<32 - 1, Write: true,
 	}}},
-	{"endpoint change", 256, endpointChange, Record{Event: control.EndpointList{Endpoints: []control.Endpoint{
+	{"endpoint change", 256, endpointListFields, Record{Event: control.EndpointList{Endpoints: []control.Endpoint{
 		{Cell: 1, StartedAt: 1500 * time.Millisecond, ID: 11, Kind: 0, Zone: 2, Weight: 12, State: control.Ready},
 		{Cell: 2, ID: 12, Kind: 1, Weight: 20, State: control.Draining},
 	}}}},
@@ -94,8 +94,8 @@
 	{"endpoint list cached", 256, []any{uint8(2), uint64(41), uint32(0)}, Record{Event: control.EndpointList{Snapshot: true, Endpoints: []control.Endpoint{}}}},
 }
 
-// Every record is read field by field into exactly this event.
-func TestEveryRecord(t *testing.T) {
+// Every kind of record is decoded, and a record truncated at any byte is rejected.
+func TestEveryRecordCode(t *testing.T) {
 	for _, c := range recordCases {
 		t.Run(c.name, func(t *testing.T) {
 			record := encode(t, append([]any{c.code, uint32(3)}, c.fields...)...)
@@ -107,7 +107,7 @@
 			if want := []Record{c.want}; !reflect.DeepEqual(got, want) {
 				t.Errorf("got  %+v\nwant %+v", got, want)
 			}
-			for size := range record { // a record that is cut anywhere is refused, at its own number
+			for size := range record { // the error has the number of the truncated record
 				_, err := decodeAll(batch(t, 8.5, record[:size]), nil)
 				if err == nil || !strings.HasPrefix(err.Error(), "wire: record 0, byte ") {
 					t.Errorf("%d of %d bytes: %v", size, len(record), err)
@@ -117,7 +117,7 @@
 	}
 }
 
-// Every outcome's code, and no other, is known.
+// Every defined outcome code is accepted, and every other one is rejected.
 func TestEveryOutcome(t *testing.T) {
 	known := map[uint8]control.Outcome{
 		0: control.OK, 1: control.Miss, 255: control.ServerError, 254: control.Overloaded, 253: control.TimedOut, 252: control.ConnectFailed,
@@ -139,8 +139,8 @@
 	}
 }
 
-// Malformed frames give exactly these errors.
-func TestMalformedFramesAreNamed(t *testing.T) {
+// Malformed frames are rejected with an error that has the position and the problem.
+func TestMalformedFrameErrors(t *testing.T) {
 	timer := encode(t, uint16(261), uint32(3), uint64(9))
 	for _, c := range []struct {
 		name  string
@@ -148,16 +148,16 @@
 		want  string
 	}{
 		{"no clock", encode(t, uint32(0)), "wire: record 0, byte 8 of the frame: truncated"},
-		{"clock is NaN", unhex(t, "000000007ff8000000000001"), "wire: record 0, byte 16 of the frame: impossible time"},
-		{"clock too large", batch(t, 1e10), "wire: record 0, byte 16 of the frame: impossible time"},
-		{"too many records", encode(t, uint32(100), 8.5, timer), "wire: record 0, byte 16 of the frame: impossible number of records 100"},
-		{"second record cut", append(encode(t, uint32(2), 8.5, timer), timer[:10]...), "wire: record 1, byte 36 of the frame: truncated"},
-		{"bytes behind", append(batch(t, 8.5, timer), 0, 0), "wire: record 0, byte 30 of the frame: 2 bytes behind the last record"},
+		{"clock is NaN", unhex(t, "000000007ff8000000000001"), "wire: record 0, byte 16 of the frame: invalid time"},
+		{"clock too large", batch(t, 1e10), "wire: record 0, byte 16 of the frame: invalid time"},
+		{"too many records", encode(t, uint32(100), 8.5, timer), "wire: record 0, byte 16 of the frame: invalid number of records 100"},
+		{"second record truncated", append(encode(t, uint32(2), 8.5, timer), timer[:10]...), "wire: record 1, byte 36 of the frame: truncated"},
+		{"trailing bytes", append(batch(t, 8.5, timer), 0, 0), "wire: record 0, byte 30 of the frame: 2 bytes after the last record"},
 		{"event code", batch(t, 8.5, encode(t, uint16(2457), uint32(3))), "wire: record 0, byte 22 of the frame: unknown event code 2457"},
 		{"list mode", batch(t, 8.5, encode(t, uint16(256), uint32(3), uint8(4), uint64(1), uint32(0))),
 			"wire: record 0, byte 35 of the frame: unknown list mode 4"},
 		{"number of entries", batch(t, 8.5, encode(t, uint16(256), uint32(3), uint8(0), uint64(1), uint32(1))),
-			"wire: record 0, byte 35 of the frame: impossible number of entries 1"},
+			"wire: record 0, byte 35 of the frame: invalid number of entries 1"},
 		{"state", batch(t, 8.5, encode(t, uint16(256), uint32(3), uint8(0), uint64(1), uint32(1), make([]byte, 20), uint8(3))),
 			"wire: record 0, byte 56 of the frame: unknown state 3"},
 	} {
@@ -168,10 +168,10 @@
 		})
 	}
 	for _, c := range []struct{ name, hex, want string }{
-		{"no whole length", "0000", "wire: record 0, byte 0 of the frame: input ends inside a frame's length"},
-		{"length too short", "0000000b", "wire: record 0, byte 0 of the frame: impossible frame length 11"},
-		{"length too long", "10000001", "wire: record 0, byte 0 of the frame: impossible frame length 268435457"},
-		{"input ends", "0000000c00", "wire: record 0, byte 4 of the frame: input ends inside a frame of 12 bytes"},
+		{"length truncated", "0000", "wire: record 0, byte 0 of the frame: input truncated inside a frame's length"},
+		{"length too short", "0000000b", "wire: record 0, byte 0 of the frame: invalid frame length 11"},
+		{"length too long", "10000001", "wire: record 0, byte 0 of the frame: invalid frame length 268435457"},
+		{"content truncated", "0000000c00", "wire: record 0, byte 4 of the frame: input truncated inside a frame of 12 bytes"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := ReadFrame(bytes.NewReader(unhex(t, c.hex)), nil); err == nil || err.Error() != c.want {
@@ -181,7 +181,7 @@
 	}
 }
 
-// A frame longer than a step of the buffer is read whole, into a buffer that is used again.
+// A frame longer than readStepBytes is read completely, first into a new buffer and then into the same one again.
 func TestLongFrame(t *testing.T) {
 	content := make([]byte, 3<<20+5)
 	for i := range content {
@@ -197,7 +197,7 @@
 	}
 }
 
-// Every action is written as exactly these bytes.
+// Every action is encoded with the expected code and fields.
 func TestEveryAction(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -226,7 +226,7 @@
 	}
 }
 
-// everySetting has a value of its own for each key that is read.
+// everySetting sets each known key to a different value.
 const everySetting = `{"me":1,"balancers":3,"az":2,"quantum":0.001,"discovery":"ask","weights":"nominal","kinds":["box","parent","origin"],
 "classes":[{"aim":0.6,"aim-stretch":2,"deadline":5,"group":"zone","key-ttl":9,"late-worth":0.15,"repeat":"guarded","worth":3},
 {"deadline":2,"group":"cell","repeat":"free"},{"deadline":1,"group":"all","repeat":"single_shot"}],
@@ -238,7 +238,7 @@
 "guarantees":{"cold":17,"cold-share":0.15,"drain-grace":0.25,"fall":1.5,"fall-multiple":4},
 "report":{"fields":["inflight","x0"]}}`
 
-// Every key of the settings is read, whatever its case, into exactly these settings.
+// Every key of the settings is read into its field, in lower and in upper case.
 func TestEverySetting(t *testing.T) {
 	want := control.Settings{
 		Gateway: 1, Gateways: 3, Zone: 2, GatewaysByZone: []int{0, 2, 1}, HubOfZone: []int{0, 0, 1}, Kinds: 3, ParentKind: 1, OriginKind: 2,
@@ -275,8 +275,8 @@
 	}
 }
 
-// A setting of another type is refused with an error that ends in the path of its key.
-func TestSettingOfAnotherType(t *testing.T) {
+// A setting of a wrong type is rejected with an error that contains the path of its key.
+func TestSettingOfWrongType(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"me":1`, `"me":"1"`, "me"},
 		{`"az":2`, `"az":"2"`, "az"},
@@ -291,7 +291,7 @@
 		t.Run(c.want, func(t *testing.T) {
 			_, _, err := Settings([]byte(strings.Replace(everySetting, c.old, c.new, 1)))
 			if err == nil || !strings.HasPrefix(err.Error(), "wire: settings: json: ") || !strings.Contains(strings.ToLower(err.Error()), "."+c.want+" of type ") {
-				t.Errorf("%v, want %s named", err, c.want)
+				t.Errorf("%v, want an error that names %s", err, c.want)
 			}
 		})
 	}
