--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -14,7 +14,7 @@
 	"turnfork.dev/turnfork/upstream/httpstore"
 )
 
-// minimalOperatorText has no more than an operator's file needs, so that every default shows.
+// minimalOperatorText has only the required keys of an operator's file, so that all others take their defaults.
 const minimalOperatorText = `listen = "127.0.0.1:1"
 [[class]]
 name = "a"
@@ -25,7 +25,7 @@
 addr = "127.0.0.1:2"
 `
 
-// parseOperator reads an operator's file that has to be accepted.
+// parseOperator parses an operator's file that must be accepted.
 func parseOperator(t *testing.T, text string) *Operator {
 	t.Helper()
 	o, err := ParseOperator(text, t.TempDir())
@@ -35,16 +35,16 @@
 	return o
 }
 
-// expect compares two values field by field.
-func expect(t *testing.T, got, want any) {
+// checkEqual compares two values, including all their fields.
+func checkEqual(t *testing.T, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 }
 
-// A whole operator's file gives exactly this configuration of the node.
-func TestNodeOfOperator(t *testing.T) {
+// An operator's file with all sections is converted to the expected configuration of the node.
+func TestOperatorNode(t *testing.T) {
 	endpoint := func(addr string, info control.Endpoint) core.Endpoint {
 		info.State = control.Ready
 		return core.Endpoint{Addr: addr, Info: info}
@@ -81,12 +81,12 @@
 		},
 	}
 	o := parseOperator(t, operatorText)
-	expect(t, o.Node(7), want)
-	expect(t, o.HTTPStores(), map[uint32]httpstore.Store{20: {
+	checkEqual(t, o.Node(7), want)
+	checkEqual(t, o.HTTPStores(), map[uint32]httpstore.Store{20: {
 		Base:   "http://127.0.0.1:9000/rides",
 		Signer: &httpstore.Signer{AccessKey: "gateway", SecretKey: "s", Region: "kz-1", Service: "s3"},
 	}})
-	expect(t, o.Limit.Options(), limits.Options{
+	checkEqual(t, o.Limit.Options(), limits.Options{
 		Grant: limits.Limit{
 			Requests: limits.Rate{PerSecond: 20, Burst: 40}, Bytes: limits.Rate{PerSecond: 7000}, AtOnce: 3,
 		},
@@ -94,8 +94,8 @@
 	})
 }
 
-// What an operator's file leaves out takes exactly these defaults.
-func TestNodeOfMinimalOperator(t *testing.T) {
+// Keys that an operator's file leaves out take the expected defaults.
+func TestMinimalOperatorNode(t *testing.T) {
 	want := Node{
 		Seed: 7, Classes: []string{"a"}, DialTimeout: 400, IdleClose: 15000, Streams: 100,
 		Known: []core.Event{core.EndpointList{Snapshot: true, Endpoints: []core.Endpoint{{
@@ -111,40 +111,40 @@
 		},
 	}
 	o := parseOperator(t, minimalOperatorText)
-	expect(t, o.Node(7), want)
+	checkEqual(t, o.Node(7), want)
 	if o.Scheme != "http" || o.LeewayS != 10 {
 		t.Errorf("scheme %q, leeway %v", o.Scheme, o.LeewayS)
 	}
 }
 
-// Forms of the sections that are accepted beside those of the whole file.
+// Variants of the sections that are accepted, besides those of operatorText.
 func TestAcceptedOperatorFiles(t *testing.T) {
 	voters := between(operatorText, "[[replica.member]]", "")
 	for _, c := range []struct{ name, old, new string }{
 		{"any origin", `"https://app.example"`, `"*"`},
 		{"leeway zero", "leeway_s = 5", "leeway_s = 0"},
-		{"leeway most", "leeway_s = 5", "leeway_s = 300"},
-		{"token time without end", "token_s = 60", "token_s = inf"},
-		{"every request traced", "trace_share = 0.5", "trace_share = 1"},
+		{"leeway at its maximum", "leeway_s = 5", "leeway_s = 300"},
+		{"unlimited token lifetime", "token_s = 60", "token_s = inf"},
+		{"all requests traced", "trace_share = 0.5", "trace_share = 1"},
 		{"no operator secret", `operator_secret = "sixteen letters."`, ""},
-		{"same class twice", `name = "once"`, `name = "firmware"`},
-		{"signer twice", "[[key]]", "[[signer]]\nname = \"main\"\naccess_key = \"a\"\nsecret_key = \"s\"\nregion = \"r\"\nservice = \"s3\"\n[[key]]"},
+		{"duplicate class", `name = "once"`, `name = "firmware"`},
+		{"duplicate signer", "[[key]]", "[[signer]]\nname = \"main\"\naccess_key = \"a\"\nsecret_key = \"s\"\nregion = \"r\"\nservice = \"s3\"\n[[key]]"},
 		{"no replica", voters, ""},
 		{"subscriber", "dir = \"state\"\nlisten = \"127.0.0.1:7001\"", "subscribe = true"},
 		{"joining member", `dir = "state"`, "dir = \"state\"\njoin = true"},
-		{"key in capitals", "leeway_s = 5", "LEEWAY_S = 5"},
+		{"key in upper case", "leeway_s = 5", "LEEWAY_S = 5"},
 	} {
-		t.Run(c.name, func(t *testing.T) { parseOperator(t, edit(t, operatorText, c.old, c.new)) })
+		t.Run(c.name, func(t *testing.T) { parseOperator(t, replaceOnce(t, operatorText, c.old, c.new)) })
 	}
 }
 
-// A whole NODE_CONFIG gives exactly this configuration.
-func TestNodeOfPlatform(t *testing.T) {
+// A NODE_CONFIG file is converted to the expected configuration.
+func TestPlatformNode(t *testing.T) {
 	got, err := Parse([]byte(nodeText), "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	expect(t, got, Node{
+	checkEqual(t, got, Node{
 		Name: "n3", Listen: "127.0.0.1:5050", Console: "127.0.0.1:5051", Seed: 0x8c1f30d27a5be964, Cores: 1.5, MemoryMB: 192,
 		Sockets: 1024, Flow: 1000, Changelog: "127.0.0.1:2379", Seq: 3, Classes: []string{"firmware", "pay"}, MaxOpen: 20000,
 		DialTimeout: 300, IdleClose: 15000, Streams: 7,
@@ -158,8 +158,8 @@
 	})
 }
 
-// Keys of NODE_CONFIG are read whatever their case.
-func TestKeysOfAnyCase(t *testing.T) {
+// Keys of NODE_CONFIG are matched without regard to case.
+func TestKeysIgnoreCase(t *testing.T) {
 	want, err := Parse([]byte(nodeText), "", "")
 	if err != nil {
 		t.Fatal(err)
@@ -171,16 +171,16 @@
 	} {
 		t.Run(key, func(t *testing.T) {
 			quoted := `"` + key + `":`
-			got, err := Parse([]byte(edit(t, nodeText, quoted, strings.ToUpper(quoted))), "", "")
+			got, err := Parse([]byte(replaceOnce(t, nodeText, quoted, strings.ToUpper(quoted))), "", "")
 			if err != nil {
 				t.Fatal(err)
 			}
-			expect(t, got, want)
+			checkEqual(t, got, want)
 		})
 	}
 }
 
-// NODE_NAME, NODE_LISTEN, NODE_CONSOLE and NODE_SOCKET_FD come before the file, and a fault in one of them is named.
+// NODE_NAME, NODE_LISTEN, NODE_CONSOLE and NODE_SOCKET_FD take precedence over the file, and errors in them name the variable.
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.json")
 	if err := os.WriteFile(path, []byte(nodeText), 0o600); err != nil {
@@ -199,7 +199,7 @@
 		{"no file", path + "x", "", "", "NODE_CONFIG: stat " + path + "x: no such file or directory"},
 		{"listen", path, "NODE_LISTEN", "here", `config: listen: "here" is not an address with a port`},
 		{"console", path, "NODE_CONSOLE", "here", `config: NODE_CONSOLE: "here" is not an address with a port`},
-		{"descriptor", path, "NODE_SOCKET_FD", "2", `config: NODE_SOCKET_FD: "2" is no descriptor from 3 on`},
+		{"descriptor", path, "NODE_SOCKET_FD", "2", `config: NODE_SOCKET_FD: "2" is not a descriptor of at least 3`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Load(c.path, func(key string) string {
@@ -208,12 +208,12 @@
 				}
 				return getenv(key)
 			})
-			checkRefusal(t, err, "", c.want)
+			checkErrorText(t, err, "", c.want)
 		})
 	}
 }
 
-// Of several faults in an operator's file the first in this order is named.
+// Of several errors in an operator's file the first one in this order is reported.
 func TestOrderOfChecks(t *testing.T) {
 	faults := []struct{ old, new, want string }{
 		{`"127.0.0.1:8444"`, `"8444"`, "config: config: console: "},
@@ -246,10 +246,10 @@
 	for i, first := range faults {
 		text := operatorText
 		for _, f := range faults[i:] {
-			text = edit(t, text, f.old, f.new)
+			text = replaceOnce(t, text, f.old, f.new)
 		}
 		if _, err := ParseOperator(text, t.TempDir()); err == nil || !strings.HasPrefix(err.Error(), first.want) {
-			t.Errorf("%v, want %q first", err, first.want)
+			t.Errorf("%v, want prefix %q", err, first.want)
 		}
 	}
 }
--- a/config/certificates.go
+++ b/config/certificates.go
@@ -16,10 +16,10 @@
 	pemBoundaryStart = "-"
 )
 
-// errPEM is returned for a file of certificates or keys that is cut or damaged.
-var errPEM = errors.New("cut, or no whole PEM blocks")
+// errIncompletePEM is returned for a file of certificates or keys that is truncated or damaged.
+var errIncompletePEM = errors.New("truncated, or no complete PEM blocks")
 
-// TLS reads the certificates of the replicated store's links.
+// TLS reads the certificates for the connections of the replicated store.
 func (o *Operator) TLS() (*tls.Config, error) {
 	cert, err := o.keyPair()
 	if err != nil {
@@ -36,7 +36,7 @@
 	return &tls.Config{Certificates: []tls.Certificate{cert}, RootCAs: pool, ClientCAs: pool}, nil
 }
 
-// keyPair reads this member's certificate with its key.
+// keyPair reads this member's certificate and private key.
 func (o *Operator) keyPair() (tls.Certificate, error) {
 	chain, err := o.readPEM("replica.cert_file", o.Replica.Cert)
 	if err != nil {
@@ -54,8 +54,8 @@
 	return cert, nil
 }
 
-// readPEM reads a file of certificates or keys, which has to be whole: the standard library skips damaged blocks, so that a
-// truncated file could lose an authority unnoticed. Errors name the field and the file.
+// readPEM reads a file of certificates or keys and rejects an incomplete one: the standard library skips damaged blocks, so a
+// truncated file could lose a certificate authority unnoticed. Errors name the field and the file.
 func (o *Operator) readPEM(field, name string) ([]byte, error) {
 	path := o.Path(name)
 	text, err := readFile(path)
@@ -68,7 +68,7 @@
 	return text, nil
 }
 
-// checkPEM checks that every block that begins in a text is whole, and its certificates readable.
+// checkPEM checks that every PEM block of a text is complete, and that its certificates can be parsed.
 func checkPEM(text []byte) error {
 	blocks, rest := 0, text
 	for {
@@ -86,9 +86,9 @@
 		}
 	}
 	allDecoded := blocks > 0 && blocks == bytes.Count(text, []byte(pemBegin))
-	cutBoundary := bytes.Contains(rest, []byte(pemBoundary)) || bytes.HasSuffix(bytes.TrimSpace(rest), []byte(pemBoundaryStart))
-	if !allDecoded || cutBoundary {
-		return errPEM
+	truncatedBoundary := bytes.Contains(rest, []byte(pemBoundary)) || bytes.HasSuffix(bytes.TrimSpace(rest), []byte(pemBoundaryStart))
+	if !allDecoded || truncatedBoundary {
+		return errIncompletePEM
 	}
 	return nil
 }
--- a/config/certificates_test.go
+++ b/config/certificates_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// certificate gives a certificate of its own authority with its key, both as PEM.
+// certificate returns a self-signed CA certificate and its private key, both as PEM.
 func certificate(t *testing.T, serial int64) (cert, key []byte) {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -38,8 +38,9 @@
 		pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER})
 }
 
-// Files of certificates and keys are cut at each byte, and torn from each sector of their last page on: the error names the
-// file, or nothing of it was lost. A bundle that ends between two certificates can't be told from one that is meant so.
+// Files of certificates and keys are truncated at each byte, and overwritten with 0x00 or 0xff bytes from each sector to the
+// end, as a power failure may leave them. The error must name the file unless no content was lost. A bundle truncated between two
+// certificates cannot be distinguished from a complete one.
 func TestDamagedCertificates(t *testing.T) {
 	const sector = 512
 	cert, key := certificate(t, 1)
@@ -60,7 +61,7 @@
 		t.Fatalf("undamaged: %v", err)
 	}
 	for name, content := range files {
-		refused := func(what string, damaged []byte) {
+		expectError := func(what string, damaged []byte) {
 			write(name, damaged)
 			defer write(name, content)
 			if bytes.Equal(bytes.TrimSpace(damaged), bytes.TrimSpace(content)) {
@@ -74,13 +75,13 @@
 			if name == "ca.pem" && (size == len(cert) || size == len(cert)-1) {
 				continue // between two certificates
 			}
-			refused("cut", content[:size])
+			expectError("truncated", content[:size])
 		}
 		for from := 0; from < len(content); from += sector {
 			for _, fill := range []byte{0, 0xff} {
 				torn := bytes.Clone(content)
 				copy(torn[from:], bytes.Repeat([]byte{fill}, len(torn)))
-				refused("torn", torn)
+				expectError("partly overwritten", torn)
 			}
 		}
 	}
--- a/config/classes.go
+++ b/config/classes.go
@@ -7,8 +7,8 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Class is one class of requests. The operator's keys of a class keep older names: aim is its latency objective, worth its
-// priority weight, late_worth the value of an answer after the objective, unsafe a request that must not run twice.
+// Class is one class of requests. Some keys of the file differ from the fields: aim_ms is the latency objective, worth the
+// priority weight, late_worth the value of a response after the objective, and unsafe marks requests that must not run twice.
 type Class struct {
 	Name               string  `toml:"name"`
 	LatencyObjectiveMs float64 `toml:"aim_ms"`
@@ -21,7 +21,7 @@
 	NonIdempotent      bool    `toml:"unsafe"`
 }
 
-const deadlineBoundMs = 1e7 // every deadline is below it
+const deadlineUpperBoundMs = 1e7 // exclusive
 
 func (o *Operator) checkClasses() error {
 	if len(o.Classes) == 0 {
@@ -31,10 +31,10 @@
 	for i, c := range o.Classes {
 		section := fmt.Sprintf("class[%d].", i)
 		validName := c.Name != "" && token.Canonical("/"+c.Name)
-		validDeadline := c.DeadlineMs > 0 && c.DeadlineMs < deadlineBoundMs
+		validDeadline := c.DeadlineMs > 0 && c.DeadlineMs < deadlineUpperBoundMs
 		rules = append(rules,
-			rule{section + "name", require(validName, "%q can't stand in a path", c.Name)},
-			rule{section + "deadline_ms", require(validDeadline, "%v is no time", c.DeadlineMs)},
+			rule{section + "name", require(validName, "%q is not a valid path segment", c.Name)},
+			rule{section + "deadline_ms", require(validDeadline, "%v is not above 0 and below 1e7", c.DeadlineMs)},
 		)
 	}
 	return firstViolation(rules)
--- a/config/key_test.go
+++ b/config/key_test.go
@@ -8,7 +8,7 @@
 	"turnfork.dev/turnfork/internal/fakestore"
 )
 
-// testKey is made anew for each run.
+// testKey is a private key as PEM, generated for each run.
 var testKey = func() string {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/config/keys.go
+++ b/config/keys.go
@@ -9,7 +9,7 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// KeyEntry is a key, with its secrets here or in files of their own.
+// KeyEntry is a key. Its secrets are inline or in separate files.
 type KeyEntry struct {
 	token.Key
 	SecretFile   string `toml:"secret_file"`
@@ -18,7 +18,7 @@
 	PrivateFile  string `toml:"private_file"`
 }
 
-// checkKeys reads the keys' files and validates the keys by making a ring of them.
+// checkKeys reads the keys' files and validates the keys by building a key ring.
 func (o *Operator) checkKeys() error {
 	for i := range o.Keys {
 		if err := o.readKeyFiles(fmt.Sprintf("key[%d].", i), &o.Keys[i]); err != nil {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Ring makes the keys ready for use.
+// Ring returns a key ring of the keys.
 func (o *Operator) Ring() (*ring.Ring, error) {
 	keys := make([]token.Key, len(o.Keys))
 	for i, k := range o.Keys {
@@ -57,8 +57,8 @@
 	return ring.New(keys)
 }
 
-// readSecret puts a file's content, without the white space around it, in place of a field's value. Without a path the value
-// stands.
+// readSecret replaces a field's value by the content of a file, with surrounding white space removed. Without a path it keeps
+// the value.
 func (o *Operator) readSecret(field string, value *string, path string) error {
 	if path == "" {
 		return nil
--- a/config/node.go
+++ b/config/node.go
@@ -13,17 +13,17 @@
 // Node is the configuration of one gateway.
 type Node struct {
 	Name        string
-	Listen      string // address of the platform's front
+	Listen      string // address of the platform's frontend
 	Console     string // address of the admin API; "": none
-	SocketFD    int    // an inherited descriptor that listens in place of Listen; 0: none
+	SocketFD    int    // inherited descriptor of a listening socket, used instead of Listen; 0: none
 	Seed        uint64
 	Cores       float64
 	MemoryMB    int
 	Sockets     int
-	Flow        float64 // bytes a second that one client is sent at most; 0: not told
-	Changelog   string  // address of the discovery service; "": none
-	Seq         uint64  // of the last event in Known
-	Known       []core.Event
+	Flow        float64      // maximum rate to one client in bytes per second; 0: unknown
+	Changelog   string       // address of the discovery service; "": none
+	Seq         uint64       // of the last event in Known
+	Known       []core.Event // discovery events known at the start
 	Settings    control.Settings
 	Classes     []string // names, in the order of Settings.Classes
 	MaxOpen     int
@@ -32,14 +32,14 @@
 	Streams     int     // concurrent requests on one connection
 }
 
-// maxFileSize bounds a configuration file and each file that it names.
+// maxFileSize bounds a configuration file and each file that it names, in bytes.
 const maxFileSize = 16 << 20
 
-// firstInheritedFD follows standard input, output and error.
+// firstInheritedFD is the first descriptor after standard input, output and error.
 const firstInheritedFD = 3
 
-// Load reads the platform's configuration from the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN and NODE_CONSOLE, where
-// set, take precedence over it.
+// Load reads the platform's configuration from the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN and NODE_CONSOLE take
+// precedence over the file if set.
 func Load(path string, getenv func(string) string) (Node, error) {
 	text, err := readNodeConfig(path)
 	if err != nil {
@@ -62,8 +62,8 @@
 	return n, nil
 }
 
-// SocketFD gives the descriptor that NODE_SOCKET_FD names, on which this process listens in place of its address; 0:
-// none is named.
+// SocketFD returns the descriptor in NODE_SOCKET_FD, on which the process listens instead of its address; 0 if the variable
+// is not set.
 func SocketFD(getenv func(string) string) (int, error) {
 	text := getenv("NODE_SOCKET_FD")
 	if text == "" {
@@ -71,7 +71,7 @@
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < firstInheritedFD {
-		return 0, fmt.Errorf("config: NODE_SOCKET_FD: %q is no descriptor from %d on", text, firstInheritedFD)
+		return 0, fmt.Errorf("config: NODE_SOCKET_FD: %q is not a descriptor of at least %d", text, firstInheritedFD)
 	}
 	return fd, nil
 }
@@ -85,19 +85,19 @@
 		return nil, err
 	}
 	if info.Size() > maxFileSize {
-		return nil, fmt.Errorf("%s has %d bytes, more than %d", path, info.Size(), maxFileSize)
+		return nil, fmt.Errorf("%s: %d bytes, more than %d", path, info.Size(), maxFileSize)
 	}
 	return os.ReadFile(path)
 }
 
-// readFile reads an operator's file, or one that it names, of bounded size.
+// readFile reads an operator's file, or one that it names, of at most maxFileSize.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxFileSize {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), maxFileSize)
+		return nil, fmt.Errorf("%s: %d bytes, more than %d", path, info.Size(), maxFileSize)
 	}
 	return os.ReadFile(path)
 }
--- a/config/node_test.go
+++ b/config/node_test.go
@@ -7,13 +7,13 @@
 	"turnfork.dev/turnfork/control"
 )
 
-const node = `{"name":"n3","listen":"127.0.0.1:5050","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+const smallNodeText = `{"name":"n3","listen":"127.0.0.1:5050","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "changelog":"127.0.0.1:2379","known":{"seq":3,"results":[]},
 "settings":{"classes":[{"name":"firmware","deadline":5,"aim":0.6,"repeat":"free"}],"allowed":{"max-attempts":8,"dial-timeout":0.4,
 "idle-close":15,"max-open":20000},"kinds":["box","parent","origin"],"zones":["hub","edge"],"family-info":{"origin-kind":2}}}`
 
-func TestNode(t *testing.T) {
-	n, err := Parse([]byte(node), "n9", "")
+func TestParse(t *testing.T) {
+	n, err := Parse([]byte(smallNodeText), "n9", "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,15 +32,15 @@
 	} {
 		t.Run(change, func(t *testing.T) {
 			old, new, _ := strings.Cut(change, "|")
-			if _, err := Parse([]byte(strings.Replace(node, old, new, 1)), "", ""); err == nil || !strings.Contains(err.Error(), field) {
+			if _, err := Parse([]byte(strings.Replace(smallNodeText, old, new, 1)), "", ""); err == nil || !strings.Contains(err.Error(), field) {
 				t.Errorf("%s: %v", change, err)
 			}
 		})
 	}
 }
 
-// Settings far apart are taken, and each that makes no sense is named.
-func TestSettingsAreNamed(t *testing.T) {
+// Settings within their wide ranges are accepted, and the error for an invalid one names it.
+func TestInvalidSettingsAreNamed(t *testing.T) {
 	const text = `{"listen":"127.0.0.1:0","settings":{"classes":[{"name":"a","aim":0.1,"deadline":0.2,"repeat":"guarded","key-ttl":9},
 {"name":"b","deadline":3600,"worth":1}],"allowed":{"max-attempts":1},"guarantees":{"drain-grace":0.05,"cold-share":0.5}}}`
 	for change, field := range map[string]string{
@@ -58,7 +58,7 @@
 				_, err = control.New(n.Settings, 1)
 			}
 			if (err == nil) != (field == "") || err != nil && !strings.Contains(err.Error(), field) {
-				t.Errorf("%s: %v, want %q named", change, err, field)
+				t.Errorf("%s: %v, want an error that names %q", change, err, field)
 			}
 		})
 	}
--- a/config/operator.go
+++ b/config/operator.go
@@ -7,17 +7,17 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Operator is an operator's file: the signed front, its keys, the stores and the replicated store. The tags are the keys of
-// the file.
+// Operator is an operator's file: the signed frontend, its keys, the endpoints and the replicated store. The tags are the keys
+// of the file.
 type Operator struct {
 	Name               string        `toml:"name"`
-	Listen             string        `toml:"listen"`  // of the signed front
-	FastCGI            string        `toml:"fastcgi"` // of the platform's front; "": none
-	Console            string        `toml:"console"` // of the admin API; "": none
+	Listen             string        `toml:"listen"`  // address of the signed frontend
+	FastCGI            string        `toml:"fastcgi"` // address of the platform's frontend; "": none
+	Console            string        `toml:"console"` // address of the admin API; "": none
 	Scheme             string        `toml:"scheme"`  // of the URIs that clients see
 	LeewayS            float64       `toml:"leeway_s"`
-	TokenS             float64       `toml:"token_s"`     // the longest that an issued token may last
-	TraceShare         float64       `toml:"trace_share"` // share of the requests, 0 to 1, that is traced in the log
+	TokenS             float64       `toml:"token_s"`     // maximum lifetime of issued tokens
+	TraceShare         float64       `toml:"trace_share"` // share of requests, 0 to 1, traced in the log
 	OperatorSecret     string        `toml:"operator_secret"`
 	OperatorSecretFile string        `toml:"operator_secret_file"`
 	Cors               CORS          `toml:"cors"`
@@ -30,10 +30,10 @@
 	Keys               []KeyEntry    `toml:"key"`
 	Replica            Replica       `toml:"replica"`
 
-	dir string // of the file; relative paths start here
+	dir string // folder of the file, to which its paths are relative
 }
 
-// MachineLimits is the size of the machine. Zero values are not told.
+// MachineLimits is the size of the machine. Zero values are unknown.
 type MachineLimits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB int     `toml:"memory_mb"`
@@ -41,7 +41,7 @@
 }
 
 const (
-	// DefaultLeeway is how much clocks may differ, in seconds, where the file says nothing.
+	// DefaultLeeway is the default for the allowed difference between clocks, in seconds.
 	DefaultLeeway = 10
 
 	maxLeewayS              = 300
@@ -49,7 +49,7 @@
 	defaultScheme           = "http"
 )
 
-// LoadOperator reads an operator's file. Relative paths in it start at its folder.
+// LoadOperator reads an operator's file. Paths in it are relative to its folder.
 func LoadOperator(path string) (*Operator, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return ParseOperator(string(text), filepath.Dir(path))
 }
 
-// ParseOperator reads an operator's file from text. Errors name the field.
+// ParseOperator parses an operator's file. Paths in it are relative to dir. Errors name the field.
 func ParseOperator(text, dir string) (*Operator, error) {
 	o := &Operator{LeewayS: DefaultLeeway, dir: dir}
 	meta, err := toml.Decode(text, o)
@@ -77,10 +77,10 @@
 	return o, nil
 }
 
-// check reads the secrets that stand in files of their own and validates the file, section by section.
+// check reads the secrets from their files and validates all sections.
 func (o *Operator) check() error {
 	sections := []func() error{
-		o.checkFronts,
+		o.checkFrontends,
 		o.checkOperatorSecret,
 		o.Cors.check,
 		o.Limit.check,
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func (o *Operator) checkFronts() error {
+func (o *Operator) checkFrontends() error {
 	return firstViolation([]rule{
 		{addressField("console"), optionalAddress(o.Console)},
 		{addressField("listen"), address(o.Listen)},
@@ -116,11 +116,11 @@
 	}
 	longEnough := o.OperatorSecret == "" || len(o.OperatorSecret) >= minOperatorSecretLength
 	return firstViolation([]rule{
-		{"operator_secret", require(longEnough, "%d characters at least", minOperatorSecretLength)},
+		{"operator_secret", require(longEnough, "at least %d characters", minOperatorSecretLength)},
 	})
 }
 
-// Path gives a path in the file as seen from here.
+// Path resolves a path of the file, which may be relative to the file's folder.
 func (o *Operator) Path(p string) string {
 	if filepath.IsAbs(p) {
 		return p
--- a/config/operator_node.go
+++ b/config/operator_node.go
@@ -8,8 +8,8 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// Module is what the decision module has to know of the site. The operator's keys keep older names; this is the one place that
-// maps them to the fields of [control.Settings]:
+// Module holds the settings of the decision module. Some keys of the file differ from the names in the code. The following
+// list is the only place that maps them to the fields of [control.Settings]:
 //
 //	flow_kb_per_s       ClientKBps
 //	max_attempts        MaxAttempts
@@ -35,12 +35,12 @@
 type Module struct {
 	ClientKBps       float64 `toml:"flow_kb_per_s"`
 	MaxAttempts      int     `toml:"max_attempts"`
-	HealthChecks     *bool   `toml:"probes"` // nil: yes
+	HealthChecks     *bool   `toml:"probes"` // nil: true
 	MaxRetryAfterMs  float64 `toml:"max_retry_after_ms"`
 	DialTimeoutMs    float64 `toml:"dial_timeout_ms"`
 	IdleTimeoutS     float64 `toml:"idle_close_s"`
 	MaxOpen          int     `toml:"max_open"`
-	Gateways         int     `toml:"gateways"` // that share the stores
+	Gateways         int     `toml:"gateways"` // number of gateways that share the endpoints
 	PurgeCompletionS float64 `toml:"purge_done_s"`
 	SlowStartS       float64 `toml:"cold_s"`
 	SlowStartShare   float64 `toml:"cold_share"`
@@ -48,13 +48,13 @@
 	CollapseWindowS  float64 `toml:"fall_s"`
 }
 
-// The zones of an operator's site: the caches stand in one, the parents and the origin in the other.
+// The zones of an operator's site: caches are in the local zone, parents and the origin in the hub zone.
 const (
 	hubZone   = 0
 	localZone = 1
 )
 
-// What holds where the operator's file says nothing, or has no key.
+// Defaults, and settings that have no key in the operator's file.
 const (
 	defaultDialTimeoutMs    = 400
 	defaultIdleTimeoutS     = 15
@@ -74,7 +74,7 @@
 	parentCollapseMultiple   = 2
 )
 
-// Node translates the operator's file to the configuration of a node, for the same core and decision module.
+// Node converts the operator's file to the configuration of a node.
 func (o *Operator) Node(seed uint64) Node {
 	n := Node{
 		Name:        o.Name,
@@ -98,7 +98,7 @@
 	return n
 }
 
-// endpointList gives the stores as the endpoint list that discovery would give.
+// endpointList returns the configured endpoints in the form of a list from discovery.
 func (o *Operator) endpointList() core.EndpointList {
 	list := core.EndpointList{Snapshot: true}
 	for _, s := range o.Stores {
@@ -121,13 +121,13 @@
 	}
 }
 
-// settings translates all but the classes.
+// settings converts all settings except the classes.
 func (o *Operator) settings(seed uint64) control.Settings {
 	m := o.Module
 	gateways := max(1, m.Gateways)
 	slowStart := seconds(m.SlowStartS)
 	return control.Settings{
-		Gateway:                 int(seed % uint64(gateways)), // not told; numbers that differ as a rule suffice
+		Gateway:                 int(seed % uint64(gateways)), // has no key; need not be unique
 		Gateways:                gateways,
 		Zone:                    localZone,
 		GatewaysByZone:          []int{hubZone: 0, localZone: gateways},
@@ -158,7 +158,7 @@
 	}
 }
 
-// parentKindNumber returns the kind of the parents; -1: the site has none.
+// parentKindNumber returns the kind of the parents; -1 if the site has none.
 func (o *Operator) parentKindNumber() int {
 	for _, s := range o.Stores {
 		if s.Kind == parentKind {
@@ -178,7 +178,7 @@
 		FreshFor:         seconds(c.FreshForS),
 		Write:            c.Write,
 	}
-	if c.NonIdempotent || c.Write { // a write is not known to be idempotent
+	if c.NonIdempotent || c.Write { // a write may not be idempotent
 		class.Idempotency = control.NonIdempotent
 	}
 	return class
@@ -186,10 +186,10 @@
 
 func seconds(s float64) time.Duration { return clock.Duration(s * 1000) }
 
-// positiveOr returns a value, or another where it is not positive.
-func positiveOr[T int | float64](v, other T) T {
+// positiveOr returns v if it is positive, otherwise the default.
+func positiveOr[T int | float64](v, defaultValue T) T {
 	if v > 0 {
 		return v
 	}
-	return other
+	return defaultValue
 }
--- a/config/operator_test.go
+++ b/config/operator_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// writeSecrets writes the files that the operator's files under deploy/ name.
+// writeSecrets writes the secrets that the operator's files in deploy/ refer to.
 func writeSecrets(t *testing.T, dir string) {
 	t.Helper()
 	if err := os.Mkdir(filepath.Join(dir, "secrets"), 0o700); err != nil {
@@ -23,7 +23,7 @@
 	}
 }
 
-// The file under deploy/ and the example's are read as they are; each wrong field is named.
+// The operator's files of deploy/ and of the example are accepted, and the error for an invalid field names it.
 func TestOperator(t *testing.T) {
 	if _, err := LoadOperator("../example/signed.toml"); err != nil {
 		t.Error(err)
@@ -71,7 +71,7 @@
 	}
 }
 
-// A subscriber's file names the voters and nothing that only a voter has.
+// A subscriber's file must name the voters, and must not have fields that only voters use.
 func TestSubscriberFile(t *testing.T) {
 	text, err := os.ReadFile("../deploy/subscriber.toml")
 	if err != nil {
--- a/config/platform.go
+++ b/config/platform.go
@@ -12,7 +12,7 @@
 	"turnfork.dev/turnfork/internal/simproto"
 )
 
-// platformFile is the file that NODE_CONFIG names. Its keys are read whatever their case.
+// platformFile is the file that NODE_CONFIG names. Its keys are matched without regard to case.
 type platformFile struct {
 	Name               string          `json:"name"`
 	Listen             string          `json:"listen"`
@@ -31,7 +31,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// connectionSettings are the settings that the decision module doesn't need; [simproto.Settings] reads those that it does.
+// connectionSettings are the settings for connections and names. [simproto.Settings] reads those of the decision module.
 type connectionSettings struct {
 	Kinds   []string `json:"kinds"`
 	Zones   []string `json:"zones"`
@@ -46,8 +46,8 @@
 	} `json:"allowed"`
 }
 
-// Parse reads the text of a NODE_CONFIG. A name or listen address that is not empty takes precedence over the file's. Errors
-// name the field.
+// Parse parses the text of a NODE_CONFIG file. A name or listen address that is not empty takes precedence over the file's.
+// Errors name the field.
 func Parse(text []byte, name, listen string) (Node, error) {
 	n, err := parsePlatformFile(text, name, listen)
 	if err != nil {
@@ -98,9 +98,9 @@
 	})
 }
 
-// node translates what stands beside the settings.
+// node converts the fields other than known and settings.
 func (f platformFile) node() Node {
-	seed, _ := parseSeed(f.Seed) // checked before
+	seed, _ := parseSeed(f.Seed) // validated by check
 	return Node{
 		Name:      f.Name,
 		Listen:    f.Listen,
@@ -125,7 +125,7 @@
 	return seed, nil
 }
 
-// parseSettings reads the settings of the decision module and those of the connections.
+// parseSettings parses the settings of the decision module and of the connections.
 func parseSettings(text []byte, settings *control.Settings) (c connectionSettings, err error) {
 	if *settings, _, err = simproto.Settings(text); err != nil {
 		return c, err
@@ -139,10 +139,10 @@
 func (c connectionSettings) check() error {
 	var rules []rule
 	var names []string
-	for i, class := range c.Classes { // requests name their class
+	for i, class := range c.Classes { // names must be unique: requests refer to them
 		valid := class.Name != "" && !slices.Contains(names, class.Name)
 		field := fmt.Sprintf("classes[%d].name", i)
-		rules = append(rules, rule{field, require(valid, "%q is empty or another class's", class.Name)})
+		rules = append(rules, rule{field, require(valid, "%q is empty or the name of another class", class.Name)})
 		names = append(names, class.Name)
 	}
 	if err := firstViolation(rules); err != nil {
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// apply puts the settings of the connections, with their defaults, into a node's configuration.
+// apply sets the connection settings, or their defaults, in a node's configuration.
 func (c connectionSettings) apply(n *Node) {
 	for _, class := range c.Classes {
 		n.Classes = append(n.Classes, class.Name)
--- a/config/rate_limits.go
+++ b/config/rate_limits.go
@@ -2,20 +2,20 @@
 
 import "turnfork.dev/turnfork/limits"
 
-// RateLimits is what the clients of the signed front may have. What is left out is not limited.
+// RateLimits are the limits for clients of the signed frontend. A limit that is not set does not apply.
 type RateLimits struct {
 	Grant        RateLimit `toml:"grant"`
 	Key          RateLimit `toml:"key"`
 	Client       RateLimit `toml:"client"`
-	ClientV4Bits int       `toml:"client_v4_bits"` // of an address that make a client; 0: 24
+	ClientV4Bits int       `toml:"client_v4_bits"` // prefix length that identifies a client; 0: 24
 	ClientV6Bits int       `toml:"client_v6_bits"` // 0: 56
-	Names        int       `toml:"names"`          // remembered of each kind; 0: 65,536
+	Names        int       `toml:"names"`          // grants, keys and clients tracked at most, of each; 0: 65,536
 }
 
 // RateLimit is the limit for each single grant, key or client.
 type RateLimit struct {
 	PerSecond     float64 `toml:"per_second"`
-	Burst         float64 `toml:"burst"` // 0: what a second allows
+	Burst         float64 `toml:"burst"` // 0: the requests of one second
 	KBps          float64 `toml:"kb_per_s"`
 	MaxConcurrent int     `toml:"at_once"`
 }
@@ -24,10 +24,10 @@
 	maxIPv4Bits    = 32
 	maxIPv6Bits    = 128
 	maxLimitNames  = 1 << 22
-	rateLimitBound = 1e9 // every rate is below it
+	rateUpperBound = 1e9 // exclusive
 )
 
-// Options translates the section for the limiter.
+// Options converts the section to the limiter's options.
 func (l RateLimits) Options() limits.Options {
 	return limits.Options{
 		Grant:  l.Grant.limit(),
@@ -69,5 +69,5 @@
 }
 
 func validRate(v float64) error {
-	return require(v >= 0 && v < rateLimitBound, "%v is no limit", v)
+	return require(v >= 0 && v < rateUpperBound, "%v is not at least 0 and below 1e9", v)
 }
--- a/config/replica.go
+++ b/config/replica.go
@@ -7,12 +7,12 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// Replica is this member of the replicated store, or one that subscribes to its changes. Without members the store is alone
-// and in memory.
+// Replica configures this gateway's member of the replicated store, or its subscription to the store's changes. Without
+// members the store is local and in memory.
 type Replica struct {
 	ID        string           `toml:"id"`
-	Subscribe bool             `toml:"subscribe"` // it does not vote: the members are the voters
-	Join      bool             `toml:"join"`      // the other members are a group already, which takes this one in
+	Subscribe bool             `toml:"subscribe"` // subscribe without voting: the members are the voters
+	Join      bool             `toml:"join"`      // join the existing group of the other members
 	Dir       string           `toml:"dir"`
 	Listen    string           `toml:"listen"`
 	CA        string           `toml:"ca_file"`
@@ -24,7 +24,7 @@
 func (r Replica) check() error {
 	if len(r.Members) == 0 {
 		if r.Subscribe || r.Join {
-			return errors.New("replica.member: missing: a subscriber, or a member that joins, needs voters")
+			return errors.New("replica.member: missing: a subscriber or a joining member needs voters")
 		}
 		return nil
 	}
@@ -44,9 +44,9 @@
 
 func (r Replica) subscriberRules() []rule {
 	return []rule{
-		{"replica.join", require(!r.Join, "a subscriber is no member")},
-		{"replica.dir", require(r.Dir == "", "a subscriber keeps nothing on disk")},
-		{"replica.listen", require(r.Listen == "", "a subscriber takes no links")},
+		{"replica.join", require(!r.Join, "a subscriber is not a member")},
+		{"replica.dir", require(r.Dir == "", "a subscriber stores nothing on disk")},
+		{"replica.listen", require(r.Listen == "", "a subscriber does not accept connections")},
 	}
 }
 
--- a/config/rules.go
+++ b/config/rules.go
@@ -6,13 +6,13 @@
 	"net"
 )
 
-// rule is one line of a section's table: the key as errors name it, and what is wrong with its value.
+// rule is the result of one validation: the key as errors name it, and the violation, if any.
 type rule struct {
 	field string
 	err   error // nil: the value is valid
 }
 
-// firstViolation returns the error of the first rule that is violated, behind its field.
+// firstViolation returns the error of the first violated rule, prefixed with its field.
 func firstViolation(rules []rule) error {
 	for _, r := range rules {
 		if r.err != nil {
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// require returns an error of this text unless a condition holds.
+// require returns an error with the formatted text if the condition does not hold.
 func require(condition bool, format string, args ...any) error {
 	if condition {
 		return nil
@@ -57,6 +57,6 @@
 	return address(v)
 }
 
-// addressField names an address of the operator's file. Its errors carry the package's prefix a second time, as they always
-// did: scripts may match their text.
+// addressField returns the name of an address field of the operator's file for errors. The prefix of the package is repeated
+// for compatibility: scripts may match the text.
 func addressField(key string) string { return "config: " + key }
--- a/config/stores.go
+++ b/config/stores.go
@@ -7,31 +7,31 @@
 	"turnfork.dev/turnfork/upstream/httpstore"
 )
 
-// Store is a cache, a parent or the origin.
+// Store is an endpoint: a cache, a parent or the origin.
 type Store struct {
 	ID     uint32  `toml:"id"`
 	Kind   string  `toml:"kind"` // cache, parent or origin
-	Addr   string  `toml:"addr"` // of a RESP store
-	Base   string  `toml:"base"` // of an HTTP store
+	Addr   string  `toml:"addr"` // of a RESP endpoint
+	Base   string  `toml:"base"` // URL of an HTTP endpoint
 	Signer string  `toml:"signer"`
 	Weight float64 `toml:"weight"`
 }
 
-// NamedSigner signs the requests to an HTTP store.
+// NamedSigner holds credentials for signing the requests to HTTP endpoints.
 type NamedSigner struct {
 	Name string `toml:"name"`
 	httpstore.Signer
 	SecretFile string `toml:"secret_key_file"`
 }
 
-// The kinds of stores, by their names in the file.
+// Kinds of endpoints in the file.
 const (
 	cacheKind  = "cache"
 	parentKind = "parent"
 	originKind = "origin"
 )
 
-// kindNumbers are the kinds as the decision module counts them.
+// kindNumbers maps the kinds to their numbers in the decision module.
 var kindNumbers = map[string]int{cacheKind: 0, parentKind: 1, originKind: 2}
 
 func (o *Operator) checkSigners() error {
@@ -42,7 +42,7 @@
 			return err
 		}
 		if s.Name == "" || s.AccessKey == "" || s.SecretKey == "" || s.Region == "" || s.Service == "" {
-			return fmt.Errorf("%sname, access_key, secret_key, region and service are all needed", section)
+			return fmt.Errorf("%sname, access_key, secret_key, region and service are all required", section)
 		}
 	}
 	return nil
@@ -62,19 +62,19 @@
 		validSigner := s.Signer == "" || o.signer(s.Signer) != nil
 		rules = append(rules,
 			rule{section + "kind", require(knownKind, "%q is not cache, parent or origin", s.Kind)},
-			rule{section + "id", require(validID, "%d is 0 or there twice", s.ID)},
+			rule{section + "id", require(validID, "%d is 0 or a duplicate", s.ID)},
 			s.addressRule(section),
-			rule{section + "signer", require(validSigner, "no signer %q", s.Signer)},
+			rule{section + "signer", require(validSigner, "no signer named %q", s.Signer)},
 		)
 	}
 	return firstViolation(rules)
 }
 
-// addressRule requires one address, in the form of the store's protocol.
+// addressRule requires exactly one address, in the form of the endpoint's protocol.
 func (s Store) addressRule(section string) rule {
 	switch {
 	case (s.Addr == "") == (s.Base == ""):
-		return rule{section + "addr", errors.New("either addr or base")}
+		return rule{section + "addr", errors.New("exactly one of addr and base is required")}
 	case s.Addr != "":
 		return rule{addressField(section + "addr"), address(s.Addr)}
 	default:
@@ -82,7 +82,7 @@
 	}
 }
 
-// signer returns a copy of the last signer of a name; nil: there is none.
+// signer returns a copy of the last signer with a name; nil if there is none.
 func (o *Operator) signer(name string) *httpstore.Signer {
 	for i := len(o.Signers) - 1; i >= 0; i-- {
 		if o.Signers[i].Name == name {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// HTTPStores gives the stores that speak HTTP, by their IDs.
+// HTTPStores returns the HTTP endpoints by ID.
 func (o *Operator) HTTPStores() map[uint32]httpstore.Store {
 	stores := map[uint32]httpstore.Store{}
 	for _, s := range o.Stores {
