--- a/cmd/turnfork/shutdown_deadlines_test.go
+++ b/cmd/turnfork/shutdown_deadlines_test.go
@@ -18,9 +18,9 @@
 	"turnfork.dev/turnfork/internal/fakestore"
 )
 
-// An endpoint hangs through the whole shutdown of a process whose classes have the shortest deadlines, and clients go on
-// sending on their open connections until it ends. Each request that was sent before the last answer came has one of its own,
-// and the process ends by itself.
+// An endpoint hangs during the shutdown of a process whose classes have very short deadlines, while clients keep sending on
+// their open connections. Each request must get a response unless the process closes the connection first, and the process must
+// exit.
 func TestShutdownWithShortestDeadlines(t *testing.T) {
 	bin := build(t)
 	for _, deadline := range []int{20, 50, 200} { // ms
@@ -32,13 +32,13 @@
 			}
 			defer hanging.Close()
 			conf := filepath.Join(t.TempDir(), "config.json")
-			text := strings.ReplaceAll(fmt.Sprintf(oneStore, hanging.Addrs[0]), `"deadline":0.5`, fmt.Sprintf(`"deadline":%g`, float64(deadline)/1000))
+			text := strings.ReplaceAll(fmt.Sprintf(oneEndpointConfig, hanging.Addrs[0]), `"deadline":0.5`, fmt.Sprintf(`"deadline":%g`, float64(deadline)/1000))
 			os.WriteFile(conf, []byte(text), 0o600)
 			p := launch(t, bin, []string{"NODE_CONFIG=" + conf, "NODE_LISTEN=127.0.0.1:0", "NODE_NAME=n1"})
 			done := make(chan error)
-			var clients []endlessClient
-			for i, ttl := range []int{deadline, deadline, 5000, 5000} { // some wait for longer than a process is left to live
-				clients = append(clients, endlessClient{class: []string{"firmware", "ride-end"}[i%2], ttl: ttl, id: uint16(i * 10000)})
+			var clients []loopingClient
+			for i, ttl := range []int{deadline, deadline, 5000, 5000} { // some clients wait longer than a shutdown may take
+				clients = append(clients, loopingClient{class: []string{"firmware", "ride-end"}[i%2], ttl: ttl, id: uint16(i * 10000)})
 			}
 			for _, client := range clients {
 				c, err := net.Dial("tcp", p.addr)
@@ -47,62 +47,61 @@
 				}
 				defer c.Close()
 				first := make(chan struct{})
-				go func() { done <- client.askUntilItEnds(c, first) }()
+				go func() { done <- client.sendUntilClosed(c, first) }()
 				<-first
 			}
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			for range clients {
 				if err := <-done; err != nil {
-					t.Errorf("%v\n%s", err, p.lines())
+					t.Errorf("%v\n%s", err, p.logs())
 				}
 			}
 			if err := <-p.done; err != nil {
-				t.Errorf("exit: %v\n%s", err, p.lines())
+				t.Errorf("exit: %v\n%s", err, p.logs())
 			}
 		})
 	}
 }
 
-// endlessClient asks for one thing after another, each with ttl ms left.
-type endlessClient struct {
+// loopingClient sends requests one after another, each with ttl ms left.
+type loopingClient struct {
 	class string
 	ttl   int
-	id    uint16 // of the request before the first
+	id    uint16 // of the last request; initially the one before the first
 }
 
-// askUntilItEnds sends one request after another, each as the one before is answered, until the connection ends. It fails
-// where a request has no answer though bytes of a later one came, or where the end of the process is not that of the
-// connection.
-func (e endlessClient) askUntilItEnds(c net.Conn, first chan<- struct{}) error {
+// sendUntilClosed sends a request after each response until the connection is closed. It fails if a request gets neither a
+// response nor the end of the connection within 20 s, or a status other than 502, 503 and 504.
+func (e loopingClient) sendUntilClosed(c net.Conn, first chan<- struct{}) error {
 	in := bufio.NewReader(c)
 	for n := 0; ; n++ {
 		e.id++
-		c.SetDeadline(time.Now().Add(20 * time.Second)) // only a hung program meets it
-		if _, err := c.Write(e.request()); err != nil {
-			return nil // it ended while no request was in hand
+		c.SetDeadline(time.Now().Add(20 * time.Second)) // exceeded only if the process hangs
+		if _, err := c.Write(e.nextRequest()); err != nil {
+			return nil // closed while no request was open
 		}
 		if n == 0 {
 			close(first)
 		}
-		status, err := oneAnswer(in, e.id)
+		status, err := readOneStatus(in, e.id)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return fmt.Errorf("request %d (%s) has no answer", e.id, e.class)
+			return fmt.Errorf("request %d (%s) got no response", e.id, e.class)
 		case err != nil:
-			return nil // it crossed the end
+			return nil // the request was sent while the connection was being closed
 		case status != "502" && status != "503" && status != "504":
-			return fmt.Errorf("request %d (%s): %q from an endpoint that hangs", e.id, e.class, status)
+			return fmt.Errorf("request %d (%s): status %q, although the endpoint hangs", e.id, e.class, status)
 		}
 	}
 }
 
-// request words the client's next request.
-func (e endlessClient) request() []byte {
-	return bytes.Replace(get(e.class, e.id), []byte("5000"), fmt.Appendf(nil, "%04d", e.ttl), 1)
+// nextRequest encodes the client's next request.
+func (e loopingClient) nextRequest() []byte {
+	return bytes.Replace(encodeRequest(e.class, e.id), []byte("5000"), fmt.Appendf(nil, "%04d", e.ttl), 1)
 }
 
-// oneAnswer reads the answer to the one request that is open.
-func oneAnswer(in *bufio.Reader, id uint16) (status string, err error) {
+// readOneStatus reads the response to the only open request and returns its status.
+func readOneStatus(in *bufio.Reader, id uint16) (status string, err error) {
 	text := ""
 	for {
 		var head [8]byte
@@ -114,7 +113,7 @@
 			return "", err
 		}
 		if got := binary.BigEndian.Uint16(head[2:]); got != id {
-			return "", fmt.Errorf("an answer to %d in place of %d", got, id)
+			return "", fmt.Errorf("response to request %d instead of %d", got, id)
 		}
 		if text += string(data); head[1] == 3 {
 			return strings.TrimPrefix(text, "Status: ")[:3], nil
@@ -122,8 +121,8 @@
 	}
 }
 
-// Configurations come in quick succession, each with discovery at another address: the process follows the last one, whatever
-// signals fell together, and a request in hand notices nothing.
+// The configuration is reloaded many times in quick succession, each time with another address of discovery. Signals may be
+// merged, but the process must end up with the last configuration, and an open request must not be affected.
 func TestSignalsInQuickSuccession(t *testing.T) {
 	bin := build(t)
 	release := make(chan struct{})
@@ -137,40 +136,40 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	at := newDiscovery(t, s.Addr())
+	currentLog := newChangeLog(t, s.Addr())
 	conf := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		next := conf + ".next"
 		os.WriteFile(next, []byte(text), 0o600)
 		os.Rename(next, conf)
 	}
-	write(fmt.Sprintf(settings, at.addr))
+	write(fmt.Sprintf(platformConfig, currentLog.addr))
 	p := launch(t, bin, []string{"NODE_CONFIG=" + conf, "NODE_LISTEN=127.0.0.1:0", "NODE_NAME=n1", "NODE_CONSOLE=127.0.0.1:0"})
-	until(t, 200, p.console(t), "GET", "/ready", "")
+	awaitStatus(t, 200, p.awaitAdminAddr(t), "GET", "/ready", "")
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	c.Write(get("app-assets", 1))
-	within(t, p, "the request is out", func() bool { return len(s.Calls("GET")) > 0 })
+	c.Write(encodeRequest("app-assets", 1))
+	eventually(t, p, "the request is sent", func() bool { return len(s.Calls("GET")) > 0 })
 	for i := range 20 {
 		if i%5 == 4 {
-			write("half a fi")
+			write("half a fi") // an incomplete file
 			p.cmd.Process.Signal(syscall.SIGHUP)
 		}
-		at = newDiscovery(t, s.Addr())
-		write(fmt.Sprintf(settings, at.addr))
+		currentLog = newChangeLog(t, s.Addr())
+		write(fmt.Sprintf(platformConfig, currentLog.addr))
 		p.cmd.Process.Signal(syscall.SIGHUP)
 	}
-	within(t, p, "the last discovery is asked", func() bool { return at.asked.Load() > 0 })
+	eventually(t, p, "the last change log is polled", func() bool { return currentLog.polls.Load() > 0 })
 	close(release)
-	if id, text := answer(t, bufio.NewReader(c)); id != 1 || !strings.HasSuffix(text, "hello") {
-		t.Errorf("what was in hand: %d %q\n%s", id, text, p.lines())
+	if id, text := readResponse(t, bufio.NewReader(c)); id != 1 || !strings.HasSuffix(text, "hello") {
+		t.Errorf("open request: %d %q\n%s", id, text, p.logs())
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	if err := <-p.done; err != nil {
-		t.Errorf("exit: %v\n%s", err, p.lines())
+		t.Errorf("exit: %v\n%s", err, p.logs())
 	}
 }
--- a/cmd/turnfork/stored_test.go
+++ b/cmd/turnfork/stored_test.go
@@ -26,34 +26,34 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// storedFolder was written by the program of commit e47e21a; its README says how.
+// storedFolder was written by a gateway of commit e47e21a, as its README describes.
 const storedFolder = "testdata/stored-e47e21a"
 
 // Ports in the stored folder.
 const (
-	storedFrontPort   = "7841"
-	storedConsolePort = "7842"
-	storedCachePort   = "7843"
-	storedOriginPort  = "7844"
-	storedReplicaPort = "7845"
+	storedFrontendPort = "7841"
+	storedAdminPort    = "7842"
+	storedCachePort    = "7843"
+	storedOriginPort   = "7844"
+	storedReplicaPort  = "7845"
 )
 
 const (
 	storedOperatorSecret = "throwaway-operator-secret"
-	storedTokenSeconds   = 900 // by the stored policy
+	storedTokenSeconds   = 900 // maximum lifetime in the stored policy
 	storedLeewayMS       = 7000
 )
 
-// issuedToken is what the program printed for a token.
+// issuedToken is the output of the token subcommand.
 type issuedToken struct {
 	Key, ID, URL string
 	Expires      float64
 }
 
-// use is the name under which the replicated state knows a token.
-func (i issuedToken) use() string { return i.Key + "/" + i.ID }
+// claimID returns the key of a token in the replicated state.
+func (i issuedToken) claimID() string { return i.Key + "/" + i.ID }
 
-// storedToken reads one of the tokens of the stored folder.
+// storedToken reads a token of the stored folder.
 func storedToken(t *testing.T, name string) (issued issuedToken) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(storedFolder, "issued", name+".json"))
@@ -66,7 +66,7 @@
 	return issued
 }
 
-// copyStored copies the stored folder, with other ports in place of its own.
+// copyStored copies the stored folder and replaces ports in it.
 func copyStored(t *testing.T, ports map[string]string) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -84,16 +84,16 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if port, ok := ports[storedFrontPort]; ok { // the folder of the orders is named after the address
+	if port, ok := ports[storedFrontendPort]; ok { // the folder of the overrides is named after the address
 		shared := filepath.Join(dir, "shared", "turnfork_stored__127.0.0.1_")
-		if err := os.Rename(shared+storedFrontPort, shared+port); err != nil {
+		if err := os.Rename(shared+storedFrontendPort, shared+port); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return dir
 }
 
-// freePorts gives ports that nobody listens at.
+// freePorts returns ports that are not in use.
 func freePorts(t *testing.T, count int) (ports []string) {
 	t.Helper()
 	for range count {
@@ -101,7 +101,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close() // held until all are chosen, so that they differ
+		defer l.Close() // kept open until all are chosen, so that they differ
 		ports = append(ports, portOf(t, l.Addr().String()))
 	}
 	return ports
@@ -116,11 +116,11 @@
 	return port
 }
 
-// storedGateway is the present program on a copy of the stored folder.
+// storedGateway is a gateway of the current version on a copy of the stored folder.
 type storedGateway struct {
 	*testing.T
 	*program
-	consoleAddr string
+	adminAddr string
 }
 
 func startStored(t *testing.T) *storedGateway {
@@ -133,7 +133,7 @@
 	t.Cleanup(func() { store.Close() })
 	storePort, ports := portOf(t, store.Addr()), freePorts(t, 3)
 	dir := copyStored(t, map[string]string{
-		storedFrontPort: ports[0], storedConsolePort: ports[1], storedReplicaPort: ports[2],
+		storedFrontendPort: ports[0], storedAdminPort: ports[1], storedReplicaPort: ports[2],
 		storedCachePort: storePort, storedOriginPort: storePort,
 	})
 	p := launch(t, build(t), []string{"TMPDIR=" + filepath.Join(dir, "shared")}, "-config", filepath.Join(dir, "gateway.toml"))
@@ -142,12 +142,12 @@
 	return g
 }
 
-// awaitFresh waits until the gateway has the whole replicated state.
+// awaitFresh waits until the gateway has the complete replicated state.
 func (g *storedGateway) awaitFresh() {
 	g.Helper()
 	fresh := func() bool {
-		resp, err := http.Get("http://" + g.consoleAddr + "/ready")
-		if err != nil { // it does not listen yet
+		resp, err := http.Get("http://" + g.adminAddr + "/ready")
+		if err != nil { // not listening yet
 			return false
 		}
 		defer resp.Body.Close()
@@ -159,13 +159,13 @@
 	}
 	for limit := time.Now().Add(30 * time.Second); !fresh(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			g.Fatalf("the replicated state is never complete\n%s", g.lines())
+			g.Fatalf("the replicated state is not complete within 30 s\n%s", g.logs())
 		}
 	}
 }
 
-// request makes a request of the front, and gives the status, what became of its token's use, and the body.
-func (g *storedGateway) request(method, path, body string) (status int, claim, answer string) {
+// request sends a request to the signed frontend and returns the status, the X-Claim header and the body.
+func (g *storedGateway) request(method, path, body string) (status int, claim, responseBody string) {
 	g.Helper()
 	req, err := http.NewRequest(method, "http://"+g.addr+path, strings.NewReader(body))
 	if err != nil {
@@ -185,8 +185,8 @@
 	return resp.StatusCode, resp.Header.Get("X-Claim"), string(text)
 }
 
-// The present program goes on from what the program of e47e21a stored: keys, policy, revocations, claims, and the store that
-// was disabled.
+// A gateway of the current version uses the data that e47e21a stored: keys, policy, revocations, claims, and the disabled
+// endpoint.
 func TestStoredDataServes(t *testing.T) {
 	g := startStored(t)
 	issue := func(seconds int) (status int, body string) {
@@ -203,10 +203,10 @@
 		t.Fatal(err)
 	}
 	if status, _, body := g.request("GET", issued.URL, ""); status != 200 || body != "piece" {
-		t.Errorf("a URL of the stored key url-2: %d %s", status, body)
+		t.Errorf("URL signed with the stored key url-2: %d %s", status, body)
 	}
 	if status, body := issue(storedTokenSeconds + 1); status != 400 {
-		t.Errorf("a token longer than the stored policy allows: %d %s", status, body)
+		t.Errorf("token with a longer lifetime than the stored policy allows: %d %s", status, body)
 	}
 	for _, name := range []string{"revoked-1", "revoked-2"} {
 		if status, _, body := g.request("GET", storedToken(t, name).URL, ""); status != 403 || !strings.Contains(body, "revoked") {
@@ -218,18 +218,18 @@
 			t.Errorf("%s: %d %q %s", name, status, claim, body)
 		}
 	}
-	if disabled := state(t, g.consoleAddr).Disabled; !slices.Equal(disabled, []string{"s-00000002"}) {
-		t.Errorf("disabled stores: %v", disabled)
+	if disabled := readGatewayState(t, g.adminAddr).Disabled; !slices.Equal(disabled, []string{"s-00000002"}) {
+		t.Errorf("disabled endpoints: %v", disabled)
 	}
 	if err := g.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-g.done; err != nil {
-		t.Errorf("%v\n%s", err, g.lines())
+		t.Errorf("%v\n%s", err, g.logs())
 	}
 }
 
-// storedMember is the replicated store on a copy of the stored folder.
+// storedMember is a member of the replicated store on a copy of the stored folder. It records the purges that it reports.
 type storedMember struct {
 	*replica.Store
 	dir string
@@ -269,25 +269,24 @@
 	m.purges = append(m.purges, c)
 }
 
-// storedPurge is a purge as the stored folder holds it.
+// storedPurge is a purge of the stored folder.
 type storedPurge struct {
 	object uint64
 	group  uint16
 	at     int64 // Unix ms
 }
 
-// purgesHeard gives the purges that the member told of while it opened.
-func (m *storedMember) purgesHeard() (heard []storedPurge) {
+// purgesReceived returns the purges that the member has reported since it was opened.
+func (m *storedMember) purgesReceived() (received []storedPurge) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.purges {
-		heard = append(heard, storedPurge{c.Object, c.Group, c.At})
+		received = append(received, storedPurge{c.Object, c.Group, c.At})
 	}
-	return heard
+	return received
 }
 
-// Every entry that the program of e47e21a stored is found, from its snapshot and from its log, and again after a snapshot of
-// the present program.
+// All entries that e47e21a stored in its snapshot and its log are found, and again after a snapshot by the current version.
 func TestStoredDataIsComplete(t *testing.T) {
 	dir := copyStored(t, map[string]string{storedReplicaPort: freePorts(t, 1)[0]})
 	purges := []storedPurge{
@@ -295,14 +294,14 @@
 		{object: 0xa7, at: 1796206969628}, {group: 12, at: 1796206969646},
 	}
 	m := openStored(t, dir)
-	// A change is agreed on behind all that the log holds.
+	// A new change is committed after all entries of the log, so these have been applied when Put returns.
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	if err := m.Put(ctx, "reopened", true); err != nil {
 		t.Fatal(err)
 	}
-	if heard := m.purgesHeard(); !slices.Equal(heard, purges) {
-		t.Errorf("purges %v, stored were %v", heard, purges)
+	if received := m.purgesReceived(); !slices.Equal(received, purges) {
+		t.Errorf("purges %v, want the stored %v", received, purges)
 	}
 	m.checkContents(t, ctx)
 	if err := m.Snapshot(); err != nil {
@@ -319,7 +318,7 @@
 	m.checkContents(t, ctx)
 }
 
-// checkContents looks for each piece of the stored state but the purges, which are kept for a short time only.
+// checkContents checks all entries of the stored state except the purges, which are kept only for a short time.
 func (m *storedMember) checkContents(t *testing.T, ctx context.Context) {
 	t.Helper()
 	var keys []struct{ ID, Kind, Secret string }
@@ -334,7 +333,7 @@
 		t.Errorf("policy: %v %v %v", ok, err, policy)
 	}
 	for _, name := range []string{"revoked-1", "revoked-2"} {
-		if !m.Revoked(storedToken(t, name).use()) {
+		if !m.Revoked(storedToken(t, name).claimID()) {
 			t.Errorf("%s is not revoked", name)
 		}
 	}
@@ -350,21 +349,22 @@
 			Owner: "X4ZISPCGDICRHPZP67YF765IQM", Until: 4796207043000, Stage: claims.Ran, Outcome: "served 34 bytes", At: 1796206969593.7053,
 		}},
 	} {
-		record, granted, err := m.Step(ctx, storedToken(t, c.name).use(), claims.Step{Op: claims.Hold, Owner: "another", Until: c.want.Until})
-		// A record's time is told in the asker's clock: later than stored by what the group's agreed time lags behind it.
+		record, granted, err := m.Step(ctx, storedToken(t, c.name).claimID(), claims.Step{Op: claims.Hold, Owner: "another", Until: c.want.Until})
+		// The time of a record is converted to the local clock: it is later than the stored one by the lag of the group's agreed
+		// time behind the local clock.
 		lags = append(lags, record.At-c.want.At)
 		record.At = c.want.At
 		if err != nil || granted || record != c.want {
-			t.Errorf("%s: granted %v, %+v, %v; stored was %+v", c.name, granted, record, err, c.want)
+			t.Errorf("%s: granted %v, %+v, %v; want the stored %+v", c.name, granted, record, err, c.want)
 		}
 	}
 	sinceStored := clock.System().Unix() - storedAt
 	if lags[0] < 0 || lags[0] > sinceStored || math.Abs(lags[1]-lags[0]) > maxLagDrift {
-		t.Errorf("the claims' times were moved by %v ms, want the same for both, from 0 to %v", lags, sinceStored)
+		t.Errorf("the claims' times differ from the stored ones by %v ms, want equal values from 0 to %v", lags, sinceStored)
 	}
 }
 
 const (
 	storedAt    = 1796206964048.0 // Unix ms of the first stored claim
-	maxLagDrift = 1000.0          // ms by which the agreed time may catch up between two looks
+	maxLagDrift = 1000.0          // ms by which the agreed time may advance on the local clock between two reads
 )
