--- a/admin_test.go
+++ b/admin_test.go
@@ -27,7 +27,7 @@
 // An override is in force though it can't be written, as while a disk stalls or a sibling process keeps the lock: without a
 // sibling its caller gets no error; with one, which can't know of it yet, an error. It is written once that can be, and nothing
 // read meanwhile undoes it.
-func TestOverrideHoldsBeforeItIsWritten(t *testing.T) {
+func TestOverrideInForceBeforeItIsWritten(t *testing.T) {
 	dir := t.TempDir()
 	registry, err := handover.Open(dir)
 	if err != nil {
@@ -57,7 +57,7 @@
 	if err := admin.Drain(ctx, true); err == nil || !admin.State().Draining {
 		t.Errorf("with another process that can't be told: %v", err)
 	}
-	if admin.followSibling(ctx); !admin.State().Draining {
+	if admin.applySiblingOverrides(ctx); !admin.State().Draining {
 		t.Error("what was read undid an override that waits to be written")
 	}
 	lock.Close()
--- a/claims_test.go
+++ b/claims_test.go
@@ -24,37 +24,37 @@
 )
 
 // trio is three gateways, each with its member of the replicated store on disk, in mutual TLS.
-type trio struct {
+type gatewayGroup struct {
 	*testing.T
-	members []replica.Member
-	dirs    []string
-	stores  [3]*replica.Store
-	fronts  [3]*signed.Front
-	clock   *clock.Clock
-	keys    *ring.Ring
-	cert    func() (*tls.Config, error)
-	runs    atomic.Int64
-	fault   atomic.Pointer[fault]
-	killed  chan struct{}
-	victim  int // the member that was killed, once killed is closed
+	members   []replica.Member
+	dirs      []string
+	stores    [3]*replica.Store
+	frontends [3]*signed.Front
+	clock     *clock.Clock
+	keys      *ring.Ring
+	cert      func() (*tls.Config, error)
+	runs      atomic.Int64
+	fault     atomic.Pointer[leaderFault]
+	killed    chan struct{}
+	victim    int // the member that was killed, once killed is closed
 
 	openLogs func(path string) (replica.LogDatabase, error) // of a gateway that is a member; nil: the system's
 }
 
 // fault kills the leader at one step of a claim, before it is proposed or once it is agreed on; then the answer to the
 // step is lost too.
-type fault struct {
+type leaderFault struct {
 	op    claims.Op
 	after bool
 }
 
 // faulty is a member that meets the trio's fault.
-type faulty struct {
+type faultyMember struct {
 	*replica.Store
-	trio *trio
+	trio *gatewayGroup
 }
 
-func (f faulty) Step(ctx context.Context, name string, s claims.Step) (claims.Record, bool, error) {
+func (f faultyMember) Step(ctx context.Context, name string, s claims.Step) (claims.Record, bool, error) {
 	fault := f.trio.fault.Load()
 	if fault == nil || fault.op != s.Op || !f.trio.fault.CompareAndSwap(fault, nil) {
 		return f.Store.Step(ctx, name, s)
@@ -68,7 +68,7 @@
 	return claims.Record{}, false, errors.New("the leader is gone")
 }
 
-func (c *trio) leader() int {
+func (c *gatewayGroup) leader() int {
 	for {
 		for i, s := range c.stores {
 			if s.Leads() {
@@ -79,14 +79,14 @@
 	}
 }
 
-func (c *trio) kill(i int) {
+func (c *gatewayGroup) kill(i int) {
 	c.stores[i].Close()
 	c.victim = i
 	close(c.killed)
 }
 
 // awaitKill waits for the fault to be met, and gives the member that was killed.
-func (c *trio) awaitKill() (victim int) {
+func (c *gatewayGroup) awaitKill() (victim int) {
 	c.Helper()
 	select {
 	case <-c.killed:
@@ -97,7 +97,7 @@
 }
 
 // isDead tells whether a member was killed.
-func (c *trio) isDead(member int) bool {
+func (c *gatewayGroup) isDead(member int) bool {
 	select {
 	case <-c.killed:
 		return c.victim == member
@@ -107,17 +107,17 @@
 }
 
 // trios counts the trios of this process.
-var trios atomic.Int32
+var groupCount atomic.Int32
 
 // newTrio starts three members; deadline, in ms, is ride-end's.
-func newTrio(t *testing.T, deadline float64) *trio {
-	c := &trio{T: t, clock: clock.System(), killed: make(chan struct{}), dirs: []string{t.TempDir(), t.TempDir(), t.TempDir()}}
+func newGatewayGroup(t *testing.T, deadline float64) *gatewayGroup {
+	c := &gatewayGroup{T: t, clock: clock.System(), killed: make(chan struct{}), dirs: []string{t.TempDir(), t.TempDir(), t.TempDir()}}
 	var err error
 	if c.keys, err = ring.New([]token.Key{{ID: "url", Kind: token.HMAC, Secret: urlSecret}}); err != nil {
 		t.Fatal(err)
 	}
 	// Addresses of their own: while a member is down, no connection that leaves from 127.0.0.1 has its port.
-	n := byte(trios.Add(1))
+	n := byte(groupCount.Add(1))
 	at := func(i int) net.IP { return net.IPv4(127, 77, n, byte(i+1)) }
 	if c.cert, err = fakestore.Authority(at(0), at(1), at(2)); err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 		c.members = append(c.members, replica.Member{ID: fmt.Sprint("m", i), Addr: listeners[i].Addr().String()})
 	}
 	for i, l := range listeners {
-		c.open(i, l, deadline)
+		c.openMember(i, l, deadline)
 	}
 	t.Cleanup(func() {
 		for _, s := range c.stores {
@@ -138,7 +138,7 @@
 	return c
 }
 
-func (c *trio) listen(addr string) net.Listener {
+func (c *gatewayGroup) listen(addr string) net.Listener {
 	c.Helper()
 	// The port of a member that has ended may be lent to another connection of this machine for a while.
 	l, err := net.Listen("tcp", addr)
@@ -153,7 +153,7 @@
 }
 
 // open starts a member and its gateway: on a listener, or with nil where it listened before.
-func (c *trio) open(i int, l net.Listener, deadline float64) {
+func (c *gatewayGroup) openMember(i int, l net.Listener, deadline float64) {
 	c.Helper()
 	if l == nil {
 		l = c.listen(c.members[i].Addr)
@@ -168,19 +168,19 @@
 	}); err != nil {
 		c.Fatal(err)
 	}
-	c.fronts[i] = c.front(faulty{c.stores[i], c}, deadline, 20000)
+	c.frontends[i] = c.newFrontend(faultyMember{c.stores[i], c}, deadline, 20000)
 }
 
 // front is a gateway on a member; a claim may take claimMost ms.
-func (c *trio) front(member signed.Claims, deadline, claimMost float64) *signed.Front {
+func (c *gatewayGroup) newFrontend(member signed.Claims, deadline, claimMost float64) *signed.Front {
 	return signed.New(signed.Options{
-		Post: answering(&c.runs), Clock: c.clock, Log: zerolog.Nop(), Ring: c.keys, Claims: member, Leeway: 10000,
+		Post: answeringCore(&c.runs), Clock: c.clock, Log: zerolog.Nop(), Ring: c.keys, Claims: member, Leeway: 10000,
 		Classes: []signed.Class{{Name: "ride-end", Deadline: deadline, Write: true}}, ClaimMost: claimMost,
 	})
 }
 
 // url signs a ride's end.
-func (c *trio) url(nonce string) string {
+func (c *gatewayGroup) url(nonce string) string {
 	c.Helper()
 	u, err := c.keys.Issue("url", token.Terms{URI: rideEnd, Until: c.clock.Unix()/1000 + 600, ID: nonce})
 	if err != nil {
@@ -190,7 +190,7 @@
 }
 
 // ride ends a ride at a gateway, over a pipe: the status and what its claim is said to be.
-func (c *trio) ride(f *signed.Front, url string) (int, string) {
+func (c *gatewayGroup) endRide(f *signed.Front, url string) (int, string) {
 	c.Helper()
 	near, far := net.Pipe()
 	go f.Handle(far)
@@ -212,18 +212,18 @@
 				t.Run(fmt.Sprintf("%s after=%v own=%v", op, after, atLeader), func(t *testing.T) {
 					t.Parallel()
 					const deadline = 1000
-					c := newTrio(t, deadline)
+					c := newGatewayGroup(t, deadline)
 					lead := c.leader()
 					url := c.url("n")
-					c.fault.Store(&fault{op, after})
+					c.fault.Store(&leaderFault{op, after})
 					first := lead
 					if !atLeader {
 						first = (lead + 1) % 3
 					}
-					code, claim := c.ride(c.fronts[first], url)
+					code, claim := c.endRide(c.frontends[first], url)
 					for at, limit := first, time.Now().Add(40*time.Second); code == 503 && time.Now().Before(limit); {
 						if at = (at + 1) % 3; !c.isDead(at) {
-							code, claim = c.ride(c.fronts[at], url)
+							code, claim = c.endRide(c.frontends[at], url)
 						}
 						time.Sleep(20 * time.Millisecond)
 					}
@@ -235,13 +235,13 @@
 					if !lost && (code != 200 || c.runs.Load() != 1) || lost && (code != 403 || claim != "sent" || c.runs.Load() != 0) {
 						t.Fatalf("%d %q, ran %d times", code, claim, c.runs.Load())
 					}
-					c.open(victim, nil, deadline)
+					c.openMember(victim, nil, deadline)
 					c.leader()
 					said := map[string]int{}
 					for limit := time.Now().Add(20 * time.Second); len(said) != 1 || said["sent"] > 0; {
 						clear(said)
 						for i := range 3 {
-							code, claim := c.ride(c.fronts[i], url)
+							code, claim := c.endRide(c.frontends[i], url)
 							if code == 503 {
 								continue
 							}
--- a/clock_step_test.go
+++ b/clock_step_test.go
@@ -14,8 +14,8 @@
 
 // A token's dates are judged by the wall clock as it is when a request arrives: what a step makes of them holds as long as the
 // clock is so. Its single use is the group's, which goes by no wall clock.
-func TestTokensDatesFollowTheWallClock(t *testing.T) {
-	s := newSite(t, nil)
+func TestTokenDatesFollowWallClock(t *testing.T) {
+	s := newSignedGateway(t, nil)
 	u := s.url(tile, 60, "read")
 	once := s.url(rideEnd, 60, "once")
 	if code, _, _ := s.do("POST", once, ""); code != 200 {
@@ -26,10 +26,10 @@
 	s.expect("a token of this clock", 200, "", "GET", s.url(tile, 60, "ahead"))
 	s.clock.Step(-hour)
 	s.expect("back again", 200, "", "GET", u)
-	s.replayed("back again", once)
+	s.expectReplayed("back again", once)
 	s.clock.Step(-hour)
 	s.expect("an hour behind", 200, "", "GET", u)
-	s.replayed("an hour behind", once)
+	s.expectReplayed("an hour behind", once)
 	s.clock.Step(hour)
 
 	s.clock.Advance(20 * 60 * 1000)
@@ -41,14 +41,14 @@
 	}
 	s.clock.Step(-hour)
 	s.expect("an expired token, an hour behind", 200, "", "GET", u)
-	s.replayed("an expired use, an hour behind", once)
+	s.expectReplayed("an expired use, an hour behind", once)
 	if n := s.runs.Load(); n != 3 {
 		t.Errorf("ran %d times, want 3", n)
 	}
 }
 
 // A step while a request is in hand neither ends what its token allows nor prolongs it, for attempts and for the client's cache.
-func TestStepMidRequest(t *testing.T) {
+func TestClockStepDuringRequest(t *testing.T) {
 	maxAge := regexp.MustCompile(`max-age=(\d+)`)
 	for _, x := range []struct {
 		name         string
@@ -62,7 +62,7 @@
 		{"back, and expired", -9, -hour, 1200, 403},
 	} {
 		arrived, let := make(chan struct{}, 8), make(chan string, 8)
-		s := newSite(t, func(fakestore.Call) (string, string, []byte, bool) {
+		s := newSignedGateway(t, func(fakestore.Call) (string, string, []byte, bool) {
 			arrived <- struct{}{}
 			return <-let, fmt.Sprintf("tag=0a,why=local,minted=%.0f", start), []byte("piece"), true
 		})
--- a/cold_test.go
+++ b/cold_test.go
@@ -21,7 +21,7 @@
 
 // coldFleet is the configuration of one of some gateways whose only store has just started: its number, how many there are
 // (twice), the store's address and weight, and when it started.
-const coldFleet = `{"name":"n","listen":"127.0.0.1:0","limits":{"cores":1,"memory_mb":64,"sockets":200},"seed":"%x",
+const coldEndpointConfig = `{"name":"n","listen":"127.0.0.1:0","limits":{"cores":1,"memory_mb":64,"sockets":200},"seed":"%x",
 "known":{"seq":1,"results":[{"seq":1,"fleet":{"version":1,"full":true,"servers":[{"id":"s-0000000a","addr":%q,"zone":"edge",
 "kind":"box","cell":0,"state":"Ready","weight":%d,"started_ms":%d}]}}]},"settings":{"me":%d,"az":1,"balancers":%d,
 "zones":["hub","edge"],"kinds":["box","parent","origin"],"quantum":0.002,
@@ -30,11 +30,11 @@
 "guarantees":{"cold":40,"cold-share":0.2,"fall":2,"fall-multiple":2,"drain-grace":0.5},
 "family-info":{"origin-kind":2,"shield-kind":1,"client-kb-per-s":1000,"seats-by-zone":[0,%d],"zone-hub":[0,0],"says":"all"}}}`
 
-func pair(name, value string) []byte {
+func fastcgiParam(name, value string) []byte {
 	return append(append([]byte{byte(len(name)), byte(len(value))}, name...), value...)
 }
 
-func record(kind byte, id uint16, data []byte) []byte {
+func fastcgiRecord(kind byte, id uint16, data []byte) []byte {
 	b := binary.BigEndian.AppendUint16([]byte{1, kind}, id)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(data)))
 	return append(append(b, 0, 0), data...)
@@ -42,20 +42,20 @@
 
 // fastcgiGet words a request for a part of 300 KB.
 func fastcgiGet(id uint16, txn uint64) []byte {
-	params := pair("SCRIPT_NAME", "/v1/firmware")
+	params := fastcgiParam("SCRIPT_NAME", "/v1/firmware")
 	for name, value := range map[string]string{
 		"HTTP_X_TXN": fmt.Sprintf("%016x", txn), "HTTP_X_TTL_MS": "1800", "HTTP_X_ROW": fmt.Sprintf("%016x", txn*7919),
 		"HTTP_X_BLOCK": "0", "HTTP_X_FAMILY": "1", "HTTP_X_WORKING_SET_KB": "300",
 	} {
-		params = append(params, pair(name, value)...)
+		params = append(params, fastcgiParam(name, value)...)
 	}
-	b := record(1, id, []byte{0, 1, 1, 0, 0, 0, 0, 0})
-	b = append(b, record(4, id, params)...)
-	return append(append(b, record(4, id, nil)...), record(5, id, nil)...)
+	b := fastcgiRecord(1, id, []byte{0, 1, 1, 0, 0, 0, 0, 0})
+	b = append(b, fastcgiRecord(4, id, params)...)
+	return append(append(b, fastcgiRecord(4, id, nil)...), fastcgiRecord(5, id, nil)...)
 }
 
 // ends reads up to the ends of so many requests, and counts them.
-func ends(r io.Reader, requests int, ended *atomic.Int64) error {
+func readEnds(r io.Reader, requests int, ended *atomic.Int64) error {
 	for requests > 0 {
 		var head [8]byte
 		if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -74,7 +74,7 @@
 
 // Thirty gateways want a cold store in the same moment, each after a lull in which it could save up what it may send. In
 // any span of the settings' length the store gets no more calls than the N that they allow and 2 x root of N + 2.
-func TestManyGatewaysMeetAColdStore(t *testing.T) {
+func TestManyGatewaysStartOnAColdEndpoint(t *testing.T) {
 	const gateways, weight, wanted, lull, span = 30, 1, 8, 12000, 1900
 	store, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,why=local,minted=1", []byte("part"), true
@@ -89,7 +89,7 @@
 	defer func() { stop(); running.Wait() }()
 	var fronts []Addrs
 	for i := range gateways {
-		text := fmt.Sprintf(coldFleet, i*7919+1, store.Addr(), weight, int64(clk.Now()), i, gateways, gateways)
+		text := fmt.Sprintf(coldEndpointConfig, i*7919+1, store.Addr(), weight, int64(clk.Now()), i, gateways, gateways)
 		node, err := config.Parse([]byte(text), "", "")
 		if err != nil {
 			t.Fatal(err)
@@ -120,7 +120,7 @@
 				asked++
 				c.Write(fastcgiGet(uint16(id+1), asked))
 			}
-			go func() { answered <- ends(bufio.NewReader(c), parts, &ended) }()
+			go func() { answered <- readEnds(bufio.NewReader(c), parts, &ended) }()
 		}
 		for taken := 0; taken < parts*gateways; time.Sleep(time.Millisecond) { // before their time goes on
 			taken = int(ended.Load())
--- a/end_test.go
+++ b/end_test.go
@@ -20,66 +20,66 @@
 // watchedConn counts the bytes that the gateway has read of a connection, and holds one read up once it is told to.
 type watchedConn struct {
 	*net.TCPConn
-	bytes   atomic.Int64
-	armed   atomic.Bool
-	read    chan struct{} // closed once a read that is held up has taken its bytes
-	goOn    chan struct{} // closed by the test: it returns
-	decided chan struct{} // closed once the connection is closed, or its reader is told to
-	once    sync.Once
+	bytesRead    atomic.Int64
+	holdNextRead atomic.Bool
+	readDone     chan struct{} // closed once a read that is held up has taken its bytes
+	resume       chan struct{} // closed by the test: it returns
+	closing      chan struct{} // closed once the connection is closed, or its reader is told to
+	once         sync.Once
 }
 
 func (c *watchedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	c.bytes.Add(int64(n))
-	if n > 0 && c.armed.CompareAndSwap(true, false) {
-		close(c.read)
-		<-c.goOn
+	c.bytesRead.Add(int64(n))
+	if n > 0 && c.holdNextRead.CompareAndSwap(true, false) {
+		close(c.readDone)
+		<-c.resume
 	}
 	return n, err
 }
 
 func (c *watchedConn) Close() error {
-	c.once.Do(func() { close(c.decided) })
+	c.once.Do(func() { close(c.closing) })
 	return c.TCPConn.Close()
 }
 
 func (c *watchedConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && t.Before(time.Now()) {
-		c.once.Do(func() { close(c.decided) })
+		c.once.Do(func() { close(c.closing) })
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
 // endingGateway is a gateway on the platform with one store, whose connections are watched.
-type endingGateway struct {
+type stoppingGateway struct {
 	addr     string
 	accepted chan *watchedConn
 	stop     chan struct{} // closed: it is asked to end
 	ended    chan error
 }
 
-const endingDeadline = 1800 * time.Millisecond // the only class's, in coldFleet
+const stoppingGatewayDeadline = 1800 * time.Millisecond // the only class's, in coldFleet
 
-func newEndingGateway(t *testing.T, handle func(fakestore.Call) (string, string, []byte, bool)) *endingGateway {
+func newStoppingGateway(t *testing.T, handle func(fakestore.Call) (string, string, []byte, bool)) *stoppingGateway {
 	store, err := fakestore.Listen("127.0.0.1:0", handle)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { store.Close() })
 	const weight = 1000
-	text := fmt.Sprintf(coldFleet, 7919, store.Addr(), weight, 0, 0, 1, 1)
+	text := fmt.Sprintf(coldEndpointConfig, 7919, store.Addr(), weight, 0, 0, 1, 1)
 	node, err := config.Parse([]byte(text), "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &endingGateway{accepted: make(chan *watchedConn, 64), stop: make(chan struct{}), ended: make(chan error, 1)}
+	g := &stoppingGateway{accepted: make(chan *watchedConn, 64), stop: make(chan struct{}), ended: make(chan error, 1)}
 	ready := make(chan Addrs, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	cfg := Config{Node: node, Log: zerolog.Nop(), Clock: clock.System(), Stop: g.stop, Ready: func(a Addrs) { ready <- a }}
 	cfg.Tap = func(_ string, nc net.Conn) net.Conn {
 		c := &watchedConn{
-			TCPConn: nc.(*net.TCPConn), read: make(chan struct{}), goOn: make(chan struct{}), decided: make(chan struct{}),
+			TCPConn: nc.(*net.TCPConn), readDone: make(chan struct{}), resume: make(chan struct{}), closing: make(chan struct{}),
 		}
 		g.accepted <- c
 		return c
@@ -95,7 +95,7 @@
 }
 
 // connect opens a connection, and gives both ends.
-func (g *endingGateway) connect(t *testing.T) (net.Conn, *watchedConn) {
+func (g *stoppingGateway) connect(t *testing.T) (net.Conn, *watchedConn) {
 	nc, err := net.Dial("tcp", g.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -105,26 +105,26 @@
 	return nc, <-g.accepted
 }
 
-func answersAtOnce(fakestore.Call) (string, string, []byte, bool) {
+func answerImmediately(fakestore.Call) (string, string, []byte, bool) {
 	return "ACK", "tag=00000000000000aa,why=local,minted=1799999990000", []byte("piece"), true
 }
 
 // A request that has been read when a process ends, and of which nobody knows yet, is answered before its connection closes.
-func TestRequestReadInTheMomentOfTheEnd(t *testing.T) {
-	g := newEndingGateway(t, answersAtOnce)
+func TestRequestReadDuringShutdownIsAnswered(t *testing.T) {
+	g := newStoppingGateway(t, answerImmediately)
 	nc, far := g.connect(t)
 	in, answered := bufio.NewReader(nc), new(atomic.Int64)
 	nc.Write(fastcgiGet(1, 1))
-	if err := ends(in, 1, answered); err != nil {
+	if err := readEnds(in, 1, answered); err != nil {
 		t.Fatal(err)
 	}
-	far.armed.Store(true)
+	far.holdNextRead.Store(true)
 	nc.Write(fastcgiGet(2, 2))
-	<-far.read
+	<-far.readDone
 	close(g.stop)
-	<-far.decided
-	close(far.goOn)
-	if err := ends(in, 1, answered); err != nil {
+	<-far.closing
+	close(far.resume)
+	if err := readEnds(in, 1, answered); err != nil {
 		t.Errorf("a request that was read has no answer: %v", err)
 	}
 	if err := <-g.ended; err != nil {
@@ -134,11 +134,11 @@
 
 // Clients go on sending on their open connections until the process has ended, which it has by the time at which it would be
 // killed, though the store hangs through all of it for half of them: what was read is answered.
-func TestClientsGoOnUntilTheEnd(t *testing.T) {
+func TestClientsKeepSendingDuringShutdown(t *testing.T) {
 	const clients = 16
-	g := newEndingGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
+	g := newStoppingGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
 		if last := c.ID[len(c.ID)-1]; last%2 == 0 {
-			return answersAtOnce(c)
+			return answerImmediately(c)
 		}
 		return "", "", nil, false
 	})
@@ -153,12 +153,12 @@
 				if _, err := nc.Write(fastcgiGet(uint16(n%1000+1), uint64(n*clients+i+1))); err != nil {
 					break
 				}
-				if err := ends(in, 1, answered); err != nil {
+				if err := readEnds(in, 1, answered); err != nil {
 					break
 				}
 			}
 			io.Copy(io.Discard, nc)
-			if read := far.bytes.Load() / size; read > answered.Load() {
+			if read := far.bytesRead.Load() / size; read > answered.Load() {
 				t.Errorf("%d requests were read, %d answered", read, answered.Load())
 			}
 			served.Add(answered.Load())
@@ -169,7 +169,7 @@
 	if err := <-g.ended; err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(asked); took > endingDeadline+700*time.Millisecond {
+	if took := time.Since(asked); took > stoppingGatewayDeadline+700*time.Millisecond {
 		t.Errorf("the process ends after %v", took)
 	}
 	asking.Wait()
--- a/flood_test.go
+++ b/flood_test.go
@@ -25,17 +25,17 @@
 )
 
 // lines counts the lines of a log.
-type lines struct{ n atomic.Int64 }
+type lineCounter struct{ n atomic.Int64 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *lineCounter) Write(b []byte) (int, error) {
 	l.n.Add(int64(bytes.Count(b, []byte("\n"))))
 	return len(b), nil
 }
 
 // A source that tries tokens out is refused before they are checked, told when to come back, and forgiven in time;
 // others go on as before, and an honest client behind the same address gets through. The log stays short.
-func TestForgersAreRefused(t *testing.T) {
-	s := newSite(t, nil)
+func TestForgedTokensAreThrottled(t *testing.T) {
+	s := newSignedGateway(t, nil)
 	forged := strings.Replace(s.url(tile, 600, "f"), "signature=", "signature=A", 1)
 	good := s.url(tile, 600, "g")
 	from := func(addr, url string) (int, string) {
@@ -71,7 +71,7 @@
 
 // load has clients ask for a URL over and over until a time, each on a connection of its own from an address. It counts
 // the answers that are good and the others, and reads them leanly, so that the figures are the gateway's.
-func load(b *testing.B, wg *sync.WaitGroup, addr, from, url string, clients int, until time.Time, good, other *atomic.Int64) {
+func startClients(b *testing.B, wg *sync.WaitGroup, addr, from, url string, clients int, until time.Time, good, other *atomic.Int64) {
 	ask := func() error {
 		dial := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 		c, err := dial.Dial("tcp", addr)
@@ -122,8 +122,8 @@
 		b.Fatal(err)
 	}
 	defer store.Close()
-	log, clk := &lines{}, clock.System()
-	addr, keys, stop := depotOf(b, store, zerolog.New(log), clk, "")
+	log, clk := &lineCounter{}, clock.System()
+	addr, keys, stop := startGatewayWithKeys(b, store, zerolog.New(log), clk, "")
 	defer stop()
 	got, err := keys.Issue("url", token.Terms{URI: tile, Until: math.Floor(clk.Unix()/1000) + 600, ID: "n"})
 	if err != nil {
@@ -134,13 +134,13 @@
 	for b.Loop() {
 		var alone, beside, refused, none, denied, warm atomic.Int64
 		var wg sync.WaitGroup
-		load(b, &wg, addr, "127.0.0.1", good, 1, time.Now().Add(time.Second), &warm, &warm)
+		startClients(b, &wg, addr, "127.0.0.1", good, 1, time.Now().Add(time.Second), &warm, &warm)
 		wg.Wait()
-		load(b, &wg, addr, "127.0.0.1", good, 16, time.Now().Add(length), &alone, &refused)
+		startClients(b, &wg, addr, "127.0.0.1", good, 16, time.Now().Add(length), &alone, &refused)
 		wg.Wait()
 		before := log.n.Load()
-		load(b, &wg, addr, "127.0.0.2", forged, 64, time.Now().Add(length), &none, &denied)
-		load(b, &wg, addr, "127.0.0.1", good, 16, time.Now().Add(length), &beside, &refused)
+		startClients(b, &wg, addr, "127.0.0.2", forged, 64, time.Now().Add(length), &none, &denied)
+		startClients(b, &wg, addr, "127.0.0.1", good, 16, time.Now().Add(length), &beside, &refused)
 		wg.Wait()
 		b.ReportMetric(float64(alone.Load())/length.Seconds(), "alone/s")
 		b.ReportMetric(float64(beside.Load())/float64(alone.Load()), "share")
@@ -154,10 +154,10 @@
 }
 
 // depotOf runs a gateway with one store and two keys, "url" and "other", and what more its operator's file says.
-func depotOf(t testing.TB, store *fakestore.Store, log zerolog.Logger, clk *clock.Clock, more string) (addr string, keys *ring.Ring, stop func()) {
-	text := anyAddress + classText("firmware", "deadline_ms = 5000") + storesText(store.Addr()) +
-		hmacKeyText("url", "a2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=") +
-		hmacKeyText("other", "b2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=") + more
+func startGatewayWithKeys(t testing.TB, store *fakestore.Store, log zerolog.Logger, clk *clock.Clock, more string) (addr string, keys *ring.Ring, stop func()) {
+	text := anyPortConfig + classConfig("firmware", "deadline_ms = 5000") + endpointsConfig(store.Addr()) +
+		hmacKeyConfig("url", "a2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=") +
+		hmacKeyConfig("other", "b2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=") + more
 	o, err := config.ParseOperator(text, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -201,7 +201,7 @@
 }
 
 // Limits of the operator's file hold over sockets: by grant, by key, by client, and in hand; others go on.
-func TestLimitsAtTheFront(t *testing.T) {
+func TestFrontendLimits(t *testing.T) {
 	let := make(chan struct{})
 	store, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
 		if c.Fields["piece"] == "9" {
@@ -214,7 +214,7 @@
 	}
 	defer store.Close()
 	clk := clock.Manual(start)
-	addr, keys, stop := depotOf(t, store, zerolog.Nop(), clk, `
+	addr, keys, stop := startGatewayWithKeys(t, store, zerolog.Nop(), clk, `
 [limit]
 client_v4_bits = 32
 [limit.grant]
--- a/frontends.go
+++ b/frontends.go
@@ -19,7 +19,7 @@
 
 // frontend takes requests at a listener.
 type frontend interface {
-	stoppable
+	stoppableServer
 	Serve(ctx context.Context, l net.Listener) error
 	// Open counts the requests that are not yet answered.
 	Open() int
@@ -32,7 +32,7 @@
 }
 
 // stoppable is the server of a listener that can be stopped at once.
-type stoppable interface {
+type stoppableServer interface {
 	// Stop has each connection closed once what was read on it is answered.
 	Stop()
 	// Conns counts the connections.
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, err
 	}
-	gw.closeLater(func() { l.Close() })
+	gw.addCloser(func() { l.Close() })
 	gw.frontends = append(gw.frontends, f)
 	gw.listeners = append(gw.listeners, l)
 	return l.Addr(), nil
--- a/gateway.go
+++ b/gateway.go
@@ -63,7 +63,7 @@
 	}
 	gw.logSettings()
 	for _, open := range []func(context.Context) error{
-		gw.openCore, gw.openProcesses, gw.openPlane, gw.openFastCGI, gw.openSigned, gw.openProcessLimits, gw.openAdminAPI,
+		gw.openCore, gw.openSharedState, gw.openPlane, gw.openFastCGI, gw.openSigned, gw.openProcessLimits, gw.openAdminAPI,
 	} {
 		if err := open(ctx); err != nil {
 			gw.close()
@@ -90,7 +90,7 @@
 	}
 }
 
-func (gw *gateway) closeLater(closer func()) { gw.closers = append(gw.closers, closer) }
+func (gw *gateway) addCloser(closer func()) { gw.closers = append(gw.closers, closer) }
 
 // upstreamSlot stands for the core's upstream until that is made: the core sends by it and it posts to the core, so that the
 // core is made first.
@@ -114,7 +114,7 @@
 	byEndpoint := &mux.Upstream{}
 	post := byEndpoint.TrackResults(gw.core.Post)
 	gw.openPool(post)
-	byEndpoint.Primary = gw.openHTTPStores(post)
+	byEndpoint.Primary = gw.openHTTPEndpoints(post)
 	byEndpoint.Fallback = gw.pool
 	upstream.Upstream = byEndpoint
 	return nil
@@ -151,11 +151,11 @@
 		Clock:        gw.Clock,
 		Log:          gw.Log,
 	}, post)
-	gw.closeLater(func() { gw.pool.Close() })
+	gw.addCloser(func() { gw.pool.Close() })
 }
 
 // openHTTPStores opens the upstream of the HTTP endpoints.
-func (gw *gateway) openHTTPStores(post func(core.Event)) *httpstore.Upstream {
+func (gw *gateway) openHTTPEndpoints(post func(core.Event)) *httpstore.Upstream {
 	stores := httpstore.New(httpstore.Options{
 		Stores:      gw.Operator.HTTPStores(),
 		DialTimeout: gw.node.DialTimeout,
@@ -164,19 +164,19 @@
 		Clock:       gw.Clock,
 		Log:         gw.Log,
 	}, post)
-	gw.closeLater(func() { stores.Close() })
+	gw.addCloser(func() { stores.Close() })
 	return stores
 }
 
 // openProcesses enters this process among those of its gateway, puts the stored overrides in force, and gives the core the
 // events that are known at the start.
-func (gw *gateway) openProcesses(context.Context) error {
+func (gw *gateway) openSharedState(context.Context) error {
 	suffix := ""
 	if gw.Operator != nil {
 		suffix = "_" + gw.Operator.Listen
 	}
 	gw.registry = openRegistry(gw.SharedDir, gw.files, gw.node, suffix, gw.Log)
-	gw.closeLater(func() { gw.registry.Close() })
+	gw.addCloser(func() { gw.registry.Close() })
 	gw.admin = newAdminState(gw.core, gw.registry, gw.Log)
 	if gw.node.Changelog != "" {
 		gw.admin.markNotReady(endpointsUnsynced)
@@ -195,7 +195,7 @@
 	if err := gw.plane.Open(gw.core.Post); err != nil {
 		return err
 	}
-	gw.closeLater(func() { gw.plane.Close() })
+	gw.addCloser(func() { gw.plane.Close() })
 	gw.admin.subscription = gw.plane.Subscription
 	gw.admin.replicaStorage = gw.plane.StorageError
 	return nil
@@ -232,7 +232,7 @@
 	if err != nil {
 		return fmt.Errorf("console: %w", err)
 	}
-	gw.closeLater(func() { gw.adminListener.Close() })
+	gw.addCloser(func() { gw.adminListener.Close() })
 	gw.addrs.Admin = gw.adminListener.Addr()
 	return nil
 }
--- a/handover_test.go
+++ b/handover_test.go
@@ -12,13 +12,13 @@
 )
 
 // faultyHandovers fails with each of errs in turn before it takes a connection.
-type faultyHandovers struct {
+type failingHandoverListener struct {
 	*net.UnixListener
 	errs   []syscall.Errno
 	failed atomic.Int64
 }
 
-func (l *faultyHandovers) AcceptUnix() (*net.UnixConn, error) {
+func (l *failingHandoverListener) AcceptUnix() (*net.UnixConn, error) {
 	if n := int(l.failed.Load()); n < len(l.errs) {
 		l.failed.Add(1)
 		return nil, faultnet.Error("accept", l.errs[n])
@@ -27,13 +27,13 @@
 }
 
 // No error of accept ends the taking over of connections.
-func TestAcceptErrorsEndNoHandover(t *testing.T) {
+func TestAcceptErrorsDoNotStopHandover(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	faulty := &faultyHandovers{UnixListener: listener, errs: []syscall.Errno{
+	faulty := &failingHandoverListener{UnixListener: listener, errs: []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EINTR,
 	}}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/http_test.go
+++ b/http_test.go
@@ -11,7 +11,7 @@
 )
 
 // ask makes a request with headers, given as name and value in turn, and gives the answer and its body.
-func (s *site) ask(method, path string, headers ...string) (*http.Response, string) {
+func (s *signedGateway) request(method, path string, headers ...string) (*http.Response, string) {
 	s.t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.addr+path, nil)
 	if err != nil {
@@ -34,7 +34,7 @@
 
 // A read is answered as RFC 9110 says to its ranges and conditions.
 func TestRangesAndConditions(t *testing.T) {
-	s := newSite(t, nil) // each part is "piece 3" under the tag 00000000000000aa
+	s := newSignedGateway(t, nil) // each part is "piece 3" under the tag 00000000000000aa
 	const tag, other = `"00000000000000aa"`, `"00000000000000bb"`
 	u := s.url(tile, 600, "n")
 	for _, x := range []struct {
@@ -71,7 +71,7 @@
 		{"must match", "GET", []string{"If-Match", tag}, 200, "piece 3", ""},
 		{"must match another", "GET", []string{"If-Match", other}, 412, "", ""},
 	} {
-		resp, body := s.ask(x.method, u, x.headers...)
+		resp, body := s.request(x.method, u, x.headers...)
 		if resp.StatusCode != x.status || body != x.body || resp.Header.Get("Content-Range") != x.rng {
 			t.Errorf("%s: %d %q %q", x.name, resp.StatusCode, body, resp.Header.Get("Content-Range"))
 		}
@@ -82,7 +82,7 @@
 			t.Errorf("%s: Date %v %v", x.name, at, err)
 		}
 	}
-	resp, body := s.ask("GET", u, "Range", "bytes=0-1, 4-5")
+	resp, body := s.request("GET", u, "Range", "bytes=0-1, 4-5")
 	kind, params, err := mime.ParseMediaType(resp.Header.Get("Content-Type"))
 	if err != nil || kind != "multipart/byteranges" || resp.StatusCode != 206 {
 		t.Fatal(resp.StatusCode, kind, err)
@@ -104,8 +104,8 @@
 }
 
 // An answer says how old it is, how long it may be kept, where it came from, and what stood in a refusal's way.
-func TestAnswersSayWhy(t *testing.T) {
-	s := newSite(t, nil) // minted 10 s before the test's time
+func TestResponseHeadersGiveReasons(t *testing.T) {
+	s := newSignedGateway(t, nil) // minted 10 s before the test's time
 	asset := "/v1/app-assets/7f3a9c21e0b4d655/0"
 	for _, x := range []struct {
 		name, url string
@@ -118,19 +118,19 @@
 		{"unreadable", tile + "?a=1&a=2", map[string]string{"Proxy-Status": `turnfork;error=http_request_error;details="malformed"`}},
 		{"no class", s.url("/v1/x/7f3a9c21e0b4d655/0", 60, "d"), map[string]string{"Proxy-Status": `turnfork;error=destination_not_found;details="unknown_class"`}},
 	} {
-		resp, _ := s.ask("GET", x.url)
+		resp, _ := s.request("GET", x.url)
 		for name, want := range x.want {
 			if got := resp.Header.Get(name); got != want {
 				t.Errorf("%s: %s: %s, want %s", x.name, name, got, want)
 			}
 		}
 	}
-	pack := strings.SplitN(s.pack(asset, nil), "=", 2)[1]
-	resp, _ := s.ask("GET", asset, "Cookie", "URISigningPackage="+pack)
+	pack := strings.SplitN(s.packageURL(asset, nil), "=", 2)[1]
+	resp, _ := s.request("GET", asset, "Cookie", "URISigningPackage="+pack)
 	if resp.StatusCode != 200 || !strings.Contains(strings.Join(resp.Header.Values("Vary"), ","), "Cookie") {
 		t.Error(resp.StatusCode, resp.Header)
 	}
-	resp, _ = s.ask("POST", s.url(rideEnd, 60, "r"))
+	resp, _ = s.request("POST", s.url(rideEnd, 60, "r"))
 	if resp.StatusCode != 200 || resp.Header.Get("Cache-Control") != "no-store" {
 		t.Error(resp.StatusCode, resp.Header)
 	}
@@ -138,26 +138,26 @@
 
 // Pages of the origins in the file are let in, and their preflights need no token; others are told nothing.
 func TestCORS(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	pre := []string{"Access-Control-Request-Method", "GET", "Access-Control-Request-Headers", "range"}
-	resp, _ := s.ask("OPTIONS", tile, append(pre, "Origin", "https://app.example")...)
+	resp, _ := s.request("OPTIONS", tile, append(pre, "Origin", "https://app.example")...)
 	h := resp.Header
 	if resp.StatusCode != 204 || h.Get("Access-Control-Allow-Origin") != "https://app.example" || h.Get("Access-Control-Allow-Methods") != "GET, HEAD, OPTIONS" ||
 		h.Get("Access-Control-Allow-Headers") != "range, if-range" || h.Get("Access-Control-Max-Age") != "600" || h.Get("Vary") != "Origin" {
 		t.Error(resp.StatusCode, h)
 	}
 	for _, origin := range []string{"https://other.example", "https://app.example.evil", "null"} {
-		resp, _ := s.ask("OPTIONS", tile, append(pre, "Origin", origin)...)
+		resp, _ := s.request("OPTIONS", tile, append(pre, "Origin", origin)...)
 		if resp.StatusCode != 204 || resp.Header.Get("Access-Control-Allow-Origin") != "" || resp.Header.Get("Access-Control-Allow-Methods") != "" {
 			t.Error(origin, resp.StatusCode, resp.Header)
 		}
 	}
-	resp, _ = s.ask("OPTIONS", rideEnd)
+	resp, _ = s.request("OPTIONS", rideEnd)
 	if resp.StatusCode != 204 || resp.Header.Get("Allow") != "POST, OPTIONS" {
 		t.Error(resp.StatusCode, resp.Header)
 	}
 	for _, path := range []string{s.url(tile, 60, "n"), tile} { // also a refusal can be read by the page
-		resp, _ := s.ask("GET", path, "Origin", "https://help.example")
+		resp, _ := s.request("GET", path, "Origin", "https://help.example")
 		if resp.Header.Get("Access-Control-Allow-Origin") != "https://help.example" || !strings.Contains(resp.Header.Get("Access-Control-Expose-Headers"), "ETag") {
 			t.Error(resp.StatusCode, resp.Header)
 		}
--- a/production_rig_test.go
+++ b/production_rig_test.go
@@ -61,17 +61,17 @@
 	reloads   chan config.Node
 	ended     chan struct{} // closed once the gateway has
 
-	behavior atomic.Pointer[func(c fakestore.Call, n int) fakestore.Behavior]
-	mu       sync.Mutex
-	runs     map[string]int // attempts by request ID that a store may have run
-	requests []*clientRequest
-	asked    int
+	behavior  atomic.Pointer[func(c fakestore.Call, n int) fakestore.Behavior]
+	mu        sync.Mutex
+	runs      map[string]int // attempts by request ID that a store may have run
+	requests  []*clientRequest
+	sentCount int
 }
 
 // clientRequest is one request of a client.
 type clientRequest struct {
 	id, class string
-	due       float64     // clock ms at which its client's time ends
+	deadline  float64     // clock ms at which its client's time ends
 	answered  chan string // its status, once
 	status    string      // as it was answered; "": not yet
 }
@@ -81,7 +81,7 @@
 	r := &productionRig{
 		T: t, clock: clock.Manual(1.8e12), stop: make(chan struct{}), reloads: make(chan config.Node), ended: make(chan struct{}), runs: map[string]int{},
 	}
-	r.behave(fakestore.Good)
+	r.setBehavior(fakestore.Good)
 	var err error
 	r.endpoints, err = fakestore.NewSlowStore(len(endpointKinds), func(c fakestore.Call, n int) fakestore.Behavior {
 		how := (*r.behavior.Load())(c, n)
@@ -111,7 +111,7 @@
 		}
 	}()
 	t.Cleanup(func() { end(); <-r.ended; r.gateway.close() })
-	r.until("discovery is followed", func() bool { return r.discovery.watches.Load() > 0 })
+	r.waitFor("discovery is followed", func() bool { return r.discovery.watches.Load() > 0 })
 	return r
 }
 
@@ -134,16 +134,16 @@
 }
 
 // behave has every endpoint end all attempts in one way from now on.
-func (r *productionRig) behave(how fakestore.Behavior) {
-	r.behaveBy(func(fakestore.Call, int) fakestore.Behavior { return how })
+func (r *productionRig) setBehavior(how fakestore.Behavior) {
+	r.setBehaviorFunc(func(fakestore.Call, int) fakestore.Behavior { return how })
 }
 
-func (r *productionRig) behaveBy(how func(c fakestore.Call, n int) fakestore.Behavior) {
+func (r *productionRig) setBehaviorFunc(how func(c fakestore.Call, n int) fakestore.Behavior) {
 	r.behavior.Store(&how)
 }
 
 // until waits for what must come; only a hung program meets its limit.
-func (r *productionRig) until(what string, ok func() bool) {
+func (r *productionRig) waitFor(what string, ok func() bool) {
 	r.Helper()
 	for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
@@ -197,19 +197,19 @@
 }
 
 // ask sends so many requests of a class, each with ttl ms left, and gives them.
-func (p *productionClient) ask(class string, count int, ttl float64) (sent []*clientRequest) {
+func (p *productionClient) send(class string, count int, ttl float64) (sent []*clientRequest) {
 	for range count {
-		p.rig.asked++
-		sent = append(sent, p.askAs(fmt.Sprintf("%016x", p.rig.asked), class, ttl))
+		p.rig.sentCount++
+		sent = append(sent, p.sendWithID(fmt.Sprintf("%016x", p.rig.sentCount), class, ttl))
 	}
 	p.rig.requests = append(p.rig.requests, sent...)
 	return sent
 }
 
 // askAs sends a request under an ID that may be in use.
-func (p *productionClient) askAs(id, class string, ttl float64) *clientRequest {
+func (p *productionClient) sendWithID(id, class string, ttl float64) *clientRequest {
 	p.last++
-	q := &clientRequest{id: id, class: class, due: p.rig.clock.Now() + ttl, answered: make(chan string, 1)}
+	q := &clientRequest{id: id, class: class, deadline: p.rig.clock.Now() + ttl, answered: make(chan string, 1)}
 	p.mu.Lock()
 	p.open[p.last] = q
 	p.mu.Unlock()
@@ -218,13 +218,13 @@
 }
 
 // askAll sends so many requests of each class, and waits until the core has them.
-func (r *productionRig) askAll(each int, ttl float64) (sent []*clientRequest) {
+func (r *productionRig) sendAll(each int, ttl float64) (sent []*clientRequest) {
 	r.Helper()
 	before := r.stats().Received
 	for _, class := range []string{safeClass, unsafeClass, keyedClass} {
-		sent = append(sent, r.connect().ask(class, each, ttl)...)
+		sent = append(sent, r.connect().send(class, each, ttl)...)
 	}
-	r.until("requests are taken", func() bool { return r.stats().Received >= before+len(sent) })
+	r.waitFor("requests are taken", func() bool { return r.stats().Received >= before+len(sent) })
 	return sent
 }
 
@@ -235,11 +235,11 @@
 		{"SCRIPT_NAME", "/v1/" + class}, {"HTTP_X_TXN", txn}, {"HTTP_X_TTL_MS", strconv.FormatFloat(ttl, 'f', -1, 64)}, {"HTTP_X_ROW", txn},
 		{"HTTP_X_BLOCK", "0"}, {"HTTP_X_FAMILY", "1"}, {"HTTP_X_WORKING_SET_KB", "1"}, {"HTTP_X_TXN_KEY", "key-" + txn},
 	} {
-		params = append(params, pair(field[0], field[1])...)
+		params = append(params, fastcgiParam(field[0], field[1])...)
 	}
-	b := record(1, id, []byte{0, 1, 1, 0, 0, 0, 0, 0})
-	b = append(b, record(4, id, params)...)
-	return append(append(b, record(4, id, nil)...), record(5, id, nil)...)
+	b := fastcgiRecord(1, id, []byte{0, 1, 1, 0, 0, 0, 0, 0})
+	b = append(b, fastcgiRecord(4, id, params)...)
+	return append(append(b, fastcgiRecord(4, id, nil)...), fastcgiRecord(5, id, nil)...)
 }
 
 // read takes the answers, and tells the requests that are open at the connection's end that none comes.
@@ -272,19 +272,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, q := range p.open {
-		q.answered <- noAnswer
+		q.answered <- noResponse
 	}
 }
 
 // finish moves the clock on, to the end of each client's time and no further, until all requests are answered, and gives
 // their statuses. The clock is faster than the machine's here, so what is served in time is not told by it.
-func (r *productionRig) finish(requests []*clientRequest) (statuses []string) {
+func (r *productionRig) awaitWithClock(requests []*clientRequest) (statuses []string) {
 	r.Helper()
-	return r.await(requests, func(q *clientRequest) { r.advance(min(20, q.due-r.clock.Now())) })
+	return r.await(requests, func(q *clientRequest) { r.advance(min(20, q.deadline-r.clock.Now())) })
 }
 
 // serve gives the statuses of requests that need no time: the clock stands.
-func (r *productionRig) serve(requests []*clientRequest) (statuses []string) {
+func (r *productionRig) awaitWithoutClock(requests []*clientRequest) (statuses []string) {
 	r.Helper()
 	return r.await(requests, func(*clientRequest) {})
 }
@@ -297,7 +297,7 @@
 		for q.status == "" {
 			select {
 			case q.status = <-q.answered:
-				r.checkAnswer(q)
+				r.checkResponse(q)
 			case <-hung:
 				r.Fatalf("request %s (%s) has no answer; %+v", q.id, q.class, r.stats())
 			case <-time.After(2 * time.Millisecond):
@@ -310,15 +310,15 @@
 }
 
 // noAnswer is the status of a request whose connection ended before.
-const noAnswer = "none"
+const noResponse = "none"
 
 // checkAnswer holds a final answer against what may have run.
-func (r *productionRig) checkAnswer(q *clientRequest) {
+func (r *productionRig) checkResponse(q *clientRequest) {
 	r.Helper()
-	if q.status == noAnswer {
+	if q.status == noResponse {
 		r.Errorf("request %s (%s): its connection ended without an answer", q.id, q.class)
 	}
-	if q.status == "503" && q.class == unsafeClass && r.ran(q) {
+	if q.status == "503" && q.class == unsafeClass && r.mayHaveRun(q) {
 		r.Errorf("request %s (%s) was refused as harmless to repeat, and may have run", q.id, q.class)
 	}
 }
@@ -341,7 +341,7 @@
 }
 
 // ran tells whether a store may have run a request.
-func (r *productionRig) ran(q *clientRequest) bool {
+func (r *productionRig) mayHaveRun(q *clientRequest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[q.id] > 0
@@ -353,25 +353,25 @@
 	addr    string
 	watches atomic.Int64 // connections on which a gateway has asked
 
-	mu     sync.Mutex
-	l      net.Listener
-	conns  map[net.Conn]struct{}
-	events [][]byte      // from number 2 on: the gateway knows number 1 at its start
-	kept   uint64        // the events of lower numbers are told no more
-	news   chan struct{} // closed with each new event
-	answer func(c net.Conn, frames []byte)
+	mu          sync.Mutex
+	l           net.Listener
+	conns       map[net.Conn]struct{}
+	events      [][]byte      // from number 2 on: the gateway knows number 1 at its start
+	firstKept   uint64        // the events of lower numbers are told no more
+	changed     chan struct{} // closed with each new event
+	writeFrames func(c net.Conn, frames []byte)
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
-	d := &fakeDiscovery{T: t, addr: "127.0.0.1:0", conns: map[net.Conn]struct{}{}, kept: 1, news: make(chan struct{})}
-	d.answer = func(c net.Conn, frames []byte) { c.Write(frames) }
-	d.up()
-	t.Cleanup(d.down)
+	d := &fakeDiscovery{T: t, addr: "127.0.0.1:0", conns: map[net.Conn]struct{}{}, firstKept: 1, changed: make(chan struct{})}
+	d.writeFrames = func(c net.Conn, frames []byte) { c.Write(frames) }
+	d.start()
+	t.Cleanup(d.stop)
 	return d
 }
 
 // up has discovery listen, at its former address where it had one.
-func (d *fakeDiscovery) up() {
+func (d *fakeDiscovery) start() {
 	l, err := net.Listen("tcp", d.addr)
 	if err != nil {
 		d.Fatal(err)
@@ -394,7 +394,7 @@
 }
 
 // down ends discovery's listener and its watches.
-func (d *fakeDiscovery) down() {
+func (d *fakeDiscovery) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.l.Close()
@@ -405,10 +405,10 @@
 }
 
 // answering sets how frames are written to gateways that ask from now on.
-func (d *fakeDiscovery) answering(how func(c net.Conn, frames []byte)) {
+func (d *fakeDiscovery) setWriter(how func(c net.Conn, frames []byte)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.answer = how
+	d.writeFrames = how
 }
 
 func (d *fakeDiscovery) serve(c net.Conn) {
@@ -423,11 +423,11 @@
 		d.mu.Lock()
 		var frames []byte
 		last := uint64(len(d.events) + 1)
-		told = max(told, d.kept-1)
+		told = max(told, d.firstKept-1)
 		for ; told < last; told++ {
 			frames = append(frames, d.events[told-1]...)
 		}
-		news, answer := d.news, d.answer
+		news, answer := d.changed, d.writeFrames
 		d.mu.Unlock()
 		answer(c, append(frames, discoveryFrame(last, 0, nil)...))
 		select {
@@ -451,12 +451,12 @@
 	endpointDraining = 1
 	endpointGone     = 2
 
-	frameWhole   = 1
-	frameChanges = 2
+	frameSnapshot = 1
+	frameChanges  = 2
 )
 
 // entry words an endpoint of the rig for discovery.
-func (r *productionRig) entry(index int, state byte, startedMs float64, weight float64) []byte {
+func (r *productionRig) endpointRecord(index int, state byte, startedMs float64, weight float64) []byte {
 	at, err := net.ResolveTCPAddr("tcp", r.endpoints.Addrs[index])
 	if err != nil {
 		r.Fatal(err)
@@ -482,21 +482,21 @@
 	defer d.mu.Unlock()
 	number := uint64(len(d.events) + 2)
 	marker = firstMarker + uint32(number)
-	payload := r.entry(0, endpointGone, 0, 1)
+	payload := r.endpointRecord(0, endpointGone, 0, 1)
 	binary.BigEndian.PutUint32(payload, marker)
 	for _, e := range entries {
 		payload = append(payload, e...)
 	}
 	d.events = append(d.events, discoveryFrame(number, kind, payload))
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 	return marker
 }
 
 // listed waits until the core has taken the list with a marker.
-func (r *productionRig) listed(marker uint32) {
+func (r *productionRig) awaitMarker(marker uint32) {
 	r.Helper()
-	r.until("the list is taken", func() bool {
+	r.waitFor("the list is taken", func() bool {
 		reply := make(chan error, 1)
 		r.gateway.core.Post(core.Exclude{Endpoint: marker, Reply: reply})
 		select {
--- a/production_test.go
+++ b/production_test.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	clientTTL = 1800.0         // ms
-	quietTime = 10 * 60 * 1000 // ms
-	restTime  = 5000           // ms: connections to endpoints rest, and are still to be used
-	eachClass = 8
+	clientTTL        = 1800.0         // ms
+	idlePeriod       = 10 * 60 * 1000 // ms
+	connIdleTime     = 5000           // ms: connections to endpoints rest, and are still to be used
+	requestsPerClass = 8
 )
 
 // served tells whether all statuses are good.
-func served(statuses []string) bool {
+func allServed(statuses []string) bool {
 	return !slices.ContainsFunc(statuses, func(s string) bool { return s != "200" })
 }
 
 // trouble is something that goes wrong at the endpoints.
-type trouble struct {
-	name  string
-	begin func(r *productionRig)
+type faultScenario struct {
+	name   string
+	inject func(r *productionRig)
 }
 
-func behaving(how fakestore.Behavior) func(r *productionRig) {
-	return func(r *productionRig) { r.behave(how) }
+func withBehavior(how fakestore.Behavior) func(r *productionRig) {
+	return func(r *productionRig) { r.setBehavior(how) }
 }
 
 // endpointTroubles are the ways in which all endpoints fail at once.
-var endpointTroubles = []trouble{
-	{"they hang", behaving(fakestore.Hang)},
-	{"they refuse", behaving(fakestore.Busy)},
-	{"they fail", behaving(fakestore.Failing)},
-	{"they reset each connection under its request", behaving(fakestore.ResetReading)},
-	{"they reset each connection under its answer", behaving(fakestore.ResetWriting)},
-	{"their answers end half way", behaving(fakestore.Cut)},
-	{"their answers stop half way", behaving(fakestore.Stall)},
-	{"their answers can't be read", behaving(fakestore.Spoilt)},
-	{"they forget their connections and hang", func(r *productionRig) { r.behave(fakestore.Hang); r.endpoints.Forget() }},
+var endpointFaults = []faultScenario{
+	{"they hang", withBehavior(fakestore.Hang)},
+	{"they refuse", withBehavior(fakestore.Busy)},
+	{"they fail", withBehavior(fakestore.Failing)},
+	{"they reset each connection under its request", withBehavior(fakestore.ResetReading)},
+	{"they reset each connection under its answer", withBehavior(fakestore.ResetWriting)},
+	{"their answers end half way", withBehavior(fakestore.Cut)},
+	{"their answers stop half way", withBehavior(fakestore.Stall)},
+	{"their answers can't be read", withBehavior(fakestore.Spoilt)},
+	{"they forget their connections and hang", func(r *productionRig) { r.setBehavior(fakestore.Hang); r.endpoints.Forget() }},
 	{"each first attempt fails", func(r *productionRig) {
-		r.behaveBy(func(_ fakestore.Call, n int) fakestore.Behavior {
+		r.setBehaviorFunc(func(_ fakestore.Call, n int) fakestore.Behavior {
 			if n == 0 {
 				return fakestore.Failing
 			}
@@ -57,7 +57,7 @@
 }
 
 // connectionTroubles are the ways in which connections to endpoints end that rest.
-var connectionTroubles = []trouble{
+var idleConnectionFaults = []faultScenario{
 	{"endpoints close them", func(r *productionRig) { r.endpoints.CloseLater(false)() }},
 	{"endpoints reset them", func(r *productionRig) { r.endpoints.Cut() }},
 	{"endpoints forget them", func(r *productionRig) { r.endpoints.Forget() }},
@@ -65,38 +65,38 @@
 
 // Whatever goes wrong after ten quiet minutes, each request has its final answer in its client's time, and once it is over
 // requests are served again.
-func TestTroubleAfterQuietTime(t *testing.T) {
-	for _, c := range slices.Concat(endpointTroubles, connectionTroubles) {
+func TestFaultsAfterIdlePeriod(t *testing.T) {
+	for _, c := range slices.Concat(endpointFaults, idleConnectionFaults) {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
-			if statuses := r.serve(r.askAll(eachClass, clientTTL)); !served(statuses) {
+			if statuses := r.awaitWithoutClock(r.sendAll(requestsPerClass, clientTTL)); !allServed(statuses) {
 				t.Fatalf("before: %v", statuses)
 			}
-			r.clock.Advance(quietTime)
+			r.clock.Advance(idlePeriod)
 			r.stats()
-			c.begin(r)
-			r.finish(r.askAll(eachClass, clientTTL))
-			r.behave(fakestore.Good)
+			c.inject(r)
+			r.awaitWithClock(r.sendAll(requestsPerClass, clientTTL))
+			r.setBehavior(fakestore.Good)
 			r.advance(30000) // endpoints are tried again by then
-			r.untilServed()
+			r.awaitService()
 			r.checkRules()
 		})
 	}
 }
 
 // untilServed asks until requests of all classes are served: connections that were lost have to come up first.
-func (r *productionRig) untilServed() {
+func (r *productionRig) awaitService() {
 	r.Helper()
-	r.until("requests are served again", func() bool {
+	r.waitFor("requests are served again", func() bool {
 		r.advance(500)
-		return served(r.finish(r.askAll(1, clientTTL)))
+		return allServed(r.awaitWithClock(r.sendAll(1, clientTTL)))
 	})
 }
 
 // Endpoints end connections that rest, in the moment in which requests come: what must not run twice is served, as it never
 // goes on such a connection, and everything else is answered.
-func TestEndpointsEndRestingConnections(t *testing.T) {
+func TestEndpointsCloseIdleConnections(t *testing.T) {
 	for name, prepare := range map[string]func(r *productionRig) (end func()){
 		"closed":    func(r *productionRig) func() { return r.endpoints.CloseLater(false) },
 		"reset":     func(r *productionRig) func() { return r.endpoints.CloseLater(true) },
@@ -106,20 +106,20 @@
 			t.Parallel()
 			r := newProductionRig(t)
 			for range 5 {
-				r.finish(r.askAll(eachClass, clientTTL))
-				r.advance(restTime)
+				r.awaitWithClock(r.sendAll(requestsPerClass, clientTTL))
+				r.advance(connIdleTime)
 				end := prepare(r)
 				ended := make(chan struct{})
 				go func() { defer close(ended); end() }()
-				requests := r.askAll(eachClass, clientTTL)
+				requests := r.sendAll(requestsPerClass, clientTTL)
 				<-ended
-				if statuses := r.serve(requests[eachClass : 2*eachClass]); !served(statuses) {
+				if statuses := r.awaitWithoutClock(requests[requestsPerClass : 2*requestsPerClass]); !allServed(statuses) {
 					t.Errorf("what must not run twice: %v", statuses)
 				}
-				r.finish(requests)
+				r.awaitWithClock(requests)
 				r.advance(30000)
 			}
-			r.untilServed()
+			r.awaitService()
 			r.checkRules()
 		})
 	}
@@ -141,21 +141,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
-			r.behave(fakestore.Hang)
-			requests := r.askAll(eachClass, clientTTL)
-			r.until("attempts are out", func() bool {
+			r.setBehavior(fakestore.Hang)
+			requests := r.sendAll(requestsPerClass, clientTTL)
+			r.waitFor("attempts are out", func() bool {
 				return !slices.ContainsFunc(requests, func(q *clientRequest) bool { return r.endpoints.Gets(q.id) == 0 })
 			})
 			again := r.connect()
 			var hedged []*clientRequest
 			for _, q := range requests {
-				hedged = append(hedged, again.askAs(q.id, q.class, clientTTL))
+				hedged = append(hedged, again.sendWithID(q.id, q.class, clientTTL))
 			}
-			r.until("they are taken", func() bool { return r.stats().Received == 2*len(requests) })
-			r.behave(c.then)
+			r.waitFor("they are taken", func() bool { return r.stats().Received == 2*len(requests) })
+			r.setBehavior(c.then)
 			c.fail(r)
-			r.finish(hedged) // at once: the ID is in hand; or as new requests
-			r.finish(requests)
+			r.awaitWithClock(hedged) // at once: the ID is in hand; or as new requests
+			r.awaitWithClock(requests)
 			r.checkRules()
 		})
 	}
@@ -168,14 +168,14 @@
 		t.Run(fmt.Sprintf("behavior %d", how), func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
-			r.finish(r.askAll(eachClass, clientTTL))
-			r.behave(how)
+			r.awaitWithClock(r.sendAll(requestsPerClass, clientTTL))
+			r.setBehavior(how)
 			for ttl := 1.0; ttl <= 20; ttl++ {
-				r.finish(r.askAll(4, ttl))
+				r.awaitWithClock(r.sendAll(4, ttl))
 			}
-			r.behave(fakestore.Good)
+			r.setBehavior(fakestore.Good)
 			if how == fakestore.Hang { // silence for so short a time tells nothing of an endpoint
-				if statuses := r.serve(r.askAll(eachClass, clientTTL)); !served(statuses) {
+				if statuses := r.awaitWithoutClock(r.sendAll(requestsPerClass, clientTTL)); !allServed(statuses) {
 					t.Errorf("after it: %v", statuses)
 				}
 			}
@@ -186,12 +186,12 @@
 
 // Trouble at all endpoints, with other clients that send garbage, half requests and floods, frees no request of its final
 // answer.
-func TestTroubleFreesNoRequest(t *testing.T) {
-	for _, c := range endpointTroubles {
+func TestEveryRequestAnsweredDuringFaults(t *testing.T) {
+	for _, c := range endpointFaults {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
-			c.begin(r)
+			c.inject(r)
 			others := []func(net.Conn){
 				func(c net.Conn) { c.Write([]byte(strings.Repeat("x", 4096))) },
 				func(c net.Conn) { c.Write(productionRequest(1, "ffffffffffffffff", safeClass, 100)[:40]) },
@@ -211,20 +211,20 @@
 				t.Cleanup(func() { o.Close() })
 				others[i%len(others)](o)
 			}
-			r.finish(r.askAll(eachClass, clientTTL))
+			r.awaitWithClock(r.sendAll(requestsPerClass, clientTTL))
 			r.checkRules()
 		})
 	}
 }
 
 // Nothing begins for a client that has closed, reset or cancelled, however its attempts end from then on.
-func TestNothingBeginsForAClientThatLeft(t *testing.T) {
+func TestNoNewAttemptAfterClientLeaves(t *testing.T) {
 	ways := map[string]func(c *productionClient){
 		"closed": func(c *productionClient) { c.conn.Close() },
 		"reset":  func(c *productionClient) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() },
 		"aborted": func(c *productionClient) {
 			for id := range c.last {
-				c.conn.Write(record(2, id+1, nil))
+				c.conn.Write(fastcgiRecord(2, id+1, nil))
 			}
 		},
 	}
@@ -237,16 +237,16 @@
 			t.Run(way+", and "+what, func(t *testing.T) {
 				t.Parallel()
 				r := newProductionRig(t)
-				r.behave(fakestore.Hang)
+				r.setBehavior(fakestore.Hang)
 				client := r.connect()
-				requests := client.ask(safeClass, 8, clientTTL)
-				requests = append(requests, client.ask(keyedClass, 8, clientTTL)...)
-				r.until("attempts are out", func() bool {
+				requests := client.send(safeClass, 8, clientTTL)
+				requests = append(requests, client.send(keyedClass, 8, clientTTL)...)
+				r.waitFor("attempts are out", func() bool {
 					return !slices.ContainsFunc(requests, func(q *clientRequest) bool { return r.endpoints.Gets(q.id) == 0 })
 				})
 				leave(client)
-				r.until("the core has heard of it", func() bool { return r.stats().ClientGone == len(requests) })
-				r.behave(fakestore.Good)
+				r.waitFor("the core has heard of it", func() bool { return r.stats().ClientGone == len(requests) })
+				r.setBehavior(fakestore.Good)
 				end(r)
 				r.advance(4000)
 				for _, q := range requests {
@@ -261,41 +261,41 @@
 
 // Discovery is away for ten minutes, and meanwhile one cache drains and another starts anew. What was known serves, and what
 // discovery tells then holds, whether it still has the changes or only a whole list.
-func TestLongOutageOfDiscovery(t *testing.T) {
+func TestLongDiscoveryOutage(t *testing.T) {
 	for name, whole := range map[string]bool{"its changes are kept": false, "its changes are forgotten": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
-			r.discovery.down()
+			r.discovery.stop()
 			for range 5 {
-				r.clock.Advance(quietTime / 5)
-				if statuses := r.serve(r.askAll(eachClass, clientTTL)); !served(statuses) {
+				r.clock.Advance(idlePeriod / 5)
+				if statuses := r.awaitWithoutClock(r.sendAll(requestsPerClass, clientTTL)); !allServed(statuses) {
 					t.Errorf("in the outage: %v", statuses)
 				}
 			}
-			changes := [][]byte{r.entry(0, endpointDraining, 0, 10), r.entry(1, endpointReady, r.clock.Now(), 10)}
+			changes := [][]byte{r.endpointRecord(0, endpointDraining, 0, 10), r.endpointRecord(1, endpointReady, r.clock.Now(), 10)}
 			r.publish(frameChanges, changes[0])
 			marker := r.publish(frameChanges, changes[1])
 			if whole {
 				all := changes
 				for i := 2; i < len(endpointKinds); i++ {
-					all = append(all, r.entry(i, endpointReady, 0, 10))
+					all = append(all, r.endpointRecord(i, endpointReady, 0, 10))
 				}
-				marker = r.publish(frameWhole, all...)
-				r.discovery.kept = uint64(len(r.discovery.events)) + 1
+				marker = r.publish(frameSnapshot, all...)
+				r.discovery.firstKept = uint64(len(r.discovery.events)) + 1
 			}
-			r.discovery.up()
-			r.listed(marker)
-			requests := r.askAll(eachClass, clientTTL)
-			r.finish(requests)
-			r.neverAt(0, requests)
+			r.discovery.start()
+			r.awaitMarker(marker)
+			requests := r.sendAll(requestsPerClass, clientTTL)
+			r.awaitWithClock(requests)
+			r.checkNotSentTo(0, requests)
 			r.checkRules()
 		})
 	}
 }
 
 // neverAt checks that no request came to an endpoint, as its target or its source.
-func (r *productionRig) neverAt(index int, requests []*clientRequest) {
+func (r *productionRig) checkNotSentTo(index int, requests []*clientRequest) {
 	r.Helper()
 	for _, c := range r.endpoints.Calls() {
 		asked := slices.ContainsFunc(requests, func(q *clientRequest) bool { return q.id == c.ID })
@@ -314,23 +314,23 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
-			r.behave(fakestore.Hang)
-			before := r.askAll(eachClass, clientTTL)
+			r.setBehavior(fakestore.Hang)
+			before := r.sendAll(requestsPerClass, clientTTL)
 			r.clock.Advance(1)
 			started := r.clock.Now()
-			marker := r.publish(frameChanges, r.entry(0, endpointDraining, 0, weight), r.entry(1, endpointDraining, 0, weight),
-				r.entry(2, endpointReady, started, weight))
-			r.listed(marker)
-			r.behave(fakestore.Good)
+			marker := r.publish(frameChanges, r.endpointRecord(0, endpointDraining, 0, weight), r.endpointRecord(1, endpointDraining, 0, weight),
+				r.endpointRecord(2, endpointReady, started, weight))
+			r.awaitMarker(marker)
+			r.setBehavior(fakestore.Good)
 			if stops {
 				close(r.stop)
 			}
-			after := r.askAll(2*eachClass, clientTTL)
+			after := r.sendAll(2*requestsPerClass, clientTTL)
 			r.stats() // with the clock at rest: all that a cold cache may get at once is out
-			r.finish(after)
-			r.finish(before)
-			r.neverAt(0, after)
-			r.neverAt(1, after)
+			r.awaitWithClock(after)
+			r.awaitWithClock(before)
+			r.checkNotSentTo(0, after)
+			r.checkNotSentTo(1, after)
 			sent := 0
 			for _, c := range r.endpoints.Calls() {
 				if c.At == r.endpoints.Addrs[2] && slices.ContainsFunc(after, func(q *clientRequest) bool { return q.id == c.ID }) {
@@ -349,13 +349,13 @@
 
 // Configurations come in quick succession, each with discovery at another address: the last one holds, a request in hand
 // notices nothing, and nothing that was told is lost.
-func TestConfigurationsInARow(t *testing.T) {
+func TestRapidReloads(t *testing.T) {
 	r := newProductionRig(t)
-	r.behave(fakestore.Hang)
-	requests := r.askAll(eachClass, clientTTL)
+	r.setBehavior(fakestore.Hang)
+	requests := r.sendAll(requestsPerClass, clientTTL)
 	node := r.settings()
 	former := r.discovery
-	marker := r.publish(frameChanges, r.entry(0, endpointDraining, 0, 10))
+	marker := r.publish(frameChanges, r.endpointRecord(0, endpointDraining, 0, 10))
 	for range 8 {
 		next := newFakeDiscovery(t)
 		next.events = slices.Clone(former.events)
@@ -367,21 +367,21 @@
 		r.reloads <- missing // a file that can't be used: the former stays
 		r.discovery = next
 	}
-	r.listed(marker)
-	r.until("the last address is asked", func() bool { return r.discovery.watches.Load() > 0 })
-	r.listed(r.publish(frameChanges, r.entry(1, endpointDraining, 0, 10)))
-	r.behave(fakestore.Good)
-	after := r.askAll(eachClass, clientTTL)
-	r.finish(after)
-	r.finish(requests)
-	r.neverAt(0, after)
-	r.neverAt(1, after)
+	r.awaitMarker(marker)
+	r.waitFor("the last address is asked", func() bool { return r.discovery.watches.Load() > 0 })
+	r.awaitMarker(r.publish(frameChanges, r.endpointRecord(1, endpointDraining, 0, 10)))
+	r.setBehavior(fakestore.Good)
+	after := r.sendAll(requestsPerClass, clientTTL)
+	r.awaitWithClock(after)
+	r.awaitWithClock(requests)
+	r.checkNotSentTo(0, after)
+	r.checkNotSentTo(1, after)
 	r.checkRules()
 }
 
 // Discovery that is slow or crowded: frames come a byte at a time, or connections are closed unread or reset under a frame.
 // What it tells holds in the end, and requests are served meanwhile.
-func TestSlowOrCrowdedDiscovery(t *testing.T) {
+func TestSlowOrOverloadedDiscovery(t *testing.T) {
 	for name, answer := range map[string]func() func(c net.Conn, frames []byte){
 		"a byte at a time": func() func(net.Conn, []byte) {
 			return func(c net.Conn, frames []byte) {
@@ -417,17 +417,17 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
-			r.discovery.down()
-			r.discovery.answering(answer())
-			marker := r.publish(frameChanges, r.entry(0, endpointDraining, 0, 10))
-			r.discovery.up()
-			if statuses := r.serve(r.askAll(eachClass, clientTTL)); !served(statuses) {
+			r.discovery.stop()
+			r.discovery.setWriter(answer())
+			marker := r.publish(frameChanges, r.endpointRecord(0, endpointDraining, 0, 10))
+			r.discovery.start()
+			if statuses := r.awaitWithoutClock(r.sendAll(requestsPerClass, clientTTL)); !allServed(statuses) {
 				t.Errorf("meanwhile: %v", statuses)
 			}
-			r.listed(marker)
-			requests := r.askAll(eachClass, clientTTL)
-			r.finish(requests)
-			r.neverAt(0, requests)
+			r.awaitMarker(marker)
+			requests := r.sendAll(requestsPerClass, clientTTL)
+			r.awaitWithClock(requests)
+			r.checkNotSentTo(0, requests)
 		})
 	}
 }
--- a/shutdown.go
+++ b/shutdown.go
@@ -83,7 +83,7 @@
 func (gw *gateway) abortOpenRequests(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, abortTimeout)
 	defer cancel()
-	servers := gw.stoppables()
+	servers := gw.stoppableServers()
 	for _, s := range servers {
 		s.Stop()
 	}
@@ -100,7 +100,7 @@
 }
 
 // stoppables are the servers of all listeners.
-func (gw *gateway) stoppables() (servers []stoppable) {
+func (gw *gateway) stoppableServers() (servers []stoppableServer) {
 	for _, f := range gw.frontends {
 		servers = append(servers, f)
 	}
--- a/siblings.go
+++ b/siblings.go
@@ -18,7 +18,7 @@
 const (
 	siblingCheckInterval = 50 * time.Millisecond // of the siblings and their overrides: well inside the grace for a disabled endpoint
 	stallLogThreshold    = 500 * time.Millisecond
-	followTimeout        = 200 * time.Millisecond // for one look at a sibling's overrides
+	siblingReadTimeout   = 200 * time.Millisecond // for one look at a sibling's overrides
 	enterRetryInterval   = time.Second            // while the shared folder can't be written
 )
 
@@ -30,7 +30,7 @@
 // returns nil, so that the process stands alone, without a folder, and for a port of the system's choice, as no other process
 // can be meant to listen there too.
 func openRegistry(dir string, files durable.FileSystem, node config.Node, suffix string, log zerolog.Logger) *handover.Registry {
-	if dir == "" || listensAtAnyPort(node) {
+	if dir == "" || listensOnAnyPort(node) {
 		return nil
 	}
 	if files == nil {
@@ -44,7 +44,7 @@
 	return registry
 }
 
-func listensAtAnyPort(node config.Node) bool {
+func listensOnAnyPort(node config.Node) bool {
 	_, port, err := net.SplitHostPort(node.Listen)
 	return err == nil && port == "0" && node.SocketFD == 0
 }
@@ -112,7 +112,7 @@
 			a.log.Warn().Dur("duration_ms", idle).Msg("process stalled")
 		}
 		a.refreshSiblings()
-		a.followSibling(ctx)
+		a.applySiblingOverrides(ctx)
 		if took := time.Since(checkStarted); took > stallLogThreshold {
 			a.log.Warn().Dur("duration_ms", took).Msg("shared folder slow")
 		}
@@ -147,8 +147,8 @@
 }
 
 // followSibling puts in force here what was given to a sibling process. Where that fails it is tried again at the next look.
-func (a *adminState) followSibling(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, followTimeout)
+func (a *adminState) applySiblingOverrides(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, siblingReadTimeout)
 	defer cancel()
 	stored, err := a.registry.Read() // without the lock: an override must not wait for a disk
 	if !a.lock(ctx) {
--- a/signed_test.go
+++ b/signed_test.go
@@ -31,7 +31,7 @@
 
 // site is a gateway with the second front before a stand-in store, on loopback, with a clock that the
 // test sets.
-type site struct {
+type signedGateway struct {
 	t     testing.TB
 	clock *clock.Clock
 	store *fakestore.Store
@@ -44,9 +44,9 @@
 const start = 1.8e12 // Unix ms
 
 // hold lets a test keep a GET unanswered; a nil handler answers at once.
-func newSite(t testing.TB, handle func(fakestore.Call) (string, string, []byte, bool)) *site {
+func newSignedGateway(t testing.TB, handle func(fakestore.Call) (string, string, []byte, bool)) *signedGateway {
 	t.Helper()
-	s := &site{t: t, clock: clock.Manual(start)}
+	s := &signedGateway{t: t, clock: clock.Manual(start)}
 	var err error
 	s.store, err = fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
 		if c.Fields["lane"] == "ride-end" {
@@ -60,15 +60,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := anyAddress + fmt.Sprintf(`
+	text := anyPortConfig + fmt.Sprintf(`
 operator_secret = %q
 [cors]
 origins = ["https://app.example", "https://help.example"]
 headers = ["range", "if-range"]
 max_age_s = 600
-`, operatorSecret) + classText("app-assets", "deadline_ms = 2500", "fresh_s = 12") +
-		classText("firmware", "aim_ms = 600", "deadline_ms = 5000") + classText("ride-end", "deadline_ms = 3000", "write = true") +
-		storesText(s.store.Addr()) + hmacKeyText("url", urlSecret) + fmt.Sprintf(`
+`, operatorSecret) + classConfig("app-assets", "deadline_ms = 2500", "fresh_s = 12") +
+		classConfig("firmware", "aim_ms = 600", "deadline_ms = 5000") + classConfig("ride-end", "deadline_ms = 3000", "write = true") +
+		endpointsConfig(s.store.Addr()) + hmacKeyConfig("url", urlSecret) + fmt.Sprintf(`
 [[key]]
 id = "KEYPAIR"
 kind = "cloudfront"
@@ -114,7 +114,7 @@
 }
 
 // do asks with a method and gives the status, the error's code and the body.
-func (s *site) do(method, url string, body string, head ...string) (int, string, string) {
+func (s *signedGateway) do(method, url string, body string, head ...string) (int, string, string) {
 	s.t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.addr+url, strings.NewReader(body))
 	if err != nil {
@@ -134,7 +134,7 @@
 	return resp.StatusCode, e.Error, string(b)
 }
 
-func (s *site) url(path string, seconds float64, nonce string) string {
+func (s *signedGateway) url(path string, seconds float64, nonce string) string {
 	s.t.Helper()
 	u, err := s.ring.Issue("url", token.Terms{URI: path, Until: s.clock.Unix()/1000 + seconds, ID: nonce})
 	if err != nil {
@@ -143,7 +143,7 @@
 	return u.URL
 }
 
-func (s *site) pack(path string, change func(*jws.Claims)) string {
+func (s *signedGateway) packageURL(path string, change func(*jws.Claims)) string {
 	s.t.Helper()
 	exp := s.clock.Unix()/1000 + 60
 	c := jws.Claims{Expires: &exp, Container: jws.HashContainer("http://" + s.addr + path)}
@@ -159,7 +159,7 @@
 
 // replayed expects a write to be refused as used. As long as what became of the first use is not recorded, the answer is
 // to come back.
-func (s *site) replayed(what, url string) {
+func (s *signedGateway) expectReplayed(what, url string) {
 	s.t.Helper()
 	code, why := 503, ""
 	for limit := time.Now().Add(20 * time.Second); code == 503 && time.Now().Before(limit); time.Sleep(time.Millisecond) {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (s *site) expect(what string, status int, code string, method, url string, head ...string) {
+func (s *signedGateway) expect(what string, status int, code string, method, url string, head ...string) {
 	s.t.Helper()
 	if got, gotCode, _ := s.do(method, url, "", head...); got != status || gotCode != code {
 		s.t.Errorf("%s: %d %q, want %d %q", what, got, gotCode, status, code)
@@ -180,12 +180,12 @@
 const tile = "/v1/firmware/7f3a9c21e0b4d655/3"
 const rideEnd = "/v1/ride-end/00000000000000e1/0"
 
-func TestTokensAtTheFront(t *testing.T) {
-	s := newSite(t, nil)
+func TestTokenChecks(t *testing.T) {
+	s := newSignedGateway(t, nil)
 	if code, _, body := s.do("GET", s.url(tile, 60, "n1"), ""); code != 200 || body != "piece 3" {
 		t.Fatalf("signed URL: %d %q", code, body)
 	}
-	good := s.pack(tile, nil)
+	good := s.packageURL(tile, nil)
 	s.expect("package", 200, "", "GET", good)
 	s.expect("again: no single use", 200, "", "GET", good)
 	s.expect("no token", 401, "missing", "GET", tile)
@@ -199,27 +199,27 @@
 	s.expect("two tokens", 400, "malformed", "GET", good+"&"+strings.SplitN(s.url(tile, 60, "n"), "?", 2)[1])
 	s.expect("path not canonical", 400, "malformed", "GET", strings.Replace(s.url(tile, 60, "n"), "/v1/", "/v1/x/../", 1))
 	s.expect("unknown class", 404, "unknown_class", "GET", s.url("/v1/helppages/7f3a9c21e0b4d655/0", 60, "n"))
-	s.expect("another audience", 403, "bad_claim", "GET", s.pack(tile, func(c *jws.Claims) { c.Audience = []string{"x"} }))
-	s.expect("unknown version", 403, "bad_claim", "GET", s.pack(tile, func(c *jws.Claims) { v := 2; c.Version = &v }))
-	s.expect("critical claim", 403, "bad_claim", "GET", s.pack(tile, func(c *jws.Claims) { c.Critical = []string{"cdninew"} }))
-	s.expect("regex", 200, "", "GET", s.pack(tile, func(c *jws.Claims) { c.Container = "regex:http://[^/]+/v1/firmware/.*" }))
-	s.expect("regex of a part", 403, "wrong_uri", "GET", s.pack(tile, func(c *jws.Claims) { c.Container = "regex:/v1/" }))
+	s.expect("another audience", 403, "bad_claim", "GET", s.packageURL(tile, func(c *jws.Claims) { c.Audience = []string{"x"} }))
+	s.expect("unknown version", 403, "bad_claim", "GET", s.packageURL(tile, func(c *jws.Claims) { v := 2; c.Version = &v }))
+	s.expect("critical claim", 403, "bad_claim", "GET", s.packageURL(tile, func(c *jws.Claims) { c.Critical = []string{"cdninew"} }))
+	s.expect("regex", 200, "", "GET", s.packageURL(tile, func(c *jws.Claims) { c.Container = "regex:http://[^/]+/v1/firmware/.*" }))
+	s.expect("regex of a part", 403, "wrong_uri", "GET", s.packageURL(tile, func(c *jws.Claims) { c.Container = "regex:/v1/" }))
 
 	// Clocks differ: ten seconds of leeway both ways.
 	u := s.url(tile, 5, "n2")
-	early := s.pack(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 + 9; c.NotBefore = &v })
+	early := s.packageURL(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 + 9; c.NotBefore = &v })
 	s.expect("from a clock 9 s ahead", 200, "", "GET", early)
 	s.expect("from one 11 s ahead", 403, "not_yet_valid", "GET",
-		s.pack(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 + 11; c.IssuedAt = &v }))
+		s.packageURL(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 + 11; c.IssuedAt = &v }))
 	s.clock.Advance(14000)
 	s.expect("9 s past expiry", 200, "", "GET", u)
 	s.clock.Advance(2000)
 	s.expect("11 s past expiry", 403, "expired", "GET", u)
-	s.expect("an expired package", 403, "expired", "GET", s.pack(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 - 11; c.Expires = &v }))
+	s.expect("an expired package", 403, "expired", "GET", s.packageURL(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 - 11; c.Expires = &v }))
 }
 
 func TestRideEndRunsOnce(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	u := s.url(rideEnd, 60, "once")
 	s.expect("GET of a write", 405, "method", "GET", u)
 	var wg sync.WaitGroup
@@ -237,12 +237,12 @@
 		}()
 	}
 	wg.Wait()
-	s.replayed("later", u)
+	s.expectReplayed("later", u)
 	s.clock.Advance(69000)
-	s.replayed("within the leeway", u)
+	s.expectReplayed("within the leeway", u)
 	s.clock.Advance(20000)
 	s.expect("after it", 403, "expired", "POST", u)
-	s.expect("a package without jti", 403, "bad_claim", "POST", s.pack(rideEnd, nil))
+	s.expect("a package without jti", 403, "bad_claim", "POST", s.packageURL(rideEnd, nil))
 	if served.Load() != 1 || replayed.Load() != 7 || s.runs.Load() != 1 {
 		t.Errorf("served %d, replayed %d, ran %d times", served.Load(), replayed.Load(), s.runs.Load())
 	}
@@ -250,25 +250,25 @@
 
 // A store that dies with ride-end in hand leaves its outcome in doubt: it is not sent again, the client
 // hears 502 and the token stays used.
-func TestRideEndInDoubtStaysClaimed(t *testing.T) {
-	var s *site
-	s = newSite(t, func(c fakestore.Call) (string, string, []byte, bool) {
+func TestUnconfirmedRideEndStaysClaimed(t *testing.T) {
+	var s *signedGateway
+	s = newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
 		s.store.Cut()
 		return "", "", nil, false
 	})
 	u := s.url(rideEnd, 60, "doubt")
 	s.expect("first", 502, "upstream_failed", "POST", u)
-	s.replayed("again", u)
+	s.expectReplayed("again", u)
 	if s.runs.Load() != 1 {
 		t.Errorf("ran %d times", s.runs.Load())
 	}
 }
 
 // A refusal promises that nothing ran, so the token serves again.
-func TestRefusedRideEndMayComeAgain(t *testing.T) {
+func TestRejectedRideEndMayBeRetried(t *testing.T) {
 	var full atomic.Bool
 	full.Store(true)
-	s := newSite(t, func(c fakestore.Call) (string, string, []byte, bool) {
+	s := newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
 		if full.Load() {
 			return "AGAIN", "-", nil, true
 		}
@@ -303,9 +303,9 @@
 }
 
 // A token that expires in the middle of a request: what is under way finishes, and no new attempt starts.
-func TestExpiryMidRequest(t *testing.T) {
+func TestTokenExpiryDuringRequest(t *testing.T) {
 	arrived, let := make(chan struct{}, 8), make(chan string, 8)
-	s := newSite(t, func(c fakestore.Call) (string, string, []byte, bool) {
+	s := newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
 		arrived <- struct{}{}
 		return <-let, "tag=0a,why=local,minted=1", []byte("late"), true
 	})
@@ -348,7 +348,7 @@
 }
 
 func TestOperatorEndpoints(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	auth := []string{"Authorization", "Bearer " + operatorSecret}
 	s.expect("no secret", 401, "missing", "POST", "/-/tokens")
 	s.expect("a wrong one", 401, "missing", "POST", "/-/tokens", "Authorization", "Bearer x")
@@ -367,7 +367,7 @@
 
 	// Renewal by cookie, but for no longer than a token may last.
 	for seconds, want := range map[int]bool{60: true, 2 * signed.DefaultTokenSeconds: false} {
-		resp, err := http.Get("http://" + s.addr + s.pack(tile, func(c *jws.Claims) { c.Transport, c.Renew = 1, seconds }))
+		resp, err := http.Get("http://" + s.addr + s.packageURL(tile, func(c *jws.Claims) { c.Transport, c.Renew = 1, seconds }))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -400,7 +400,7 @@
 // An operator's purge of an object or a group bounds the age of copies that stores are asked for; what names neither, or both,
 // is refused. A gateway that is alone has no members to replace.
 func TestOperatorPurges(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	auth := []string{"Authorization", "Bearer " + operatorSecret}
 	object := strings.Split(tile, "/")[3]
 	for body, want := range map[string]int{
@@ -437,7 +437,7 @@
 
 // Bytes that are no request, or one that is too large, end the connection with the status that says so.
 func TestMalformedRequests(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	for raw, want := range map[string]string{
 		"\x16\x03\x01\r\n\r\n":                                                                   "400",
 		"GET /\r\n\r\n":                                                                          "400",
@@ -474,7 +474,7 @@
 // answered 502, at its deadline 504; either way its token stays used, as it may have run.
 func TestDeadline(t *testing.T) {
 	arrived, let := make(chan struct{}, 8), make(chan struct{})
-	s := newSite(t, func(fakestore.Call) (string, string, []byte, bool) {
+	s := newSignedGateway(t, func(fakestore.Call) (string, string, []byte, bool) {
 		arrived <- struct{}{}
 		<-let
 		return "", "", nil, false
@@ -504,7 +504,7 @@
 	if r.code != 504 && r.code != 502 {
 		t.Errorf("%+v", r)
 	}
-	s.replayed("again", ride)
+	s.expectReplayed("again", ride)
 	if s.runs.Load() != 1 {
 		t.Errorf("ran %d times", s.runs.Load())
 	}
@@ -512,7 +512,7 @@
 
 // Requests on one connection are answered in their order, and the connection is kept.
 func TestPipelining(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -536,7 +536,7 @@
 }
 
 // answering is a core that serves all it is asked and counts.
-func answering(runs *atomic.Int64) func(core.Event) {
+func answeringCore(runs *atomic.Int64) func(core.Event) {
 	return func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
 			runs.Add(1)
@@ -549,7 +549,7 @@
 // member without a majority sends nothing.
 func TestReplayAtAnotherReplica(t *testing.T) {
 	const deadline = 30000
-	c := newTrio(t, deadline)
+	c := newGatewayGroup(t, deadline)
 	one := c.url("one")
 	var wg sync.WaitGroup
 	var ok atomic.Int64
@@ -557,7 +557,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if code, _ := c.ride(c.fronts[i], one); code == 200 {
+			if code, _ := c.endRide(c.frontends[i], one); code == 200 {
 				ok.Add(1)
 			}
 		}()
@@ -566,7 +566,7 @@
 	if ok.Load() != 1 || c.runs.Load() != 1 {
 		t.Fatalf("served %d, ran %d", ok.Load(), c.runs.Load())
 	}
-	for _, f := range c.fronts { // the end of the one ride is recorded
+	for _, f := range c.frontends { // the end of the one ride is recorded
 		for f.Open() > 0 {
 			time.Sleep(time.Millisecond)
 		}
@@ -577,17 +577,17 @@
 		}
 	}
 	for i := range 3 {
-		c.open(i, nil, deadline)
+		c.openMember(i, nil, deadline)
 	}
 	for i := range 3 {
-		if got, _ := c.ride(c.fronts[i], one); got != 403 {
+		if got, _ := c.endRide(c.frontends[i], one); got != 403 {
 			t.Errorf("after the restart, member %d: %d", i, got)
 		}
 	}
 	c.stores[0].Close()
 	c.stores[1].Close()
-	lonely := c.front(c.stores[2], deadline, 300)
-	if got, _ := c.ride(lonely, c.url("two")); got != 503 {
+	lonely := c.newFrontend(c.stores[2], deadline, 300)
+	if got, _ := c.endRide(lonely, c.url("two")); got != 503 {
 		t.Errorf("without a majority: %d", got)
 	}
 	if c.runs.Load() != 1 {
@@ -597,7 +597,7 @@
 
 // Links signed for other networks go the same way as the gateway's own, over sockets: served, refused, and used once.
 func TestOtherDialects(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	for _, key := range []string{"edge", "KEYPAIR", "cdn", "AKID", "access"} {
 		sign := func(path string) string {
 			method, now := "GET", s.clock.Unix()/1000
@@ -622,7 +622,7 @@
 		s.expect(key+": beside another token", 400, "malformed", "GET", good+"&"+jws.Param+"=a.b.c")
 		before, ride := s.runs.Load(), sign(rideEnd)
 		s.expect(key+": a ride", 200, "", "POST", ride)
-		s.replayed(key+": the ride again", ride)
+		s.expectReplayed(key+": the ride again", ride)
 		if n := s.runs.Load() - before; n != 1 {
 			t.Errorf("%s: the ride ran %d times", key, n)
 		}
--- a/storage_test.go
+++ b/storage_test.go
@@ -42,7 +42,7 @@
 func newFailingFiles() *failingFiles { return &failingFiles{FileSystem: durable.OS} }
 
 // fails gives the error of a call; nil: it works.
-func (f *failingFiles) fails(call string) error {
+func (f *failingFiles) injectedError(call string) error {
 	if fault := f.fault.Load(); fault != nil && fault.call == call {
 		return &os.PathError{Op: call, Path: "orders", Err: fault.err}
 	}
@@ -50,7 +50,7 @@
 }
 
 func (f *failingFiles) Create(path string, mode os.FileMode) (durable.File, error) {
-	if err := f.fails("create"); err != nil {
+	if err := f.injectedError("create"); err != nil {
 		return nil, err
 	}
 	file, err := f.FileSystem.Create(path, mode)
@@ -58,14 +58,14 @@
 }
 
 func (f *failingFiles) Rename(from, to string) error {
-	if err := f.fails("rename"); err != nil {
+	if err := f.injectedError("rename"); err != nil {
 		return err
 	}
 	return f.FileSystem.Rename(from, to)
 }
 
 func (f *failingFiles) SyncDir(path string) error {
-	if err := f.fails("syncdir"); err != nil {
+	if err := f.injectedError("syncdir"); err != nil {
 		return err
 	}
 	return f.FileSystem.SyncDir(path)
@@ -78,7 +78,7 @@
 }
 
 func (f *failingFile) Write(b []byte) (int, error) {
-	if err := f.files.fails("write"); err != nil {
+	if err := f.files.injectedError("write"); err != nil {
 		n, _ := f.File.Write(b[:len(b)/2])
 		return n, err
 	}
@@ -89,7 +89,7 @@
 	if held := f.files.hang.Load(); held != nil {
 		<-*held
 	}
-	if err := f.files.fails("fsync"); err != nil {
+	if err := f.files.injectedError("fsync"); err != nil {
 		return err
 	}
 	return f.File.Sync()
@@ -97,21 +97,21 @@
 
 // storedGateway is a gateway with a shared folder, which can be ended and started again as after a kill: nothing is written
 // at its end.
-type storedGateway struct {
+type persistentGateway struct {
 	*testing.T
 	listen, shared string
 	files          *failingFiles
-	console        string
+	adminURL       string
 	end            func()
 }
 
-func newStoredGateway(t *testing.T) *storedGateway {
+func newPersistentGateway(t *testing.T) *persistentGateway {
 	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	reserved.Close()
-	g := &storedGateway{T: t, listen: reserved.Addr().String(), shared: t.TempDir(), files: newFailingFiles()}
+	g := &persistentGateway{T: t, listen: reserved.Addr().String(), shared: t.TempDir(), files: newFailingFiles()}
 	t.Cleanup(func() {
 		if g.end != nil {
 			g.end()
@@ -120,7 +120,7 @@
 	return g
 }
 
-func (g *storedGateway) start() {
+func (g *persistentGateway) start() {
 	g.Helper()
 	if err := g.run(); err != nil {
 		g.Fatal(err)
@@ -128,9 +128,9 @@
 }
 
 // run starts the gateway, or gives the error with which its start ends.
-func (g *storedGateway) run() error {
+func (g *persistentGateway) run() error {
 	g.Helper()
-	text := fmt.Sprintf(coldFleet, 7919, "127.0.0.1:1", 1, int64(0), 0, 1, 1)
+	text := fmt.Sprintf(coldEndpointConfig, 7919, "127.0.0.1:1", 1, int64(0), 0, 1, 1)
 	node, err := config.Parse([]byte(strings.Replace(text, "127.0.0.1:0", g.listen, 1)), "", "")
 	if err != nil {
 		return err
@@ -145,7 +145,7 @@
 	}()
 	select {
 	case addrs := <-ready:
-		g.console = "http://" + addrs.Admin.String()
+		g.adminURL = "http://" + addrs.Admin.String()
 	case err := <-ended:
 		stop()
 		return err
@@ -155,9 +155,9 @@
 }
 
 // call gives a call's status and the state that it answers with.
-func (g *storedGateway) call(method, path, body string) (status int, state adminapi.State) {
+func (g *persistentGateway) call(method, path, body string) (status int, state adminapi.State) {
 	g.Helper()
-	request, err := http.NewRequest(method, g.console+path, strings.NewReader(body))
+	request, err := http.NewRequest(method, g.adminURL+path, strings.NewReader(body))
 	if err != nil {
 		g.Fatal(err)
 	}
@@ -176,14 +176,14 @@
 	return answer.StatusCode, state
 }
 
-func (g *storedGateway) state() adminapi.State {
+func (g *persistentGateway) state() adminapi.State {
 	g.Helper()
 	_, state := g.call("GET", "/ready", "")
 	return state
 }
 
 // await waits for a state.
-func (g *storedGateway) await(what string, ok func(adminapi.State) bool) {
+func (g *persistentGateway) await(what string, ok func(adminapi.State) bool) {
 	g.Helper()
 	for limit := time.Now().Add(30 * time.Second); !ok(g.state()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
@@ -193,7 +193,7 @@
 }
 
 // folder is where the processes of the gateway meet.
-func (g *storedGateway) folder() string {
+func (g *persistentGateway) folder() string {
 	g.Helper()
 	found, err := filepath.Glob(filepath.Join(g.shared, "turnfork_*"))
 	if err != nil || len(found) != 1 {
@@ -203,8 +203,8 @@
 }
 
 const (
-	coldStore    = "s-0000000a"
-	disableStore = `{"id":"` + coldStore + `"}`
+	coldEndpoint = "s-0000000a"
+	disableBody  = `{"id":"` + coldEndpoint + `"}`
 )
 
 // storageFaults are the calls that fail where an order is written.
@@ -215,31 +215,31 @@
 
 // An order that the disk refuses holds, its caller is told that it is not durable, and it is written once the disk works
 // again: a start after a kill finds it.
-func TestRefusedOrderIsWrittenLater(t *testing.T) {
+func TestOverrideIsWrittenAfterDiskRecovers(t *testing.T) {
 	for _, fault := range storageFaults {
 		t.Run(fault.call+" "+fault.err.Error(), func(t *testing.T) {
-			g := newStoredGateway(t)
+			g := newPersistentGateway(t)
 			g.start()
 			if state := g.state(); !state.Durable || len(state.Storage) > 0 {
 				t.Fatalf("before an order: %+v", state)
 			}
 			g.files.fault.Store(&fault)
 			begun := time.Now()
-			status, state := g.call("PUT", "/stores/disable", disableStore)
+			status, state := g.call("PUT", "/stores/disable", disableBody)
 			if took := time.Since(begun); status != 200 || took > time.Second {
 				t.Fatalf("%d after %v", status, took)
 			}
 			if state.Durable || len(state.Storage) != 1 || !strings.Contains(state.Storage[0], fault.err.Error()) {
 				t.Errorf("told as durable: %+v", state)
 			}
-			if !state.Ready || !slices.Equal(state.Disabled, []string{coldStore}) {
+			if !state.Ready || !slices.Equal(state.Disabled, []string{coldEndpoint}) {
 				t.Errorf("%+v", state)
 			}
 			g.files.fault.Store(nil)
 			g.await("durable", func(s adminapi.State) bool { return s.Durable && len(s.Storage) == 0 })
 			g.end()
 			g.start()
-			if state := g.state(); !slices.Equal(state.Disabled, []string{coldStore}) || !state.Durable {
+			if state := g.state(); !slices.Equal(state.Disabled, []string{coldEndpoint}) || !state.Durable {
 				t.Errorf("after a restart: %+v", state)
 			}
 		})
@@ -247,14 +247,14 @@
 }
 
 // The fault is one of the system's own: a folder stands where the file of orders belongs.
-func TestOrderIsWrittenOnceItsPlaceIsFree(t *testing.T) {
-	g := newStoredGateway(t)
+func TestOverrideIsWrittenOncePathIsFree(t *testing.T) {
+	g := newPersistentGateway(t)
 	g.start()
 	inTheWay := filepath.Join(g.folder(), "orders.json")
 	if err := os.MkdirAll(filepath.Join(inTheWay, "more"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := g.call("PUT", "/stores/disable", disableStore); status != 200 {
+	if status, _ := g.call("PUT", "/stores/disable", disableBody); status != 200 {
 		t.Fatal(status)
 	}
 	if err := os.RemoveAll(inTheWay); err != nil {
@@ -269,15 +269,15 @@
 	}
 	g.end()
 	g.start()
-	if state := g.state(); !slices.Equal(state.Disabled, []string{coldStore}) {
+	if state := g.state(); !slices.Equal(state.Disabled, []string{coldEndpoint}) {
 		t.Errorf("after a restart: %+v", state)
 	}
 }
 
 // With another process alive an order that the disk refuses is not done, holds here, and reaches the other process once the
 // disk works. What that process orders meanwhile holds here too, and undoes nothing.
-func TestRefusedOrderReachesTheOtherProcess(t *testing.T) {
-	g := newStoredGateway(t)
+func TestUnwrittenOverrideReachesSibling(t *testing.T) {
+	g := newPersistentGateway(t)
 	g.start()
 	other, err := handover.Open(g.folder())
 	if err != nil {
@@ -286,17 +286,17 @@
 	defer other.Close()
 	g.await("two processes", func(s adminapi.State) bool { return s.Processes == 2 })
 	g.files.fault.Store(&storageFault{"write", syscall.ENOSPC})
-	if status, _ := g.call("PUT", "/stores/disable", disableStore); status != 503 {
+	if status, _ := g.call("PUT", "/stores/disable", disableBody); status != 503 {
 		t.Errorf("the other process can't know: %d", status)
 	}
-	if state := g.state(); !slices.Equal(state.Disabled, []string{coldStore}) || state.Durable {
+	if state := g.state(); !slices.Equal(state.Disabled, []string{coldEndpoint}) || state.Durable {
 		t.Errorf("%+v", state)
 	}
 	if _, err := other.Update(t.Context(), handover.Overrides{}, func(s *handover.Overrides) { s.Draining = true }); err != nil {
 		t.Fatal(err)
 	}
 	g.await("drained by the other", func(s adminapi.State) bool { return s.Draining })
-	if state := g.state(); !slices.Equal(state.Disabled, []string{coldStore}) || state.Durable {
+	if state := g.state(); !slices.Equal(state.Disabled, []string{coldEndpoint}) || state.Durable {
 		t.Errorf("%+v", state)
 	}
 	g.files.fault.Store(nil)
@@ -309,7 +309,7 @@
 
 // The disk refuses or delays no more than the sync: the other process can read the order, so it is done, and told as not
 // durable within the time for an answer.
-func TestUnsyncedOrderReachesTheOtherProcess(t *testing.T) {
+func TestUnsyncedOverrideReachesSibling(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		begin func(*failingFiles) (end func())
@@ -325,7 +325,7 @@
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			g := newStoredGateway(t)
+			g := newPersistentGateway(t)
 			g.start()
 			other, err := handover.Open(g.folder())
 			if err != nil {
@@ -335,7 +335,7 @@
 			g.await("two processes", func(s adminapi.State) bool { return s.Processes == 2 })
 			end := test.begin(g.files)
 			begun := time.Now()
-			status, state := g.call("PUT", "/stores/disable", disableStore)
+			status, state := g.call("PUT", "/stores/disable", disableBody)
 			if took := time.Since(begun); status != 200 || took > time.Second || state.Durable {
 				t.Errorf("%d after %v: %+v", status, took, state)
 			}
@@ -349,12 +349,12 @@
 }
 
 // Orders that are given while the disk refuses all of them are written as they stand in the end.
-func TestLastOfRefusedOrdersCounts(t *testing.T) {
-	g := newStoredGateway(t)
+func TestLatestUnwrittenOverridesAreWritten(t *testing.T) {
+	g := newPersistentGateway(t)
 	g.start()
 	g.files.fault.Store(&storageFault{"fsync", syscall.EIO})
 	for _, path := range []string{"/stores/disable", "/drain", "/stores/enable", "/undrain", "/stores/disable", "/drain"} {
-		if status, state := g.call("PUT", path, disableStore); status != 200 || state.Durable {
+		if status, state := g.call("PUT", path, disableBody); status != 200 || state.Durable {
 			t.Errorf("%s: %d %+v", path, status, state)
 		}
 	}
@@ -367,10 +367,10 @@
 }
 
 // The folder can't be entered at the start: what was ordered before holds, and orders are written once it can be.
-func TestStartWhileTheFolderIsRefused(t *testing.T) {
-	g := newStoredGateway(t)
+func TestStartWhileSharedFolderIsUnavailable(t *testing.T) {
+	g := newPersistentGateway(t)
 	g.start()
-	if status, state := g.call("PUT", "/stores/disable", disableStore); status != 200 || !state.Durable {
+	if status, state := g.call("PUT", "/stores/disable", disableBody); status != 200 || !state.Durable {
 		t.Fatalf("%d %+v", status, state)
 	}
 	folder := g.folder()
@@ -426,16 +426,16 @@
 
 // The disk of a gateway that votes fails while the group needs it for a majority: it goes on serving what needs no disk, stays
 // ready and says what is wrong, and refuses single-use work with advice. It takes that up again once the disk works.
-func TestVotersDiskFails(t *testing.T) {
+func TestVoterDiskFails(t *testing.T) {
 	for _, fault := range []storageFault{{"write", syscall.ENOSPC}, {"fsync", syscall.EIO}} {
 		t.Run(fault.err.Error(), func(t *testing.T) {
 			failing := &atomic.Pointer[storageFault]{}
-			s := newVotingOn(t, func(path string) (replica.LogDatabase, error) {
+			s := newVotingGatewayWithLog(t, func(path string) (replica.LogDatabase, error) {
 				database, err := replica.OpenLogDatabase(path)
 				return failingLogs{database, failing}, err
 			})
 			s.await("fresh", func() bool { return s.subscription().Fresh })
-			if status := s.end("before"); status != http.StatusOK {
+			if status := s.postRideEnd("before"); status != http.StatusOK {
 				t.Fatalf("before: a ride's end has %d", status)
 			}
 			failing.Store(&fault)
@@ -462,19 +462,19 @@
 			}
 			failing.Store(nil)
 			s.await("fresh again", func() bool { return s.subscription().Fresh && len(s.state().Storage) == 0 })
-			s.await("single-use work", func() bool { return s.end(fmt.Sprint("after", time.Now().UnixNano())) == http.StatusOK })
-			s.open(0, nil, 3000)
+			s.await("single-use work", func() bool { return s.postRideEnd(fmt.Sprint("after", time.Now().UnixNano())) == http.StatusOK })
+			s.openMember(0, nil, 3000)
 		})
 	}
 }
 
 // One copy of the orders is cut at each sector, overwritten in its last page, or lost: the other is gone by, and both are
 // written again. With both damaged the start ends with an error that names the file.
-func TestDamagedOrders(t *testing.T) {
+func TestDamagedOverrideFiles(t *testing.T) {
 	const sector = 512
-	g := newStoredGateway(t)
+	g := newPersistentGateway(t)
 	g.start()
-	if status, state := g.call("PUT", "/stores/disable", disableStore); status != 200 || !state.Durable {
+	if status, state := g.call("PUT", "/stores/disable", disableBody); status != 200 || !state.Durable {
 		t.Fatalf("%d %+v", status, state)
 	}
 	folder := g.folder()
--- a/subscribe_test.go
+++ b/subscribe_test.go
@@ -30,12 +30,12 @@
 )
 
 // sharingText is the operator's file of a gateway that shares the replicated state of a trio, but for its part in that.
-func sharingText(store string) string {
-	return anyAddress + `
+func replicatedGatewayConfig(store string) string {
+	return anyPortConfig + `
 console = "127.0.0.1:0"
 operator_secret = "a secret for this test alone"
-` + classText("app-assets", "deadline_ms = 2500", "fresh_s = 3") + classText("firmware", "deadline_ms = 5000") +
-		classText("ride-end", "deadline_ms = 3000", "write = true") + storesText(store) + hmacKeyText("url", urlSecret) + `
+` + classConfig("app-assets", "deadline_ms = 2500", "fresh_s = 3") + classConfig("firmware", "deadline_ms = 5000") +
+		classConfig("ride-end", "deadline_ms = 3000", "write = true") + endpointsConfig(store) + hmacKeyConfig("url", urlSecret) + `
 [replica]
 ca_file = "ca.pem"
 cert_file = "cert.pem"
@@ -51,34 +51,34 @@
 }
 
 // sharing is a gateway that shares the replicated state of a trio.
-type sharing struct {
-	*trio
+type replicatedGateway struct {
+	*gatewayGroup
 	store *fakestore.Store
 	addrs Addrs
 }
 
 // newSubscribed starts a gateway that subscribes to a trio's voters.
-func newSubscribed(t *testing.T) *sharing {
-	return newSharing(t, newTrio(t, 3000), "id = \"phones-9\"\nsubscribe = true\n")
+func newSubscribingGateway(t *testing.T) *replicatedGateway {
+	return newReplicatedGateway(t, newGatewayGroup(t, 3000), "id = \"phones-9\"\nsubscribe = true\n")
 }
 
 // newVoting starts a gateway that is itself a trio's last member.
-func newVoting(t *testing.T) *sharing { return newVotingOn(t, nil) }
+func newVotingGateway(t *testing.T) *replicatedGateway { return newVotingGatewayWithLog(t, nil) }
 
 // newVotingOn starts one whose file of the log is opened in a way of its own.
-func newVotingOn(t *testing.T, openLogs func(path string) (replica.LogDatabase, error)) *sharing {
-	c := newTrio(t, 3000)
+func newVotingGatewayWithLog(t *testing.T, openLogs func(path string) (replica.LogDatabase, error)) *replicatedGateway {
+	c := newGatewayGroup(t, 3000)
 	c.openLogs = openLogs
 	const member = 2
 	if err := c.stores[member].Close(); err != nil {
 		t.Fatal(err)
 	}
 	m := c.members[member]
-	return newSharing(t, c, fmt.Sprintf("id = %q\nlisten = %q\ndir = %q\n", m.ID, m.Addr, c.dirs[member]))
+	return newReplicatedGateway(t, c, fmt.Sprintf("id = %q\nlisten = %q\ndir = %q\n", m.ID, m.Addr, c.dirs[member]))
 }
 
-func newSharing(t *testing.T, c *trio, part string) *sharing {
-	s := &sharing{trio: c}
+func newReplicatedGateway(t *testing.T, c *gatewayGroup, part string) *replicatedGateway {
+	s := &replicatedGateway{gatewayGroup: c}
 	var err error
 	s.store, err = fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,why=local,minted=1", []byte("piece"), true
@@ -89,7 +89,7 @@
 	t.Cleanup(func() { s.store.Close() })
 	dir := t.TempDir()
 	s.writeCertificates(dir)
-	file := sharingText(s.store.Addr()) + part
+	file := replicatedGatewayConfig(s.store.Addr()) + part
 	for _, m := range s.members {
 		file += fmt.Sprintf("[[replica.member]]\nid = %q\naddr = %q\n", m.ID, m.Addr)
 	}
@@ -115,7 +115,7 @@
 }
 
 // writeCertificates writes a member's certificate and its authority's as the operator's file names them.
-func (s *sharing) writeCertificates(dir string) {
+func (s *replicatedGateway) writeCertificates(dir string) {
 	conf, err := s.cert()
 	if err != nil {
 		s.Fatal(err)
@@ -135,7 +135,7 @@
 	}
 }
 
-func (s *sharing) subscription() *adminapi.Subscription {
+func (s *replicatedGateway) subscription() *adminapi.Subscription {
 	s.Helper()
 	state := s.state()
 	if state.Subscription == nil {
@@ -144,7 +144,7 @@
 	return state.Subscription
 }
 
-func (s *sharing) state() (state adminapi.State) {
+func (s *replicatedGateway) state() (state adminapi.State) {
 	s.Helper()
 	resp, err := http.Get("http://" + s.addrs.Admin.String() + "/ready")
 	if err != nil {
@@ -157,7 +157,7 @@
 	return state
 }
 
-func (s *sharing) await(what string, ok func() bool) {
+func (s *replicatedGateway) await(what string, ok func() bool) {
 	s.Helper()
 	for limit := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
@@ -167,7 +167,7 @@
 }
 
 // get asks for an object with a key, and gives the status and the age in ms that the store was asked for (-1: none).
-func (s *sharing) get(keys *ring.Ring, key, class string, object uint64) (status, fresh int) {
+func (s *replicatedGateway) get(keys *ring.Ring, key, class string, object uint64) (status, fresh int) {
 	s.Helper()
 	path := fmt.Sprintf("/v1/%s/%016x/0", class, object)
 	issued, err := keys.Issue(key, token.Terms{URI: path, Until: s.clock.Unix()/1000 + 600, ID: fmt.Sprint("n", object)})
@@ -197,7 +197,7 @@
 }
 
 // end ends a ride, and gives the status.
-func (s *sharing) end(nonce string) int {
+func (s *replicatedGateway) postRideEnd(nonce string) int {
 	s.Helper()
 	resp, err := http.Post("http://"+s.addrs.Signed.String()+s.url(nonce), "", nil)
 	if err != nil {
@@ -211,13 +211,13 @@
 // A gateway that does not vote serves by what the voters tell it: keys and purges come into force, and its claims are agreed
 // on. Without voters it knows that it is stale: it serves on, asks for no copy that a missing purge could make void, and
 // begins no single-use work. It becomes fresh once they are back, with the change that was made meanwhile.
-func TestGatewayThatSubscribes(t *testing.T) {
-	s := newSubscribed(t)
+func TestSubscribingGateway(t *testing.T) {
+	s := newSubscribingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
 	if status, fresh := s.get(s.keys, "url", "firmware", 1); status != http.StatusOK || fresh != -1 {
 		t.Errorf("fresh: status %d, copies of %d ms", status, fresh)
 	}
-	if status := s.end("fresh"); status != http.StatusOK {
+	if status := s.postRideEnd("fresh"); status != http.StatusOK {
 		t.Errorf("fresh: a ride's end has %d", status)
 	}
 
@@ -258,24 +258,24 @@
 		t.Errorf("stale, of a class that is fresh for 3 s: status %d, copies of %d ms", status, fresh)
 	}
 	ends := len(s.store.Calls("GET"))
-	if status := s.end("stale"); status != http.StatusServiceUnavailable || len(s.store.Calls("GET")) != ends {
+	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.store.Calls("GET")) != ends {
 		t.Errorf("stale: a ride's end has %d, or was sent on", status)
 	}
 
 	for i := range s.stores {
-		s.open(i, nil, 3000)
+		s.openMember(i, nil, 3000)
 	}
 	s.await("fresh again", func() bool { return s.subscription().Fresh })
 	if status, fresh := s.get(keys, "next", "firmware", 6); status != http.StatusOK || fresh != -1 {
 		t.Errorf("fresh again: status %d, copies of %d ms", status, fresh)
 	}
-	if status := s.end("again"); status != http.StatusOK {
+	if status := s.postRideEnd("again"); status != http.StatusOK {
 		t.Errorf("fresh again: a ride's end has %d", status)
 	}
 }
 
 // operate calls an operator's endpoint, and gives the status and the body.
-func (s *sharing) operate(path, body string) (int, string) {
+func (s *replicatedGateway) callOperatorAPI(path, body string) (int, string) {
 	s.Helper()
 	req, err := http.NewRequest("POST", "http://"+s.addrs.Signed.String()+path, strings.NewReader(body))
 	if err != nil {
@@ -297,7 +297,7 @@
 // An operator has a lost voter replaced by way of a gateway that does not vote. The group then bears the loss of another one,
 // and the gateway stays fresh by the voters that are left.
 func TestOperatorReplacesMember(t *testing.T) {
-	s := newSubscribed(t)
+	s := newSubscribingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
 	const lost = 2
 	s.stores[lost].Close()
@@ -319,13 +319,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { joined.Close() })
-	if code, text := s.operate("/-/members", fmt.Sprintf(`{"lost":"nobody","joining":{"id":"new","addr":%q}}`, joining.Addr)); code != 400 {
+	if code, text := s.callOperatorAPI("/-/members", fmt.Sprintf(`{"lost":"nobody","joining":{"id":"new","addr":%q}}`, joining.Addr)); code != 400 {
 		t.Errorf("a name that nobody has: %d %s", code, text)
 	}
 	var text string
 	s.await("replaced", func() bool {
 		var code int
-		code, text = s.operate("/-/members", fmt.Sprintf(`{"lost":%q,"joining":{"id":"new","addr":%q}}`, s.members[lost].ID, joining.Addr))
+		code, text = s.callOperatorAPI("/-/members", fmt.Sprintf(`{"lost":%q,"joining":{"id":"new","addr":%q}}`, s.members[lost].ID, joining.Addr))
 		return code == http.StatusOK
 	})
 	if !strings.Contains(text, joining.Addr) || strings.Contains(text, s.members[lost].Addr) {
@@ -333,7 +333,7 @@
 	}
 	s.await("the new voter complete", joined.Fresh)
 	s.stores[1].Close()
-	if code, text := s.operate("/-/policy", `{"leeway_ms":2000}`); code != http.StatusOK {
+	if code, text := s.callOperatorAPI("/-/policy", `{"leeway_ms":2000}`); code != http.StatusOK {
 		t.Errorf("with one former voter and the new one: %d %s", code, text)
 	}
 	s.await("fresh by those that are left", func() bool { got := s.subscription(); return got.Fresh && got.AgeMS < 2000 })
@@ -342,8 +342,8 @@
 // A gateway that votes itself holds to the same lease: without a majority it knows that it is stale. It serves on, asks for no
 // copy that a missing purge could make void, and begins no single-use work. It is fresh again with the purge that was made
 // while it was cut off.
-func TestGatewayThatVotes(t *testing.T) {
-	s := newVoting(t)
+func TestVotingGateway(t *testing.T) {
+	s := newVotingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
 	if got := s.subscription(); !got.Votes || got.AgeMS < 0 || got.MaxCopyAgeMS != 0 {
 		t.Errorf("fresh: %+v", got)
@@ -351,7 +351,7 @@
 	if status, fresh := s.get(s.keys, "url", "firmware", 1); status != http.StatusOK || fresh != -1 {
 		t.Errorf("fresh: status %d, copies of %d ms", status, fresh)
 	}
-	if status := s.end("fresh"); status != http.StatusOK {
+	if status := s.postRideEnd("fresh"); status != http.StatusOK {
 		t.Errorf("fresh: a ride's end has %d", status)
 	}
 
@@ -367,18 +367,18 @@
 		t.Errorf("stale: status %d, copies of %d ms", status, fresh)
 	}
 	sent := len(s.store.Calls("GET"))
-	if status := s.end("stale"); status != http.StatusServiceUnavailable || len(s.store.Calls("GET")) != sent {
+	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.store.Calls("GET")) != sent {
 		t.Errorf("stale: a ride's end has %d, or was sent on", status)
 	}
 
 	for _, other := range []int{0, 1} {
-		s.open(other, nil, 3000)
+		s.openMember(other, nil, 3000)
 	}
 	s.await("fresh again", func() bool { return s.subscription().Fresh })
 	if status, fresh := s.get(s.keys, "url", "firmware", 3); status != http.StatusOK || fresh != -1 {
 		t.Errorf("fresh again: status %d, copies of %d ms", status, fresh)
 	}
-	if status := s.end("again"); status != http.StatusOK {
+	if status := s.postRideEnd("again"); status != http.StatusOK {
 		t.Errorf("fresh again: a ride's end has %d", status)
 	}
 }
