--- a/admin.go
+++ b/admin.go
@@ -59,10 +59,10 @@
 func (a *adminState) State() adminapi.State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	why := a.readiness.reasons(a.overrides.Draining)
+	reasons := a.readiness.reasons(a.overrides.Draining)
 	s := adminapi.State{
-		Ready:     len(why) == 0,
-		Why:       why,
+		Ready:     len(reasons) == 0,
+		Why:       reasons,
 		Draining:  a.overrides.Draining,
 		Disabled:  []string{},
 		Open:      a.openRequests(),
--- a/adminapi/server_test.go
+++ b/adminapi/server_test.go
@@ -51,7 +51,7 @@
 }
 
 // send sends one request in pieces of n bytes, and returns the status of the response.
-func send(t *testing.T, addr, text string, n int) int {
+func sendRequest(t *testing.T, addr, text string, n int) int {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -105,7 +105,7 @@
 		{request("PUT", "/stores/enable", strings.Repeat("x", maxBodyLen+1)), 413},
 	} {
 		for _, n := range []int{1, 7, len(c.text)} {
-			if got := send(t, addr, c.text, n); got != c.want {
+			if got := sendRequest(t, addr, c.text, n); got != c.want {
 				t.Errorf("%.60q in pieces of %d: %d, not %d", c.text, n, got, c.want)
 			}
 		}
@@ -116,7 +116,7 @@
 }
 
 // Connections with an incomplete request, many more than there may be at a time, delay no other caller.
-func TestIncompleteRequestsDelayNobody(t *testing.T) {
+func TestIncompleteRequestsDelayNoCaller(t *testing.T) {
 	const maxConns = 4
 	addr := startServer(t, &fakeGateway{}, maxConns)
 	for i := range 5 * maxConns {
@@ -126,7 +126,7 @@
 		}
 		defer c.Close()
 		io.WriteString(c, request("GET", "/ready", "")[:5+i%20])
-		if got := send(t, addr, request("GET", "/ready", ""), 100); got != 200 {
+		if got := sendRequest(t, addr, request("GET", "/ready", ""), 100); got != 200 {
 			t.Fatalf("status %d with %d incomplete requests open", got, i+1)
 		}
 	}
@@ -153,7 +153,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			lines := make(logLines, 8)
 			addr := serveWithLog(t, &fakeGateway{}, 0, zerolog.New(lines))
-			send(t, addr, c.text, len(c.text))
+			sendRequest(t, addr, c.text, len(c.text))
 			if line := strings.TrimSpace(<-lines); line != c.want {
 				t.Errorf("%s", line)
 			}
--- a/claims_test.go
+++ b/claims_test.go
@@ -51,20 +51,20 @@
 // faulty is a member that meets the trio's fault.
 type faultyMember struct {
 	*replica.Store
-	trio *gatewayGroup
+	group *gatewayGroup
 }
 
 func (f faultyMember) Step(ctx context.Context, name string, s claims.Step) (claims.Record, bool, error) {
-	fault := f.trio.fault.Load()
-	if fault == nil || fault.op != s.Op || !f.trio.fault.CompareAndSwap(fault, nil) {
+	fault := f.group.fault.Load()
+	if fault == nil || fault.op != s.Op || !f.group.fault.CompareAndSwap(fault, nil) {
 		return f.Store.Step(ctx, name, s)
 	}
 	if !fault.after {
-		f.trio.kill(f.trio.leader())
+		f.group.kill(f.group.leader())
 		return f.Store.Step(ctx, name, s)
 	}
 	f.Store.Step(ctx, name, s)
-	f.trio.kill(f.trio.leader())
+	f.group.kill(f.group.leader())
 	return claims.Record{}, false, errors.New("the leader is gone")
 }
 
@@ -192,11 +192,11 @@
 // ride ends a ride at a gateway, over a pipe: the status and what its claim is said to be.
 func (c *gatewayGroup) endRide(f *signed.Front, url string) (int, string) {
 	c.Helper()
-	near, far := net.Pipe()
-	go f.Handle(far)
-	defer near.Close()
-	fmt.Fprintf(near, "POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", url)
-	resp, err := http.ReadResponse(bufio.NewReader(near), nil)
+	client, server := net.Pipe()
+	go f.Handle(server)
+	defer client.Close()
+	fmt.Fprintf(client, "POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", url)
+	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
 		c.Fatal(err)
 	}
@@ -213,12 +213,12 @@
 					t.Parallel()
 					const deadline = 1000
 					c := newGatewayGroup(t, deadline)
-					lead := c.leader()
+					leader := c.leader()
 					url := c.url("n")
 					c.fault.Store(&leaderFault{op, after})
-					first := lead
+					first := leader
 					if !atLeader {
-						first = (lead + 1) % 3
+						first = (leader + 1) % 3
 					}
 					code, claim := c.endRide(c.frontends[first], url)
 					for at, limit := first, time.Now().Add(40*time.Second); code == 503 && time.Now().Before(limit); {
@@ -229,33 +229,33 @@
 					}
 					victim := c.awaitKill() // also where the end is recorded after the answer
 					// Whoever leads at the step is killed, which need not be who led as the test began.
-					own := victim == first
+					ownMemberKilled := victim == first
 					// A gateway whose own member dies with the step to sent can't tell anybody that it did not send.
-					lost := own && op == claims.Send && after
-					if !lost && (code != 200 || c.runs.Load() != 1) || lost && (code != 403 || claim != "sent" || c.runs.Load() != 0) {
+					sendOutcomeLost := ownMemberKilled && op == claims.Send && after
+					if !sendOutcomeLost && (code != 200 || c.runs.Load() != 1) || sendOutcomeLost && (code != 403 || claim != "sent" || c.runs.Load() != 0) {
 						t.Fatalf("%d %q, ran %d times", code, claim, c.runs.Load())
 					}
 					c.openMember(victim, nil, deadline)
 					c.leader()
-					said := map[string]int{}
-					for limit := time.Now().Add(20 * time.Second); len(said) != 1 || said["sent"] > 0; {
-						clear(said)
+					claimCounts := map[string]int{}
+					for waitUntil := time.Now().Add(20 * time.Second); len(claimCounts) != 1 || claimCounts["sent"] > 0; {
+						clear(claimCounts)
 						for i := range 3 {
 							code, claim := c.endRide(c.frontends[i], url)
 							if code == 503 {
 								continue
 							}
-							if said[claim]++; code != 403 {
+							if claimCounts[claim]++; code != 403 {
 								t.Fatalf("replay at %d: %d", i, code)
 							}
 						}
 						// Its own member died before the end was agreed on: then it stays sent.
-						if (lost || own && op == claims.Settle && !after) && said["sent"] == 3 || time.Now().After(limit) {
+						if (sendOutcomeLost || ownMemberKilled && op == claims.Settle && !after) && claimCounts["sent"] == 3 || time.Now().After(waitUntil) {
 							break
 						}
 					}
-					if c.runs.Load() > 1 || len(said) != 1 {
-						t.Errorf("ran %d times, members say %v", c.runs.Load(), said)
+					if c.runs.Load() > 1 || len(claimCounts) != 1 {
+						t.Errorf("ran %d times, members say %v", c.runs.Load(), claimCounts)
 					}
 				})
 			}
--- a/clock_step_test.go
+++ b/clock_step_test.go
@@ -51,23 +51,23 @@
 func TestClockStepDuringRequest(t *testing.T) {
 	maxAge := regexp.MustCompile(`max-age=(\d+)`)
 	for _, x := range []struct {
-		name         string
-		lasts        float64 // s; the leeway is 10 s
-		step, passes float64 // ms
-		status       int
+		name               string
+		tokenSeconds       float64 // s; the leeway is 10 s
+		clockStep, elapsed float64 // ms
+		status             int
 	}{
 		{"ahead", 10, hour, 1000, 200},
 		{"back", 10, -hour, 1000, 200},
 		{"ahead, and expired", -9, hour, 1200, 403},
 		{"back, and expired", -9, -hour, 1200, 403},
 	} {
-		arrived, let := make(chan struct{}, 8), make(chan string, 8)
+		arrived, responses := make(chan struct{}, 8), make(chan string, 8)
 		s := newSignedGateway(t, func(fakestore.Call) (string, string, []byte, bool) {
 			arrived <- struct{}{}
-			return <-let, fmt.Sprintf("tag=0a,why=local,minted=%.0f", start), []byte("piece"), true
+			return <-responses, fmt.Sprintf("tag=0a,why=local,minted=%.0f", start), []byte("piece"), true
 		})
 		answered := make(chan *http.Response, 1)
-		u := s.url("/v1/app-assets/7f3a9c21e0b4d655/3", x.lasts, "a")
+		u := s.url("/v1/app-assets/7f3a9c21e0b4d655/3", x.tokenSeconds, "a")
 		go func() {
 			resp, err := http.Get("http://" + s.addr + u)
 			if err != nil {
@@ -77,18 +77,18 @@
 			answered <- resp
 		}()
 		<-arrived
-		s.clock.Step(x.step)
-		s.clock.Advance(x.passes)
-		let <- "NOENT"
-		let <- "ACK" // of a fill, where one may start
+		s.clock.Step(x.clockStep)
+		s.clock.Advance(x.elapsed)
+		responses <- "NOENT"
+		responses <- "ACK" // of a fill, where one may start
 		resp := <-answered
 		resp.Body.Close()
 		if resp.StatusCode != x.status {
 			t.Errorf("%s: %d, want %d", x.name, resp.StatusCode, x.status)
 		}
 		if m := maxAge.FindStringSubmatch(resp.Header.Get("Cache-Control")); m != nil {
-			if seconds, _ := strconv.Atoi(m[1]); float64(seconds) > x.lasts-x.passes/1000 {
-				t.Errorf("%s: %s of a token that lasts %v s", x.name, m[0], x.lasts)
+			if seconds, _ := strconv.Atoi(m[1]); float64(seconds) > x.tokenSeconds-x.elapsed/1000 {
+				t.Errorf("%s: %s of a token that lasts %v s", x.name, m[0], x.tokenSeconds)
 			}
 		}
 		s.stop()
--- a/cold_test.go
+++ b/cold_test.go
@@ -75,7 +75,7 @@
 // Thirty gateways want a cold store in the same moment, each after a lull in which it could save up what it may send. In
 // any span of the settings' length the store gets no more calls than the N that they allow and 2 x root of N + 2.
 func TestManyGatewaysStartOnAColdEndpoint(t *testing.T) {
-	const gateways, weight, wanted, lull, span = 30, 1, 8, 12000, 1900
+	const gateways, weight, requestsEach, idleTime, window = 30, 1, 8, 12000, 1900
 	store, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,why=local,minted=1", []byte("part"), true
 	})
@@ -105,8 +105,8 @@
 	}
 	// ask has every gateway asked for so many parts on a new connection, and gives the calls that came until all are
 	// answered, the clock moving on by ms meanwhile.
-	asked := uint64(0)
-	ask := func(parts int, ms float64) int {
+	requestCount := uint64(0)
+	requestParts := func(parts int, ms float64) int {
 		before := len(store.Calls("GET"))
 		answered := make(chan error, gateways)
 		var ended atomic.Int64
@@ -117,15 +117,15 @@
 			}
 			defer c.Close()
 			for id := range parts {
-				asked++
-				c.Write(fastcgiGet(uint16(id+1), asked))
+				requestCount++
+				c.Write(fastcgiGet(uint16(id+1), requestCount))
 			}
 			go func() { answered <- readEnds(bufio.NewReader(c), parts, &ended) }()
 		}
-		for taken := 0; taken < parts*gateways; time.Sleep(time.Millisecond) { // before their time goes on
-			taken = int(ended.Load())
+		for received := 0; received < parts*gateways; time.Sleep(time.Millisecond) { // before their time goes on
+			received = int(ended.Load())
 			for _, f := range fronts {
-				taken += f.Fronts.Open()
+				received += f.Fronts.Open()
 			}
 		}
 		const step = 50.0
@@ -145,16 +145,16 @@
 		}
 		return len(store.Calls("GET")) - before
 	}
-	ask(1, span) // the store is seen, and what may be sent to it saved up from here on
-	clk.Advance(lull)
-	present := 0.2 + 0.8*(span+lull)/40000.0
-	allowed := 2 * present * weight * 2 / 0.3
-	calls := ask(wanted, span)
-	if most := allowed + 2*math.Sqrt(allowed) + 2; float64(calls) > most {
-		t.Errorf("%d calls came, %.1f are allowed and chance gives %.1f", calls, allowed, most)
+	requestParts(1, window) // the store is seen, and what may be sent to it saved up from here on
+	clk.Advance(idleTime)
+	rampShare := 0.2 + 0.8*(window+idleTime)/40000.0
+	allowed := 2 * rampShare * weight * 2 / 0.3
+	calls := requestParts(requestsEach, window)
+	if limit := allowed + 2*math.Sqrt(allowed) + 2; float64(calls) > limit {
+		t.Errorf("%d calls came, %.1f are allowed and chance gives %.1f", calls, allowed, limit)
 	}
 	if calls < 2 {
 		t.Errorf("%d calls came, %.1f are allowed", calls, allowed)
 	}
-	t.Logf("%d of %d requests were sent on, %.1f are allowed", calls, gateways*wanted, allowed)
+	t.Logf("%d of %d requests were sent on, %.1f are allowed", calls, gateways*requestsEach, allowed)
 }
--- a/end_test.go
+++ b/end_test.go
@@ -112,18 +112,18 @@
 // A request that has been read when a process ends, and of which nobody knows yet, is answered before its connection closes.
 func TestRequestReadDuringShutdownIsAnswered(t *testing.T) {
 	g := newStoppingGateway(t, answerImmediately)
-	nc, far := g.connect(t)
+	nc, conn := g.connect(t)
 	in, answered := bufio.NewReader(nc), new(atomic.Int64)
 	nc.Write(fastcgiGet(1, 1))
 	if err := readEnds(in, 1, answered); err != nil {
 		t.Fatal(err)
 	}
-	far.holdNextRead.Store(true)
+	conn.holdNextRead.Store(true)
 	nc.Write(fastcgiGet(2, 2))
-	<-far.readDone
+	<-conn.readDone
 	close(g.stop)
-	<-far.closing
-	close(far.resume)
+	<-conn.closing
+	close(conn.resume)
 	if err := readEnds(in, 1, answered); err != nil {
 		t.Errorf("a request that was read has no answer: %v", err)
 	}
@@ -142,11 +142,11 @@
 		}
 		return "", "", nil, false
 	})
-	var asking sync.WaitGroup
+	var running sync.WaitGroup
 	var served atomic.Int64
 	for i := range clients {
-		nc, far := g.connect(t)
-		asking.Go(func() {
+		nc, conn := g.connect(t)
+		running.Go(func() {
 			in, answered := bufio.NewReader(nc), new(atomic.Int64)
 			size := int64(len(fastcgiGet(1, 1)))
 			for n := 0; ; n++ {
@@ -158,21 +158,21 @@
 				}
 			}
 			io.Copy(io.Discard, nc)
-			if read := far.bytesRead.Load() / size; read > answered.Load() {
+			if read := conn.bytesRead.Load() / size; read > answered.Load() {
 				t.Errorf("%d requests were read, %d answered", read, answered.Load())
 			}
 			served.Add(answered.Load())
 		})
 	}
-	asked := time.Now()
+	stopped := time.Now()
 	close(g.stop)
 	if err := <-g.ended; err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(asked); took > stoppingGatewayDeadline+700*time.Millisecond {
+	if took := time.Since(stopped); took > stoppingGatewayDeadline+700*time.Millisecond {
 		t.Errorf("the process ends after %v", took)
 	}
-	asking.Wait()
+	running.Wait()
 	if served.Load() < clients {
 		t.Errorf("%d requests of %d clients were answered", served.Load(), clients)
 	}
--- a/flood_test.go
+++ b/flood_test.go
@@ -44,9 +44,9 @@
 	}
 	codes := map[int]int{}
 	for range 150 {
-		code, again := from("127.0.0.2", forged)
+		code, retryHeader := from("127.0.0.2", forged)
 		codes[code]++
-		if code == 429 && again == "" {
+		if code == 429 && retryHeader == "" {
 			t.Error("no advice when to come back")
 		}
 	}
@@ -72,7 +72,7 @@
 // load has clients ask for a URL over and over until a time, each on a connection of its own from an address. It counts
 // the answers that are good and the others, and reads them leanly, so that the figures are the gateway's.
 func startClients(b *testing.B, wg *sync.WaitGroup, addr, from, url string, clients int, until time.Time, good, other *atomic.Int64) {
-	ask := func() error {
+	sendUntilDeadline := func() error {
 		dial := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 		c, err := dial.Dial("tcp", addr)
 		if err != nil {
@@ -105,7 +105,7 @@
 	}
 	for range clients {
 		wg.Go(func() {
-			if err := ask(); err != nil {
+			if err := sendUntilDeadline(); err != nil {
 				b.Error(err)
 			}
 		})
@@ -202,10 +202,10 @@
 
 // Limits of the operator's file hold over sockets: by grant, by key, by client, and in hand; others go on.
 func TestFrontendLimits(t *testing.T) {
-	let := make(chan struct{})
+	release := make(chan struct{})
 	store, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
 		if c.Fields["piece"] == "9" {
-			<-let
+			<-release
 		}
 		return "ACK", "tag=00000000000000aa,why=local,minted=1799999990000", make([]byte, 3000), true
 	})
@@ -264,7 +264,7 @@
 	if code, _ := get("127.0.0.2", "other", "d", "0"); code != 200 {
 		t.Errorf("another key: %d", code)
 	}
-	close(let)
+	close(release)
 	wg.Wait()
 	clk.Advance(1000)
 	if code, _ := get("127.0.0.1", "url", "a", "0"); code != 200 {
--- a/gateway.go
+++ b/gateway.go
@@ -111,12 +111,12 @@
 		upstream.Upstream = gw.pool
 		return nil
 	}
-	byEndpoint := &mux.Upstream{}
-	post := byEndpoint.TrackResults(gw.core.Post)
+	router := &mux.Upstream{}
+	post := router.TrackResults(gw.core.Post)
 	gw.openPool(post)
-	byEndpoint.Primary = gw.openHTTPEndpoints(post)
-	byEndpoint.Fallback = gw.pool
-	upstream.Upstream = byEndpoint
+	router.Primary = gw.openHTTPEndpoints(post)
+	router.Fallback = gw.pool
+	upstream.Upstream = router
 	return nil
 }
 
@@ -156,7 +156,7 @@
 
 // openHTTPStores opens the upstream of the HTTP endpoints.
 func (gw *gateway) openHTTPEndpoints(post func(core.Event)) *httpstore.Upstream {
-	stores := httpstore.New(httpstore.Options{
+	httpUpstream := httpstore.New(httpstore.Options{
 		Stores:      gw.Operator.HTTPStores(),
 		DialTimeout: gw.node.DialTimeout,
 		IdleClose:   gw.node.IdleClose,
@@ -164,8 +164,8 @@
 		Clock:       gw.Clock,
 		Log:         gw.Log,
 	}, post)
-	gw.addCloser(func() { stores.Close() })
-	return stores
+	gw.addCloser(func() { httpUpstream.Close() })
+	return httpUpstream
 }
 
 // openProcesses enters this process among those of its gateway, puts the stored overrides in force, and gives the core the
--- a/handover_test.go
+++ b/handover_test.go
@@ -33,14 +33,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	faulty := &failingHandoverListener{UnixListener: listener, errs: []syscall.Errno{
+	failing := &failingHandoverListener{UnixListener: listener, errs: []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EINTR,
 	}}
 	ctx, cancel := context.WithCancel(context.Background())
 	adopted, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		acceptHandovers(ctx, faulty, func(c *net.UnixConn) {
+		acceptHandovers(ctx, failing, func(c *net.UnixConn) {
 			c.Close()
 			close(adopted)
 		})
@@ -51,7 +51,7 @@
 	}
 	defer conn.Close()
 	<-adopted
-	if n := faulty.failed.Load(); n != int64(len(faulty.errs)) {
+	if n := failing.failed.Load(); n != int64(len(failing.errs)) {
 		t.Errorf("accept failed %d times", n)
 	}
 	cancel()
--- a/http_test.go
+++ b/http_test.go
@@ -38,10 +38,10 @@
 	const tag, other = `"00000000000000aa"`, `"00000000000000bb"`
 	u := s.url(tile, 600, "n")
 	for _, x := range []struct {
-		name, method string
-		headers      []string
-		status       int
-		body, rng    string
+		name, method       string
+		headers            []string
+		status             int
+		body, contentRange string
 	}{
 		{"whole", "GET", nil, 200, "piece 3", ""},
 		{"HEAD", "HEAD", nil, 200, "", ""},
@@ -72,7 +72,7 @@
 		{"must match another", "GET", []string{"If-Match", other}, 412, "", ""},
 	} {
 		resp, body := s.request(x.method, u, x.headers...)
-		if resp.StatusCode != x.status || body != x.body || resp.Header.Get("Content-Range") != x.rng {
+		if resp.StatusCode != x.status || body != x.body || resp.Header.Get("Content-Range") != x.contentRange {
 			t.Errorf("%s: %d %q %q", x.name, resp.StatusCode, body, resp.Header.Get("Content-Range"))
 		}
 		if resp.Header.Get("ETag") != tag && x.status != 416 {
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -8,59 +8,59 @@
 )
 
 // refusing is the system's file system, one call of which fails.
-type refusing struct {
+type failingFileSystem struct {
 	FileSystem
 	call string
 }
 
-var errRefused = errors.New("refused")
+var errInjected = errors.New("refused")
 
-func (r refusing) Create(path string, mode os.FileMode) (File, error) {
+func (r failingFileSystem) Create(path string, mode os.FileMode) (File, error) {
 	if r.call == "create" {
-		return nil, errRefused
+		return nil, errInjected
 	}
 	f, err := r.FileSystem.Create(path, mode)
-	return refusingFile{f, r.call}, err
+	return failingFile{f, r.call}, err
 }
 
-func (r refusing) Rename(from, to string) error {
+func (r failingFileSystem) Rename(from, to string) error {
 	if r.call == "rename" {
-		return errRefused
+		return errInjected
 	}
 	return r.FileSystem.Rename(from, to)
 }
 
-func (r refusing) SyncDir(path string) error {
+func (r failingFileSystem) SyncDir(path string) error {
 	if r.call == "syncdir" {
-		return errRefused
+		return errInjected
 	}
 	return r.FileSystem.SyncDir(path)
 }
 
-type refusingFile struct {
+type failingFile struct {
 	File
 	call string
 }
 
-func (f refusingFile) Write(b []byte) (int, error) {
+func (f failingFile) Write(b []byte) (int, error) {
 	if f.call == "write" {
 		f.File.Write(b[:1])
-		return 1, errRefused
+		return 1, errInjected
 	}
 	return f.File.Write(b)
 }
 
-func (f refusingFile) Sync() error {
+func (f failingFile) Sync() error {
 	if f.call == "sync" {
-		return errRefused
+		return errInjected
 	}
 	return f.File.Sync()
 }
 
-func (f refusingFile) Close() error {
+func (f failingFile) Close() error {
 	err := f.File.Close()
 	if f.call == "close" {
-		return errRefused
+		return errInjected
 	}
 	return err
 }
@@ -76,14 +76,14 @@
 			t.Fatal(err)
 		}
 		placed := "old"
-		err := WriteFilePlaced(refusing{OS, test.call}, path, []byte("new"), 0o600, func() {
+		err := WriteFilePlaced(failingFileSystem{OS, test.call}, path, []byte("new"), 0o600, func() {
 			content, err := os.ReadFile(path)
 			if err != nil {
 				t.Error(err)
 			}
 			placed = string(content)
 		})
-		if failed := errors.Is(err, errRefused); failed != (test.call != "") || placed != test.content {
+		if failed := errors.Is(err, errInjected); failed != (test.call != "") || placed != test.content {
 			t.Errorf("%s: placed %q, %v", test.call, placed, err)
 		}
 		if content, err := os.ReadFile(path); err != nil || string(content) != test.content {
@@ -105,8 +105,8 @@
 		if err := WriteFile(OS, path, []byte("old"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		err := WriteFile(refusing{OS, test.call}, path, []byte("new"), 0o600)
-		if failed := errors.Is(err, errRefused); failed != (test.call != "") {
+		err := WriteFile(failingFileSystem{OS, test.call}, path, []byte("new"), 0o600)
+		if failed := errors.Is(err, errInjected); failed != (test.call != "") {
 			t.Errorf("%s: %v", test.call, err)
 		}
 		if content, err := os.ReadFile(path); err != nil || string(content) != test.content {
--- a/internal/handover/overrides.go
+++ b/internal/handover/overrides.go
@@ -28,8 +28,8 @@
 var ErrCorrupt = errors.New("overrides file corrupt")
 
 var (
-	errFormat = errors.New("unknown format")
-	errBehind = errors.New("copy of an older revision, or missing")
+	errUnknownFormat = errors.New("unknown format")
+	errOutdatedCopy  = errors.New("copy of an older revision, or missing")
 )
 
 // The overrides are stored twice: an update writes the file, and the backup once the file is on disk.
@@ -69,7 +69,7 @@
 		return Overrides{}, nil, nil // there have been none
 	case err == nil && found:
 		if backupErr == nil && backup.Revision != overrides.Revision {
-			backupErr = fmt.Errorf("%s: %w", r.path(backupName), errBehind)
+			backupErr = fmt.Errorf("%s: %w", r.path(backupName), errOutdatedCopy)
 		}
 		return overrides, backupErr, nil
 	case backupErr == nil && backupFound:
@@ -113,7 +113,7 @@
 		return Overrides{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if overrides.Format != format || len(overrides.Disabled) > maxDisabled {
-		return Overrides{}, fmt.Errorf("%w: %w", ErrCorrupt, errFormat)
+		return Overrides{}, fmt.Errorf("%w: %w", ErrCorrupt, errUnknownFormat)
 	}
 	slices.Sort(overrides.Disabled)
 	overrides.Disabled = slices.Compact(overrides.Disabled)
--- a/internal/handover/siblings_test.go
+++ b/internal/handover/siblings_test.go
@@ -9,7 +9,7 @@
 
 // An entry that can't be opened tells nothing of its process: taken for dead, that process and this one would each send as
 // much as the whole gateway may. The others are counted all the same.
-func TestUnreadableEntryIsNoDeadProcess(t *testing.T) {
+func TestUnreadableEntryIsNotTakenForDead(t *testing.T) {
 	dir := t.TempDir()
 	own, err := Open(dir)
 	if err != nil {
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -10,7 +10,7 @@
 
 // local lists what socket(2), bind(2), connect(2), accept(2), read(2) and write(2) report of this host. Not in the list,
 // as they tell of the endpoint or of the way to it: ECONNREFUSED, ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, EHOSTDOWN.
-var local = []syscall.Errno{
+var localErrnos = []syscall.Errno{
 	syscall.EMFILE,        // the process has no descriptor left
 	syscall.ENFILE,        // the system has none left
 	syscall.ENOBUFS,       // no buffer
@@ -33,7 +33,7 @@
 	if err == nil {
 		return false
 	}
-	for _, errno := range local {
+	for _, errno := range localErrnos {
 		if errors.Is(err, errno) {
 			return true
 		}
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -49,7 +49,7 @@
 }
 
 // A refused connection over a real socket is the endpoint's.
-func TestRefusedIsNotLocal(t *testing.T) {
+func TestConnectionRefusedIsNotLocal(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/production_rig_test.go
+++ b/production_rig_test.go
@@ -418,20 +418,20 @@
 		return
 	}
 	d.watches.Add(1)
-	told := binary.BigEndian.Uint64(question[:])
+	lastSent := binary.BigEndian.Uint64(question[:])
 	for {
 		d.mu.Lock()
 		var frames []byte
 		last := uint64(len(d.events) + 1)
-		told = max(told, d.firstKept-1)
-		for ; told < last; told++ {
-			frames = append(frames, d.events[told-1]...)
+		lastSent = max(lastSent, d.firstKept-1)
+		for ; lastSent < last; lastSent++ {
+			frames = append(frames, d.events[lastSent-1]...)
 		}
-		news, answer := d.changed, d.writeFrames
+		changed, writeFrames := d.changed, d.writeFrames
 		d.mu.Unlock()
-		answer(c, append(frames, discoveryFrame(last, 0, nil)...))
+		writeFrames(c, append(frames, discoveryFrame(last, 0, nil)...))
 		select {
-		case <-news:
+		case <-changed:
 		case <-time.After(500 * time.Millisecond): // a watch says something each second
 		}
 		if _, err := c.Write(nil); errors.Is(err, net.ErrClosed) {
--- a/production_test.go
+++ b/production_test.go
@@ -146,10 +146,10 @@
 			r.waitFor("attempts are out", func() bool {
 				return !slices.ContainsFunc(requests, func(q *clientRequest) bool { return r.endpoints.Gets(q.id) == 0 })
 			})
-			again := r.connect()
+			hedgingClient := r.connect()
 			var hedged []*clientRequest
 			for _, q := range requests {
-				hedged = append(hedged, again.sendWithID(q.id, q.class, clientTTL))
+				hedged = append(hedged, hedgingClient.sendWithID(q.id, q.class, clientTTL))
 			}
 			r.waitFor("they are taken", func() bool { return r.stats().Received == 2*len(requests) })
 			r.setBehavior(c.then)
@@ -232,9 +232,9 @@
 		"their connections are reset": func(r *productionRig) { r.endpoints.Cut() },
 		"their time ends":             func(r *productionRig) { r.advance(clientTTL) },
 	}
-	for way, leave := range ways {
-		for what, end := range ends {
-			t.Run(way+", and "+what, func(t *testing.T) {
+	for leaveName, leave := range ways {
+		for endName, end := range ends {
+			t.Run(leaveName+", and "+endName, func(t *testing.T) {
 				t.Parallel()
 				r := newProductionRig(t)
 				r.setBehavior(fakestore.Hang)
@@ -262,7 +262,7 @@
 // Discovery is away for ten minutes, and meanwhile one cache drains and another starts anew. What was known serves, and what
 // discovery tells then holds, whether it still has the changes or only a whole list.
 func TestLongDiscoveryOutage(t *testing.T) {
-	for name, whole := range map[string]bool{"its changes are kept": false, "its changes are forgotten": true} {
+	for name, onlySnapshot := range map[string]bool{"its changes are kept": false, "its changes are forgotten": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
@@ -276,7 +276,7 @@
 			changes := [][]byte{r.endpointRecord(0, endpointDraining, 0, 10), r.endpointRecord(1, endpointReady, r.clock.Now(), 10)}
 			r.publish(frameChanges, changes[0])
 			marker := r.publish(frameChanges, changes[1])
-			if whole {
+			if onlySnapshot {
 				all := changes
 				for i := 2; i < len(endpointKinds); i++ {
 					all = append(all, r.endpointRecord(i, endpointReady, 0, 10))
@@ -339,8 +339,8 @@
 			}
 			// Requests of 1 KB cost less than the mean that the settings have budgets count by: this is the strictest N.
 			n := 2 * (0.2 + 0.8*clientTTL/40000) * weight * 1.9 / 0.3
-			if most := n + 3*math.Sqrt(n) + 3; float64(sent) > most {
-				t.Errorf("%d requests came to a cold cache that bears %.1f", sent, most)
+			if limit := n + 3*math.Sqrt(n) + 3; float64(sent) > limit {
+				t.Errorf("%d requests came to a cold cache that bears %.1f", sent, limit)
 			}
 			r.checkRules()
 		})
--- a/readiness.go
+++ b/readiness.go
@@ -27,18 +27,18 @@
 }
 
 // reasons lists why the gateway is not ready, for the admin API; empty: it is ready.
-func (r readiness) reasons(draining bool) (why []string) {
+func (r readiness) reasons(draining bool) (texts []string) {
 	for reason := range r.notReady {
-		why = append(why, string(reason))
+		texts = append(texts, string(reason))
 	}
-	slices.Sort(why)
+	slices.Sort(texts)
 	if draining {
-		why = append(why, drainingReason)
+		texts = append(texts, drainingReason)
 	}
 	if r.shuttingDown {
-		why = append(why, shuttingDownReason)
+		texts = append(texts, shuttingDownReason)
 	}
-	return why
+	return texts
 }
 
 // readyToListen reports whether nothing but the listening itself is left to happen.
--- a/signed_test.go
+++ b/signed_test.go
@@ -304,16 +304,16 @@
 
 // A token that expires in the middle of a request: what is under way finishes, and no new attempt starts.
 func TestTokenExpiryDuringRequest(t *testing.T) {
-	arrived, let := make(chan struct{}, 8), make(chan string, 8)
+	arrived, statuses := make(chan struct{}, 8), make(chan string, 8)
 	s := newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
 		arrived <- struct{}{}
-		return <-let, "tag=0a,why=local,minted=1", []byte("late"), true
+		return <-statuses, "tag=0a,why=local,minted=1", []byte("late"), true
 	})
 	type result struct {
 		code int
 		err  string
 	}
-	ask := func(u string) chan result {
+	request := func(u string) chan result {
 		out := make(chan result, 1)
 		go func() {
 			code, e, _ := s.do("GET", u, "")
@@ -322,23 +322,23 @@
 		<-arrived
 		return out
 	}
-	a := ask(s.url(tile, -8, "a")) // within the leeway for two seconds more
+	a := request(s.url(tile, -8, "a")) // within the leeway for two seconds more
 	s.clock.Advance(2500)
-	let <- "ACK"
+	statuses <- "ACK"
 	if got := <-a; got.code != 200 {
 		t.Errorf("an answer under way was lost: %+v", got)
 	}
-	b := ask(s.url("/v1/firmware/7f3a9c21e0b4d655/4", -5, "b"))
+	b := request(s.url("/v1/firmware/7f3a9c21e0b4d655/4", -5, "b"))
 	before := len(s.store.Calls("GET"))
 	s.clock.Advance(2500 + 2600)
-	let <- "NOENT"
+	statuses <- "NOENT"
 	if got := <-b; got.code == 200 {
 		t.Errorf("after expiry: %+v", got)
 	}
-	d := ask(s.url("/v1/firmware/7f3a9c21e0b4d655/5", -8, "d"))
+	d := request(s.url("/v1/firmware/7f3a9c21e0b4d655/5", -8, "d"))
 	before++
 	s.clock.Advance(2500)
-	let <- "NOENT" // the module fills a miss at once; here it may not
+	statuses <- "NOENT" // the module fills a miss at once; here it may not
 	if got := <-d; got.code != 403 || got.err != "expired" {
 		t.Errorf("a miss after expiry: %+v", got)
 	}
@@ -473,13 +473,13 @@
 // A store that answers nothing costs a request its time and no more. A ride-end given up for silence is
 // answered 502, at its deadline 504; either way its token stays used, as it may have run.
 func TestDeadline(t *testing.T) {
-	arrived, let := make(chan struct{}, 8), make(chan struct{})
+	arrived, release := make(chan struct{}, 8), make(chan struct{})
 	s := newSignedGateway(t, func(fakestore.Call) (string, string, []byte, bool) {
 		arrived <- struct{}{}
-		<-let
+		<-release
 		return "", "", nil, false
 	})
-	defer close(let)
+	defer close(release)
 	ride := s.url(rideEnd, 60, "slow")
 	type result struct {
 		code int
@@ -586,8 +586,8 @@
 	}
 	c.stores[0].Close()
 	c.stores[1].Close()
-	lonely := c.newFrontend(c.stores[2], deadline, 300)
-	if got, _ := c.endRide(lonely, c.url("two")); got != 503 {
+	minority := c.newFrontend(c.stores[2], deadline, 300)
+	if got, _ := c.endRide(minority, c.url("two")); got != 503 {
 		t.Errorf("without a majority: %d", got)
 	}
 	if c.runs.Load() != 1 {
--- a/storage_test.go
+++ b/storage_test.go
@@ -86,8 +86,8 @@
 }
 
 func (f *failingFile) Sync() error {
-	if held := f.files.hang.Load(); held != nil {
-		<-*held
+	if resume := f.files.hang.Load(); resume != nil {
+		<-*resume
 	}
 	if err := f.files.injectedError("fsync"); err != nil {
 		return err
@@ -250,18 +250,18 @@
 func TestOverrideIsWrittenOncePathIsFree(t *testing.T) {
 	g := newPersistentGateway(t)
 	g.start()
-	inTheWay := filepath.Join(g.folder(), "orders.json")
-	if err := os.MkdirAll(filepath.Join(inTheWay, "more"), 0o700); err != nil {
+	blockingFolder := filepath.Join(g.folder(), "orders.json")
+	if err := os.MkdirAll(filepath.Join(blockingFolder, "more"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if status, _ := g.call("PUT", "/stores/disable", disableBody); status != 200 {
 		t.Fatal(status)
 	}
-	if err := os.RemoveAll(inTheWay); err != nil {
+	if err := os.RemoveAll(blockingFolder); err != nil {
 		t.Fatal(err)
 	}
 	limit := time.Now().Add(10 * time.Second)
-	for _, err := os.Stat(inTheWay); err != nil; _, err = os.Stat(inTheWay) {
+	for _, err := os.Stat(blockingFolder); err != nil; _, err = os.Stat(blockingFolder) {
 		if time.Now().After(limit) {
 			t.Fatal("never written")
 		}
@@ -319,9 +319,9 @@
 			return func() { files.fault.Store(nil) }
 		}},
 		{"hangs", func(files *failingFiles) func() {
-			held := make(chan struct{})
-			files.hang.Store(&held)
-			return func() { files.hang.Store(nil); close(held) }
+			resume := make(chan struct{})
+			files.hang.Store(&resume)
+			return func() { files.hang.Store(nil); close(resume) }
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -482,7 +482,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held, err := other.Update(t.Context(), handover.Overrides{}, func(s *handover.Overrides) {
+	stored, err := other.Update(t.Context(), handover.Overrides{}, func(s *handover.Overrides) {
 		for id := range uint32(400) {
 			s.Disabled = append(s.Disabled, 1000+id)
 		}
@@ -492,7 +492,7 @@
 	}
 	g.end()
 	names := []string{"orders.json", "orders.backup.json"}
-	whole, err := os.ReadFile(filepath.Join(folder, names[0]))
+	original, err := os.ReadFile(filepath.Join(folder, names[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -502,18 +502,18 @@
 		}
 	}
 	var damaged [][]byte
-	for from := 0; from < len(whole); from += sector {
-		torn := slices.Clone(whole)
-		clear(torn[from:])
-		damaged = append(damaged, whole[:from], torn)
+	for from := 0; from < len(original); from += sector {
+		zeroed := slices.Clone(original)
+		clear(zeroed[from:])
+		damaged = append(damaged, original[:from], zeroed)
 	}
 	for _, name := range names {
 		for i, content := range damaged {
-			write(names[0], whole)
-			write(names[1], whole)
+			write(names[0], original)
+			write(names[1], original)
 			write(name, content)
 			s, incomplete, err := handover.New(folder, durable.OS).Load()
-			if err != nil || incomplete == nil || !strings.Contains(incomplete.Error(), name) || !slices.Equal(s.Disabled, held.Disabled) {
+			if err != nil || incomplete == nil || !strings.Contains(incomplete.Error(), name) || !slices.Equal(s.Disabled, stored.Disabled) {
 				t.Errorf("%s, damage %d: %v, %v, %d stores out", name, i, incomplete, err, len(s.Disabled))
 			}
 		}
@@ -522,7 +522,7 @@
 		}
 		g.start()
 		g.await("durable", func(s adminapi.State) bool { return s.Durable })
-		if state := g.state(); len(state.Disabled) != len(held.Disabled) {
+		if state := g.state(); len(state.Disabled) != len(stored.Disabled) {
 			t.Errorf("without %s: %d stores out", name, len(state.Disabled))
 		}
 		g.end()
@@ -532,8 +532,8 @@
 			}
 		}
 	}
-	write(names[0], whole[:sector])
-	write(names[1], whole[:sector])
+	write(names[0], original[:sector])
+	write(names[1], original[:sector])
 	if err := g.run(); err == nil || !strings.Contains(err.Error(), filepath.Join(folder, names[0])) {
 		t.Errorf("with both damaged: %v", err)
 	}
--- a/subscribe_test.go
+++ b/subscribe_test.go
@@ -221,11 +221,11 @@
 		t.Errorf("fresh: a ride's end has %d", status)
 	}
 
-	patient, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+	purgeCtx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	voter := s.stores[s.leader()]
 	called := s.clock.Unix() // the purge is dated and comes into force at some time from here on
-	if err := voter.Purge(patient, 2, 0); err != nil {
+	if err := voter.Purge(purgeCtx, 2, 0); err != nil {
 		t.Fatal(err)
 	}
 	s.await("the purge", func() bool { _, fresh := s.get(s.keys, "url", "firmware", 2); return fresh > 0 })
@@ -238,7 +238,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := voter.Put(patient, signed.ConfigKeys, next); err != nil {
+	if err := voter.Put(purgeCtx, signed.ConfigKeys, next); err != nil {
 		t.Fatal(err)
 	}
 	s.await("the new key", func() bool { status, _ := s.get(keys, "next", "firmware", 3); return status == http.StatusOK })
@@ -299,9 +299,9 @@
 func TestOperatorReplacesMember(t *testing.T) {
 	s := newSubscribingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
-	const lost = 2
-	s.stores[lost].Close()
-	host, _, err := net.SplitHostPort(s.members[lost].Addr)
+	const lostMember = 2
+	s.stores[lostMember].Close()
+	host, _, err := net.SplitHostPort(s.members[lostMember].Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -325,10 +325,10 @@
 	var text string
 	s.await("replaced", func() bool {
 		var code int
-		code, text = s.callOperatorAPI("/-/members", fmt.Sprintf(`{"lost":%q,"joining":{"id":"new","addr":%q}}`, s.members[lost].ID, joining.Addr))
+		code, text = s.callOperatorAPI("/-/members", fmt.Sprintf(`{"lost":%q,"joining":{"id":"new","addr":%q}}`, s.members[lostMember].ID, joining.Addr))
 		return code == http.StatusOK
 	})
-	if !strings.Contains(text, joining.Addr) || strings.Contains(text, s.members[lost].Addr) {
+	if !strings.Contains(text, joining.Addr) || strings.Contains(text, s.members[lostMember].Addr) {
 		t.Errorf("the voters are %s", text)
 	}
 	s.await("the new voter complete", joined.Fresh)
