--- a/admin.go
+++ b/admin.go
@@ -11,34 +11,34 @@
 	"turnfork.dev/turnfork/internal/handover"
 )
 
-// adminState is the state behind the admin API: whether this process is ready, the operators' overrides that are in force, and
-// what it shares with the sibling processes of the same gateway.
+// adminState is the state behind the admin API: the readiness of this process, the operators' overrides in force, and the state
+// shared with the sibling processes of the same gateway.
 //
-// Its parts: readiness.go (ready or not, and why), overrides.go (the overrides in force), override_writer.go (writing them to
-// disk), siblings.go (the sibling processes and the overrides given to them).
+// Its parts: readiness.go (readiness and its reasons), overrides.go (the overrides in force), override_writer.go (writing them
+// to disk), siblings.go (the sibling processes and the overrides that they received).
 type adminState struct {
 	core            *core.Core
 	frontends       []frontend
 	openRequests    func() int
-	registry        *handover.Registry // nil: this process stands alone and writes nothing
+	registry        *handover.Registry // nil: no shared folder, so no siblings and nothing is written
 	setProcessCount func(processes int)
 	log             zerolog.Logger
 
-	applyLock      chan struct{} // see lock: one override is applied at a time
-	writeRequested chan struct{} // has room for one: there are overrides to be written
+	applyLock      chan struct{} // serializes the application of overrides, see lock
+	writeRequested chan struct{} // capacity 1: wakes runWriter
 
-	mu        sync.Mutex // of all below
+	mu        sync.Mutex // guards the fields below
 	readiness readiness
 	overrides handover.Overrides // in force here
 	siblings  handover.SiblingCount
 
-	lastFileError string          // the last error of the shared folder, logged once
-	pendingWrite  overrideChanges // in force, not on disk yet
-	writeErr      error           // of the last attempt to write pendingWrite; nil: it has not failed
+	lastFileError string          // last error of the shared folder, to log each error once
+	pendingWrite  overrideChanges // in force, but not on disk yet
+	writeErr      error           // of the last attempt to write pendingWrite; nil: it did not fail
 	waiter        writeWaiter     // of the newest override
 
-	subscription   func() *adminapi.Subscription // the state of the configuration subscription; nil: not reported
-	replicaStorage func() error                  // what is wrong with the disk of the replicated state; nil: not reported
+	subscription   func() *adminapi.Subscription // state of the configuration subscription; nil: not reported
+	replicaStorage func() error                  // storage error of the replicated state; nil: not reported
 }
 
 var _ adminapi.Gateway = (*adminState)(nil)
@@ -55,7 +55,7 @@
 	}
 }
 
-// State returns what the admin API reports of the gateway.
+// State returns the state that the admin API reports.
 func (a *adminState) State() adminapi.State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,7 +79,7 @@
 	return s
 }
 
-// storageErrors lists what is wrong with the disks that the gateway writes to; mu is held.
+// storageErrors lists the errors of the disks that the gateway writes to. The caller holds mu.
 func (a *adminState) storageErrors() (errs []string) {
 	if a.writeErr != nil {
 		errs = append(errs, "orders: "+a.writeErr.Error())
@@ -93,12 +93,12 @@
 	return errs
 }
 
-// Drain starts the drain of the gateway, or ends it.
+// Drain starts the drain of the gateway if on is true, and ends it otherwise.
 func (a *adminState) Drain(ctx context.Context, on bool) error {
 	return a.apply(ctx, drainOverride{on: on})
 }
 
-// Disable takes an endpoint out of service, or lets it serve again.
+// Disable excludes an endpoint if on is true, and readmits it otherwise.
 func (a *adminState) Disable(ctx context.Context, id uint32, on bool) error {
 	return a.apply(ctx, disableOverride{endpoint: id, on: on})
 }
--- a/adminapi/gateway.go
+++ b/adminapi/gateway.go
@@ -7,51 +7,51 @@
 	"strings"
 )
 
-// ErrUnknown is returned for an endpoint that no endpoint list has named.
+// ErrUnknown is returned for an endpoint that has not been in any endpoint list.
 var ErrUnknown = errors.New("no list has named this store")
 
-var errMalformedID = errors.New("no id of a store")
+var errMalformedID = errors.New("malformed endpoint id")
 
-// Gateway is what the admin calls act on. Each method but State is idempotent, and returns nil only once what it asks for
-// holds.
+// Gateway carries out the admin calls. Each method except State is idempotent, and returns nil only once the requested state is
+// in effect.
 type Gateway interface {
-	// State returns the gateway's present state, which is the body of every successful response.
+	// State returns the gateway's current state, which is the body of every successful response.
 	State() State
-	// Disable excludes an endpoint, or with on false readmits it.
+	// Disable excludes an endpoint if on is true, and readmits it otherwise.
 	Disable(ctx context.Context, id uint32, on bool) error
-	// Drain drains the gateway, or with on false ends the drain.
+	// Drain drains the gateway if on is true, and ends the drain otherwise.
 	Drain(ctx context.Context, on bool) error
 }
 
-// State is the gateway's state as the admin calls report it. Its JSON field names do not change.
+// State is the gateway's state as the admin API reports it. Its JSON field names are stable.
 type State struct {
 	Ready    bool     `json:"ready"`
-	Why      []string `json:"why,omitempty"` // the reasons why it is not ready
+	Why      []string `json:"why,omitempty"` // reasons why the gateway is not ready
 	Draining bool     `json:"draining"`
-	Disabled []string `json:"disabled"` // the endpoints that operators excluded
-	Open     int      `json:"open"`     // requests in progress
-	// Durable reports whether a start after a kill finds every override that holds now.
+	Disabled []string `json:"disabled"` // endpoints excluded by operators
+	Open     int      `json:"open"`     // requests in flight
+	// Durable reports whether every override in force would survive a kill and restart.
 	Durable bool `json:"durable"`
-	// Storage lists what cannot be written at present, and why. The gateway serves what needs no disk.
+	// Storage lists the errors of files that can't be written at present. Requests that need no disk are served nevertheless.
 	Storage []string `json:"storage,omitempty"`
 	// Processes is the number of live processes: two while one replaces the other.
 	Processes int `json:"processes"`
-	// Subscription reports how far the replicated state is known; nil: this gateway has none.
+	// Subscription is the gateway's position in the replicated state; nil: this gateway has none.
 	Subscription *Subscription `json:"subscription,omitempty"`
 }
 
 // Subscription is the gateway's position in the replicated state.
 type Subscription struct {
 	Fresh        bool    `json:"fresh"`
-	AgeMS        float64 `json:"age_ms"` // since the state was last known to be complete; -1: never yet
+	AgeMS        float64 `json:"age_ms"` // time since the state was last known to be complete; -1: never
 	MaxCopyAgeMS float64 `json:"max_copy_age_ms"`
 	Revision     uint64  `json:"revision"`
 	Votes        bool    `json:"votes,omitempty"`
-	Voter        string  `json:"voter,omitempty"` // the voter that a gateway without a vote watches; "": none
+	Voter        string  `json:"voter,omitempty"` // voter that a non-voting gateway subscribes to; "": none
 	Reconnects   uint64  `json:"reconnects"`
 }
 
-// ParseID parses the id of an endpoint: "s-" and 8 hexadecimal digits.
+// ParseID parses an endpoint ID: "s-" and 8 hexadecimal digits.
 func ParseID(text string) (uint32, error) {
 	digits, ok := strings.CutPrefix(text, "s-")
 	id, err := strconv.ParseUint(digits, 16, 32)
--- a/adminapi/requests.go
+++ b/adminapi/requests.go
@@ -10,16 +10,16 @@
 	"turnfork.dev/turnfork/internal/http1"
 )
 
-// overrideTimeout bounds the application of an override: the response is due within 1 s.
+// overrideTimeout limits the application of an override, because the response is due within 1 s.
 const overrideTimeout = 900 * time.Millisecond
 
 var errMalformedBody = errors.New(`the body is not {"id":"ID"}`)
 
-// route is what a path stands for.
+// route defines the call at a path.
 type route struct {
-	method        string                                                      // a HEAD is accepted wherever a GET is
+	method        string                                                      // GET includes HEAD
 	needsEndpoint bool                                                        // the body names an endpoint
-	apply         func(ctx context.Context, g Gateway, endpoint string) error // nil: the path only reports
+	apply         func(ctx context.Context, g Gateway, endpoint string) error // nil: the call only reports the state
 }
 
 var routes = map[string]route{
@@ -44,7 +44,7 @@
 	}
 }
 
-// allowedMethod returns the method that a route takes, as a response to method names it.
+// allowedMethod returns the method that the route accepts. If it accepts GET, it accepts HEAD as well.
 func (r route) allowedMethod(method string) string {
 	if r.method == http.MethodGet && method == http.MethodHead {
 		return method
@@ -52,7 +52,7 @@
 	return r.method
 }
 
-// handle carries out one request and returns its response.
+// handle executes one request and returns its response.
 func (s *Server) handle(ctx context.Context, message *http1.Message) []byte {
 	route, ok := routes[message.Path]
 	if !ok {
@@ -80,7 +80,7 @@
 	return s.stateResponse(message)
 }
 
-// parseEndpoint returns the id in the body of a call that names an endpoint.
+// parseEndpoint returns the endpoint ID in a request body.
 func parseEndpoint(body []byte) (string, error) {
 	var request struct{ ID *string }
 	if err := json.Unmarshal(body, &request); err != nil || request.ID == nil {
@@ -89,7 +89,7 @@
 	return *request.ID, nil
 }
 
-// applyOverride applies an override, and returns nil once it holds.
+// applyOverride applies an override, and returns nil once it is in force.
 func (s *Server) applyOverride(ctx context.Context, path string, route route, endpoint string) error {
 	ctx, cancel := context.WithTimeout(ctx, overrideTimeout)
 	defer cancel()
@@ -98,14 +98,14 @@
 	return err
 }
 
-// stateResponse returns the gateway's state, with the status 503 where readiness was asked for and is missing.
+// stateResponse returns the gateway's state. Its status is 503 for a readiness check of a gateway that is not ready.
 func (s *Server) stateResponse(message *http1.Message) []byte {
 	state := s.opt.Gateway.State()
 	status := http.StatusOK
 	if message.Path == "/ready" && !state.Ready {
 		status = http.StatusServiceUnavailable
 	}
-	body, _ := json.Marshal(state) // a State always has a JSON form
+	body, _ := json.Marshal(state) // cannot fail: a State has only plain fields
 	body = append(body, '\n')
 	length := len(body)
 	if message.Method == http.MethodHead {
@@ -114,7 +114,7 @@
 	return http1.Answer(status, "application/json", "Cache-Control: no-store\r\n", length, body, true)
 }
 
-// errorResponse returns a response with an error's code and text; headers are complete lines.
+// errorResponse returns a response with an error code and text. headers are complete header lines.
 func errorResponse(status int, code, text, headers string) []byte {
 	return http1.ErrorAnswer(status, code, text, headers, true)
 }
--- a/adminapi/server.go
+++ b/adminapi/server.go
@@ -1,4 +1,4 @@
-// Package adminapi serves the operators' calls: HTTP/1.1 at an address of its own, one call a connection.
+// Package adminapi serves the operators' calls: HTTP/1.1 on a separate address, with one call per connection.
 //
 //	GET /ready             200 when the gateway is ready, else 503; the body is its State
 //	PUT /drain             drains the gateway
@@ -6,10 +6,10 @@
 //	PUT /stores/disable    excludes an endpoint; the body is {"id":"s-00c41f7a"}
 //	PUT /stores/enable     readmits it
 //
-// A call succeeds (2xx) only once what it asks for holds. The package owns the listener's connections, their number and their
-// time-outs, and the JSON of requests and responses. It keeps no override and no readiness: the Gateway that is handed in does.
+// A call succeeds (2xx) only once the requested state is in effect. The package owns the listener's connections, their number and
+// timeouts, and the JSON of requests and responses. Overrides and readiness are kept by the Gateway in Options.
 //
-// The listener's address is the setting "console", which keeps its name, as do the paths and the JSON fields.
+// The listener's address is the setting "console". That name, the paths and the JSON fields are stable.
 package adminapi
 
 import (
@@ -27,30 +27,30 @@
 	"turnfork.dev/turnfork/internal/http1"
 )
 
-// MaxConns is the number of connections at a time where Options give none. A further one takes the place of the one whose
-// request has been incomplete for longest.
+// MaxConns is the default limit on concurrent connections. A connection above the limit replaces the one whose request has been
+// incomplete for longest.
 const MaxConns = 24
 
 const (
 	firstByteTimeout = 4500.0 // ms
 	readTimeout      = 5 * time.Second
 	writeTimeout     = time.Second
-	lingerTimeout    = 200 * time.Millisecond // for the caller to close after its response
+	lingerTimeout    = 200 * time.Millisecond // for the caller to close the connection after the response
 	maxBodyLen       = 4 << 10
 )
 
-// continueResponse asks a caller that expects it for the body.
+// continueResponse is sent to a caller that waits for it before it sends the body.
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
 // Options configure a Server.
 type Options struct {
 	Gateway  Gateway
-	MaxConns int // connections at a time; 0: MaxConns
+	MaxConns int // limit on concurrent connections; 0: MaxConns
 	Clock    *clock.Clock
 	Log      zerolog.Logger
 }
 
-// Server serves the admin calls of one listener.
+// Server serves admin calls on one listener.
 type Server struct {
 	opt    Options
 	server front.Server
@@ -75,7 +75,7 @@
 // Conns returns the number of open connections.
 func (s *Server) Conns() int { return s.server.Conns() }
 
-// Stop closes each connection once the request that was read on it is answered.
+// Stop closes each connection once the request that was read from it is answered.
 func (s *Server) Stop() { s.server.Stop() }
 
 // serveConn reads one request and writes its response.
@@ -93,7 +93,8 @@
 	linger(nc)
 }
 
-// readAndHandle reads a request and returns its response; nil: the caller has gone, or the connection gave up its place.
+// readAndHandle reads a request and returns its response. It returns nil if the caller has disconnected, the request did not
+// arrive in time, or the server closes the connection.
 func (s *Server) readAndHandle(ctx context.Context, nc net.Conn, conn *front.Conn) []byte {
 	deadline := time.Now().Add(readTimeout)
 	nc.SetReadDeadline(deadline)
@@ -106,12 +107,12 @@
 	if err != nil {
 		return nil
 	}
-	conn.Update(1, true, 0) // a connection with a complete request keeps its place
+	conn.Update(1, true, 0) // a connection with a complete request is not replaced by a new one
 	return s.handle(ctx, &message)
 }
 
-// linger closes the sending side and reads what the caller still sends, so that no reset overtakes the response of a caller that
-// has sent more than its request.
+// linger closes the sending side and discards further input. Otherwise unread input would cause a TCP reset, which could make the
+// caller lose the response.
 func linger(nc net.Conn) {
 	half, ok := nc.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
@@ -121,12 +122,12 @@
 	io.CopyN(io.Discard, nc, maxBodyLen)
 }
 
-// requestReader reads a request from a connection. The server interrupts reads by their deadline, to have the connection look
-// whether it is to close; one that is not resumes its read.
+// requestReader reads a request from a connection. The server interrupts a read by setting its deadline, to make the reader check
+// whether the connection is to close. If it is not, the read resumes.
 type requestReader struct {
 	net.Conn
 	conn     *front.Conn
-	deadline time.Time // no read lasts longer
+	deadline time.Time // of the whole request
 }
 
 // Read reads from the connection until its deadline, or until the connection is to close.
@@ -137,7 +138,7 @@
 		if !interrupted {
 			return n, err
 		}
-		r.Conn.SetReadDeadline(r.deadline) // before the check: no later interruption is lost
+		r.Conn.SetReadDeadline(r.deadline) // before the check, so that no later interruption is lost
 		if r.conn.ShouldClose() {
 			return n, err
 		}
--- a/adminapi/server_test.go
+++ b/adminapi/server_test.go
@@ -29,12 +29,12 @@
 	return nil
 }
 
-// startServer serves a gateway's admin calls until the test ends; maxConns 0: MaxConns.
+// startServer serves a gateway's admin calls until the test ends. A maxConns of 0 selects the default.
 func startServer(t *testing.T, g Gateway, maxConns int) (addr string) {
 	return serveWithLog(t, g, maxConns, zerolog.Nop())
 }
 
-// serveWithLog is startServer with a log.
+// serveWithLog is startServer with a logger.
 func serveWithLog(t *testing.T, g Gateway, maxConns int, log zerolog.Logger) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 	return l.Addr().String()
 }
 
-// send sends one request in pieces of n bytes, and returns the status of the response.
+// sendRequest sends one request in pieces of n bytes, and returns the status of the response.
 func sendRequest(t *testing.T, addr, text string, n int) int {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -74,7 +74,7 @@
 	return resp.StatusCode
 }
 
-// request is the text of a request.
+// request returns the text of a request.
 func request(method, path, body string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: admin\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
 }
@@ -115,7 +115,7 @@
 	}
 }
 
-// Connections with an incomplete request, many more than there may be at a time, delay no other caller.
+// Connections with incomplete requests, many more than the connection limit, must not delay other callers.
 func TestIncompleteRequestsDelayNoCaller(t *testing.T) {
 	const maxConns = 4
 	addr := startServer(t, &fakeGateway{}, maxConns)
@@ -132,7 +132,7 @@
 	}
 }
 
-// logLines is a log whose lines a test receives.
+// logLines is a log writer that passes each line to the test.
 type logLines chan string
 
 func (l logLines) Write(line []byte) (int, error) {
@@ -140,7 +140,7 @@
 	return len(line), nil
 }
 
-// The log lines that docs/operations.md explains have these names and fields.
+// The log lines documented in docs/operations.md keep their messages and fields.
 func TestLogLines(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"override", request("PUT", "/stores/disable", `{"id":"s-00c41f7a"}`),
--- a/frontends.go
+++ b/frontends.go
@@ -14,32 +14,32 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// readyPollInterval is that at which a process that replaces another one looks whether it is ready.
+// readyPollInterval is the interval at which a process that replaces another one checks whether it can start to listen.
 const readyPollInterval = siblingCheckInterval / 5
 
-// frontend takes requests at a listener.
+// frontend accepts requests on a listener.
 type frontend interface {
 	stoppableServer
 	Serve(ctx context.Context, l net.Listener) error
-	// Open counts the requests that are not yet answered.
+	// Open returns the number of unanswered requests.
 	Open() int
-	// Drain starts the drain of the frontend's connections, or with on false ends it.
+	// Drain starts the drain of the frontend's connections if on is true, and ends it otherwise.
 	Drain(on bool)
-	// HandOver hands the connections to the process that successor dials, or closes each between requests.
+	// HandOver hands the connections over to the process that successor dials, or closes each between requests.
 	HandOver(successor func() (*net.UnixConn, error))
-	// SetProcessShare limits the frontend to its part of a gateway of so many processes, and to so many connections.
+	// SetProcessShare limits the frontend to one of the given number of processes, and sets its connection limit.
 	SetProcessShare(processes, conns int)
 }
 
 // stoppable is the server of a listener that can be stopped at once.
 type stoppableServer interface {
-	// Stop has each connection closed once what was read on it is answered.
+	// Stop closes each connection once the requests that were read from it are answered.
 	Stop()
-	// Conns counts the connections.
+	// Conns returns the number of open connections.
 	Conns() int
 }
 
-// openFastCGI makes the platform's frontend, where it has an address.
+// openFastCGI creates the platform's FastCGI frontend if an address is configured.
 func (gw *gateway) openFastCGI(ctx context.Context) (err error) {
 	if gw.node.Listen == "" {
 		return nil
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// openSigned makes the frontend of signed requests, where there is an operator's file.
+// openSigned creates the frontend for signed requests if there is an operator's file.
 func (gw *gateway) openSigned(ctx context.Context) error {
 	operator := gw.Operator
 	if operator == nil {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	fd := gw.node.SocketFD // the platform's frontend comes first
+	fd := gw.node.SocketFD // used by the FastCGI frontend if there is one
 	if gw.node.Listen != "" {
 		gw.limits.frontend /= 2
 		fd = 0
@@ -123,7 +123,7 @@
 	return classes
 }
 
-// retryAfter is the Retry-After that the settings allow for a client rejected in a drain, in ms.
+// retryAfter returns the longest Retry-After, in ms, for clients rejected during a drain; 0: the settings allow none.
 func retryAfter(node config.Node) float64 {
 	if !node.Settings.CanRetryAfter {
 		return 0
@@ -131,7 +131,7 @@
 	return clock.Ms(node.Settings.MaxRetryAfter)
 }
 
-// tap wraps a frontend's connections for recording; nil: nothing is recorded.
+// tap returns the function that wraps a frontend's connections for recording; nil: no recording.
 func (gw *gateway) tap(name string) func(net.Conn) net.Conn {
 	if gw.Tap == nil {
 		return nil
@@ -139,7 +139,7 @@
 	return func(conn net.Conn) net.Conn { return gw.Tap(name, conn) }
 }
 
-// listen opens a frontend's listener.
+// listen opens a frontend's listener and registers both.
 func (gw *gateway) listen(ctx context.Context, field, addr string, fd int, f frontend) (net.Addr, error) {
 	l, err := listenOn(ctx, field, addr, fd)
 	if err != nil {
@@ -151,7 +151,7 @@
 	return l.Addr(), nil
 }
 
-// listenOn listens at an address, or on an inherited descriptor where fd is not 0. Errors name the field of the configuration.
+// listenOn listens on an address, or on an inherited descriptor if fd is not 0. Errors name the configuration field.
 func listenOn(ctx context.Context, field, addr string, fd int) (net.Listener, error) {
 	if fd != 0 {
 		return listenInherited(fd)
@@ -163,13 +163,14 @@
 	return l, nil
 }
 
-// listenInherited listens on a descriptor that the process was started with.
+// listenInherited listens on a descriptor that was inherited at process start.
 func listenInherited(fd int) (net.Listener, error) {
 	file := os.NewFile(uintptr(fd), "listener")
 	if file == nil {
-		return nil, fmt.Errorf("NODE_SOCKET_FD: %d is no descriptor", fd)
+		return nil, fmt.Errorf("NODE_SOCKET_FD: %d is not a file descriptor", fd)
 	}
-	// The listener has a copy of its own; ours is closed. Neither close ends the socket, which others hold too.
+	// net.FileListener duplicates the descriptor, so this one is closed. Closing either leaves the socket open for the other
+	// processes that share it.
 	defer file.Close()
 	l, err := net.FileListener(file)
 	if err != nil {
@@ -178,7 +179,7 @@
 	return l, nil
 }
 
-// openRequests counts the requests that are not yet answered.
+// openRequests returns the number of unanswered requests.
 func (gw *gateway) openRequests() (count int) {
 	for _, f := range gw.frontends {
 		count += f.Open()
@@ -186,8 +187,8 @@
 	return count
 }
 
-// serveFrontends starts the frontends. A process that replaces another one accepts nothing before it is ready, unless the other
-// one accepts nothing any more.
+// serveFrontends starts the frontends. A process that replaces another one accepts no connections before it is ready, unless the
+// other process no longer serves.
 func (gw *gateway) serveFrontends(ctx context.Context, group *errgroup.Group) {
 	for !gw.admin.readyToListen() && !gw.admin.noSiblingServes() && !stopRequested(ctx, gw.Stop) {
 		wait(ctx, readyPollInterval)
--- a/gateway.go
+++ b/gateway.go
@@ -23,7 +23,7 @@
 	connsPerHTTPEndpoint = 16
 )
 
-// gateway is what Run puts together: first all parts, which do nothing yet, then the goroutines.
+// gateway holds the parts that Run assembles. newGateway creates all of them; run then starts their goroutines.
 type gateway struct {
 	Config
 	node   config.Node
@@ -38,16 +38,16 @@
 	frontends      []frontend
 	listeners      []net.Listener // of the frontends, in the same order
 	addrs          Addrs
-	acceptHandover func(*net.UnixConn)          // takes a connection over from another process; nil: none are taken over
-	adminListener  net.Listener                 // nil: there is no admin API
+	acceptHandover func(*net.UnixConn)          // receives the connections that another process hands over; nil: unsupported
+	adminListener  net.Listener                 // nil: no admin API
 	server         *adminapi.Server             // serves adminListener
-	addressChanges chan discovery.AddressChange // of the endpoint list, from reloads to its watcher
+	addressChanges chan discovery.AddressChange // new addresses of the endpoint list, from reloads to its watcher
 
 	closers []func() // in the order in which the parts were opened
 }
 
-// newGateway makes a gateway whose core does not run yet; ctx is of its listeners. What it opened is closed again where it
-// fails.
+// newGateway creates a gateway whose core does not run yet. Its listeners are opened under ctx. If a part fails to open, the
+// parts that were opened before it are closed again.
 func newGateway(ctx context.Context, cfg Config) (*gateway, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System()
@@ -83,20 +83,21 @@
 		Msg("settings loaded")
 }
 
-// close closes what was opened, the last first.
+// close closes the opened parts in reverse order.
 func (gw *gateway) close() {
 	for i := len(gw.closers) - 1; i >= 0; i-- {
 		gw.closers[i]()
 	}
 }
 
+// addCloser registers a function for close.
 func (gw *gateway) addCloser(closer func()) { gw.closers = append(gw.closers, closer) }
 
-// upstreamSlot stands for the core's upstream until that is made: the core sends by it and it posts to the core, so that the
-// core is made first.
+// upstreamSlot is a placeholder for the core's upstream. The core and the upstream refer to each other: the core is created
+// first, and the upstream, which posts to the core, is filled in afterwards.
 type upstreamSlot struct{ core.Upstream }
 
-// openCore makes the core and its upstreams.
+// openCore creates the core and its upstreams.
 func (gw *gateway) openCore(context.Context) (err error) {
 	gw.plane = controlplane.New(gw.Operator, gw.Clock, gw.Log)
 	gw.plane.Timing = gw.Distribution
@@ -154,7 +155,7 @@
 	gw.addCloser(func() { gw.pool.Close() })
 }
 
-// openHTTPStores opens the upstream of the HTTP endpoints.
+// openHTTPEndpoints opens the upstream for HTTP endpoints.
 func (gw *gateway) openHTTPEndpoints(post func(core.Event)) *httpstore.Upstream {
 	httpUpstream := httpstore.New(httpstore.Options{
 		Stores:      gw.Operator.HTTPStores(),
@@ -168,8 +169,8 @@
 	return httpUpstream
 }
 
-// openProcesses enters this process among those of its gateway, puts the stored overrides in force, and gives the core the
-// events that are known at the start.
+// openSharedState registers this process with its siblings, applies the stored overrides, and passes the events of the
+// configuration to the core.
 func (gw *gateway) openSharedState(context.Context) error {
 	suffix := ""
 	if gw.Operator != nil {
@@ -181,7 +182,7 @@
 	if gw.node.Changelog != "" {
 		gw.admin.markNotReady(endpointsUnsynced)
 	}
-	if err := gw.admin.loadOverrides(); err != nil { // before anything is sent
+	if err := gw.admin.loadOverrides(); err != nil { // before any request is sent
 		return err
 	}
 	for _, event := range gw.node.Known {
@@ -190,7 +191,7 @@
 	return nil
 }
 
-// openPlane opens the replicated state.
+// openPlane opens the control plane, which holds the replicated state.
 func (gw *gateway) openPlane(context.Context) error {
 	if err := gw.plane.Open(gw.core.Post); err != nil {
 		return err
@@ -201,7 +202,7 @@
 	return nil
 }
 
-// openProcessLimits divides what the gateway may use among its processes, now and whenever their number changes.
+// openProcessLimits divides the gateway's limits among its processes, now and whenever their number changes.
 func (gw *gateway) openProcessLimits(context.Context) error {
 	gw.addrs.Fronts.Open = gw.openRequests
 	gw.admin.frontends = gw.frontends
@@ -212,7 +213,7 @@
 	return nil
 }
 
-// setProcessCount limits this process to its part of a gateway of so many processes.
+// setProcessCount limits this process to its share of the gateway's limits, given the number of processes.
 func (gw *gateway) setProcessCount(processes int) {
 	setHeapLimit(gw.node, processes)
 	limits := newConnectionLimits(gw.node.Sockets / processes)
@@ -223,7 +224,7 @@
 	go gw.core.Post(core.ProcessCount{Processes: processes})
 }
 
-// openAdminAPI listens for admin calls, where there is an address for them.
+// openAdminAPI listens for admin calls if an address is configured.
 func (gw *gateway) openAdminAPI(ctx context.Context) (err error) {
 	if gw.node.Console == "" {
 		return nil
@@ -237,7 +238,7 @@
 	return nil
 }
 
-// run serves until ctx ends; end ends it once a shutdown is done.
+// run serves until ctx ends. It calls end, which is to cancel ctx, once a shutdown has completed.
 func (gw *gateway) run(ctx context.Context, end func()) error {
 	group, ctx := errgroup.WithContext(ctx)
 	if gw.adminListener != nil {
@@ -270,7 +271,7 @@
 	return group.Wait()
 }
 
-// awaitStop shuts the process down once it is asked to stop, and then calls end.
+// awaitStop waits for Stop, shuts the process down, and then calls end.
 func (gw *gateway) awaitStop(ctx context.Context, end func()) {
 	select {
 	case <-ctx.Done():
--- a/handover.go
+++ b/handover.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// acceptRetryInterval is the pause after an accept that failed, such as for want of descriptors.
+// acceptRetryInterval is the delay after a failed accept, such as for lack of descriptors.
 const acceptRetryInterval = 5 * time.Millisecond
 
-// handoverListener accepts the Unix connections over which another process hands its connections over.
+// handoverListener accepts the Unix connections on which another process passes its connections to this one.
 type handoverListener interface {
 	AcceptUnix() (*net.UnixConn, error)
 	Close() error
 }
 
-// listenForHandover listens for connections that another process hands over; nil: none can come. They come only where
-// another process can share the listening socket, which it inherits; a gateway started alone opens no Unix socket, which the
-// fleet's bench forbids (docs/fleet.md).
+// listenForHandover opens the listener for connections that another process hands over, or returns nil if handover is not
+// possible. Handover takes place only between processes that share an inherited listening socket; a gateway without one opens no
+// Unix socket, because the fleet's benchmark forbids it (docs/fleet.md).
 func (gw *gateway) listenForHandover() *net.UnixListener {
 	if gw.acceptHandover == nil || gw.node.SocketFD == 0 {
 		return nil
@@ -31,8 +31,8 @@
 	return l
 }
 
-// acceptHandovers accepts the connections over which another process hands its connections over, until ctx ends. No error of
-// accept but that of a closed listener ends it.
+// acceptHandovers accepts handover connections from other processes until ctx ends. Of the accept errors, only that of a closed
+// listener stops it; the others are retried.
 func acceptHandovers(ctx context.Context, l handoverListener, accept func(*net.UnixConn)) {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	for {
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,5 +1,5 @@
-// Package durable writes small files that have to outlive the process and the machine: each is replaced atomically, and
-// is synced before the write counts as done.
+// Package durable writes small files that have to survive a crash of the process or the machine: each file is replaced
+// atomically, and is synced before the write succeeds.
 package durable
 
 import (
@@ -10,27 +10,27 @@
 	"path/filepath"
 )
 
-// TempPrefix begins the names of files that are still being written. A killed process may leave some behind.
+// TempPrefix is the name prefix of files that are still being written. A killed process may leave some behind.
 const TempPrefix = "new-"
 
 // File is a file that is being written.
 type File interface {
 	io.Writer
-	// Sync returns once the data is on the disk.
+	// Sync returns once the data is on disk.
 	Sync() error
-	// Close closes the file without a sync.
+	// Close closes the file without syncing it.
 	Close() error
 }
 
-// FileSystem is what WriteFile needs of a file system. Tests hand in one that fails.
+// FileSystem is the set of file system operations that WriteFile needs. Tests pass an implementation that fails.
 type FileSystem interface {
-	// Create makes a file that does not exist yet.
+	// Create creates a file, and fails if it exists.
 	Create(path string, mode os.FileMode) (File, error)
-	// Rename moves a file, in place of one that has the new name.
+	// Rename renames a file, and replaces an existing file of the new name.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(path string) error
-	// SyncDir makes the names in a folder last.
+	// SyncDir syncs the directory entries of a folder to disk.
 	SyncDir(path string) error
 }
 
@@ -39,18 +39,18 @@
 
 type osFileSystem struct{}
 
-// Create makes a file that does not exist yet.
+// Create creates a file, and fails if it exists.
 func (osFileSystem) Create(path string, mode os.FileMode) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, mode)
 }
 
-// Rename moves a file, in place of one that has the new name.
+// Rename renames a file, and replaces an existing file of the new name.
 func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove deletes a file.
 func (osFileSystem) Remove(path string) error { return os.Remove(path) }
 
-// SyncDir makes the names in a folder last.
+// SyncDir syncs the directory entries of a folder to disk.
 func (osFileSystem) SyncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
@@ -59,9 +59,9 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// WriteFile replaces a file's content. After an error the file has the old or the new content, and the new one may be lost
-// again: the caller has to write once more. That writes everything anew, as a sync that succeeds after one that failed says
-// nothing about the data of before.
+// WriteFile replaces a file's content. After an error the file has the old or the new content, and the new content may still be
+// lost, so the caller has to write again. A retry writes a new file, because a sync that succeeds after a failed one does not
+// guarantee that the earlier data is on disk.
 func WriteFile(files FileSystem, path string, content []byte, mode os.FileMode) error {
 	dir := filepath.Dir(path)
 	temp := filepath.Join(dir, TempPrefix+rand.Text())
@@ -74,7 +74,7 @@
 	return files.SyncDir(dir)
 }
 
-// writeNew writes a new file, and syncs it.
+// writeNew creates a file, writes its content and syncs it.
 func writeNew(files FileSystem, path string, content []byte, mode os.FileMode) error {
 	f, err := files.Create(path, mode)
 	if err != nil {
@@ -89,9 +89,9 @@
 	return f.Close()
 }
 
-// WriteFilePlaced does as WriteFile, but puts the file in place before it is synced, and calls placed then: others can read it
-// while the disk is slow. Until it returns without an error, a machine that fails may leave neither the old nor the new content;
-// the caller needs another copy.
+// WriteFilePlaced is like WriteFile, but renames the file into place before it is synced, and then calls placed: other processes
+// can read the file even while the disk is slow. Until WriteFilePlaced returns without an error, a crash of the machine may lose
+// both the old and the new content, so the caller needs another copy.
 func WriteFilePlaced(files FileSystem, path string, content []byte, mode os.FileMode, placed func()) error {
 	dir := filepath.Dir(path)
 	temp := filepath.Join(dir, TempPrefix+rand.Text())
@@ -112,7 +112,7 @@
 	return files.SyncDir(dir)
 }
 
-// removeTemp removes an incomplete file, where there is one.
+// removeTemp removes a temporary file if it exists.
 func removeTemp(files FileSystem, path string) error {
 	if err := files.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// refusing is the system's file system, one call of which fails.
+// failingFileSystem is the system's file system, except that one kind of call fails.
 type failingFileSystem struct {
 	FileSystem
 	call string
 }
 
-var errInjected = errors.New("refused")
+var errInjected = errors.New("injected failure")
 
 func (r failingFileSystem) Create(path string, mode os.FileMode) (File, error) {
 	if r.call == "create" {
@@ -65,7 +65,7 @@
 	return err
 }
 
-// A file that is put in place before it is synced has its new content from then on, also where the rest fails.
+// A file that is renamed into place before it is synced keeps its new content from then on, even if a later step fails.
 func TestWriteFilePlaced(t *testing.T) {
 	for _, test := range []struct{ call, content string }{
 		{"", "new"}, {"create", "old"}, {"write", "old"}, {"sync", "new"}, {"close", "new"}, {"rename", "old"}, {"syncdir", "new"},
@@ -95,7 +95,7 @@
 	}
 }
 
-// A file has its old or its new content, whichever call fails, and no part of a file is left behind.
+// Whichever call fails, the file has its old or its new content, and no temporary file is left behind.
 func TestWriteFile(t *testing.T) {
 	for _, test := range []struct{ call, content string }{
 		{"", "new"}, {"create", "old"}, {"write", "old"}, {"sync", "old"}, {"close", "old"}, {"rename", "old"}, {"syncdir", "new"},
--- a/internal/handover/overrides.go
+++ b/internal/handover/overrides.go
@@ -15,16 +15,16 @@
 	"turnfork.dev/turnfork/internal/durable"
 )
 
-// Overrides are what operators have set by hand: the endpoints out of service, and the drain of the gateway. The names in the
-// file are those of the first version: its revision is "change" there.
+// Overrides are the settings that operators have made by hand: the excluded endpoints, and the drain of the gateway. The field
+// names in the file are those of the first version, where the revision was called "change".
 type Overrides struct {
 	Format   int      `json:"format"`
-	Revision uint64   `json:"change"` // one more with each update
+	Revision uint64   `json:"change"` // incremented by each update
 	Disabled []uint32 `json:"disabled"`
 	Draining bool     `json:"draining"`
 }
 
-// ErrCorrupt says that an overrides file is damaged.
+// ErrCorrupt means that an overrides file is damaged.
 var ErrCorrupt = errors.New("overrides file corrupt")
 
 var (
@@ -32,7 +32,7 @@
 	errOutdatedCopy  = errors.New("copy of an older revision, or missing")
 )
 
-// The overrides are stored twice: an update writes the file, and the backup once the file is on disk.
+// The overrides are stored in two copies: an update writes the file and, once that is on disk, the backup.
 const (
 	overridesName = "orders.json"
 	backupName    = "orders.backup.json"
@@ -40,11 +40,11 @@
 
 	format            = 1
 	maxFileSize       = 1 << 20
-	maxDisabled       = 1 << 14 // endpoints out of service at once
+	maxDisabled       = 1 << 14 // excluded endpoints
 	lockRetryInterval = 2 * time.Millisecond
 )
 
-// Read returns the overrides; those of a folder that holds none are empty.
+// Read returns the stored overrides, or empty ones if the folder contains none.
 func (r *Registry) Read() (Overrides, error) {
 	if r == nil {
 		return Overrides{}, nil
@@ -53,9 +53,9 @@
 	return overrides, err
 }
 
-// Load returns the overrides at a start: from their file, or from the backup where the file is damaged or lost. A copy that is
-// damaged, lost or behind is reported by incomplete: the overrides are to be written again. Where neither copy can be used, the
-// error names the file.
+// Load returns the overrides for a process that starts: from their file, or from the backup if the file is damaged or missing.
+// If one copy is damaged, missing or outdated, incomplete describes it, and the caller has to write the overrides again. If
+// neither copy can be used, the error names the file.
 func (r *Registry) Load() (overrides Overrides, incomplete, err error) {
 	if r == nil {
 		return Overrides{}, nil, nil
@@ -66,7 +66,7 @@
 	case err != nil && !errors.Is(err, ErrCorrupt):
 		return Overrides{}, nil, err
 	case err == nil && !found && backupErr == nil && !backupFound:
-		return Overrides{}, nil, nil // there have been none
+		return Overrides{}, nil, nil // no override has ever been stored
 	case err == nil && found:
 		if backupErr == nil && backup.Revision != overrides.Revision {
 			backupErr = fmt.Errorf("%s: %w", r.path(backupName), errOutdatedCopy)
@@ -104,7 +104,7 @@
 	return overrides, true, nil
 }
 
-// decodeOverrides reads overrides from the content of a file.
+// decodeOverrides decodes and checks the content of a file.
 func decodeOverrides(text []byte) (overrides Overrides, err error) {
 	if len(text) > maxFileSize {
 		return Overrides{}, fmt.Errorf("%w: more than %d bytes", ErrCorrupt, maxFileSize)
@@ -120,14 +120,14 @@
 	return overrides, nil
 }
 
-// Update alters the overrides on disk, one process at a time. Where the file is damaged it starts from inForce, those that this
-// process goes by. The file is replaced whole, so that a reader sees the old or the new one, also after a crash. After an error
-// it may have been altered or not: the same update has to be made again.
+// Update changes the overrides on disk, one process at a time. If the file is damaged, the update starts from inForce, the
+// overrides in force in this process. The file is replaced atomically, so that a reader sees the old or the new one, also after
+// a crash. After an error the file may or may not have changed, and the caller has to repeat the update.
 func (r *Registry) Update(ctx context.Context, inForce Overrides, alter func(*Overrides)) (Overrides, error) {
 	return r.UpdatePlaced(ctx, inForce, alter, func() {})
 }
 
-// UpdatePlaced does as Update, and calls placed once the sibling processes can read the overrides, before they are synced.
+// UpdatePlaced is Update with a callback: it calls placed once the sibling processes can read the overrides, before the sync.
 func (r *Registry) UpdatePlaced(
 	ctx context.Context, inForce Overrides, alter func(*Overrides), placed func(),
 ) (overrides Overrides, err error) {
@@ -153,7 +153,7 @@
 	return overrides, r.writeCopies(overrides, placed)
 }
 
-// lockFile takes the lock that the updating process holds until it closes the file.
+// lockFile acquires the lock for updates, which the process holds until it closes the returned file.
 func (r *Registry) lockFile(ctx context.Context) (*os.File, error) {
 	lock, err := os.OpenFile(r.path(lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/handover/registry.go
+++ b/internal/handover/registry.go
@@ -1,9 +1,10 @@
-// Package handover lets the processes of one gateway know of each other while one replaces the other, and stores the operators'
-// overrides that they share: the endpoints out of service, and whether the gateway is drained. All of it is files in one folder.
+// Package handover lets the processes of one gateway find each other while one replaces the other, and stores the operators'
+// overrides that they share: the excluded endpoints, and whether the gateway is drained. All of this is kept in files in one
+// folder.
 //
-// A process is entered in the folder by a file of its own, which it keeps locked (flock) as long as it lives: a process that was
-// killed holds no lock, whatever its number is used for by now. The file's first byte says whether it serves or shuts down. The
-// package opens and names the Unix socket over which a successor takes connections; the frontends hand them over.
+// Each process has an entry file in the folder, which it keeps locked (flock) for as long as it lives. The lock of a killed process
+// is released, even if its process ID is in use again. The file's first byte marks the process as serving or shutting down. The
+// package names and opens the Unix socket on which a successor receives connections; the frontends hand them over.
 package handover
 
 import (
@@ -21,14 +22,14 @@
 )
 
 const (
-	entryPrefix  = "p-" // of a process's file
-	socketPrefix = "h-" // of the socket at which a process takes connections over
+	entryPrefix  = "p-" // of a process's entry file
+	socketPrefix = "h-" // of the socket on which a process receives connections
 	tempPrefix   = durable.TempPrefix
-	nameLen      = 10 // of the random part: a socket's path may have about 100 bytes
+	nameLen      = 10 // of the random part; short, as a Unix socket path is limited to about 100 bytes
 	dialTimeout  = 500 * time.Millisecond
 )
 
-// The first byte of a process's file.
+// Values of the first byte of an entry file.
 const (
 	servingMark      = 's'
 	shuttingDownMark = 'l'
@@ -39,22 +40,22 @@
 // SiblingCount counts the other processes of the gateway.
 type SiblingCount struct{ Serving, ShuttingDown int }
 
-// Registry is this process among those of its gateway. A nil one stands alone and keeps nothing.
+// Registry registers this process and finds its siblings. A nil Registry has no siblings and stores nothing.
 type Registry struct {
 	dir   string
 	name  string
 	files durable.FileSystem // of the overrides
 
 	mu    sync.Mutex
-	entry *os.File // locked for as long as the process lives; nil: not entered
+	entry *os.File // this process's entry file, locked while the process lives; nil: not entered
 }
 
-// New makes a registry for a folder. Its overrides can be read; siblings see this process once it has entered.
+// New creates a registry for a folder. The overrides can be read at once; siblings see this process after Enter.
 func New(dir string, files durable.FileSystem) *Registry {
 	return &Registry{dir: dir, name: entryPrefix + rand.Text()[:nameLen], files: files}
 }
 
-// Open enters this process in a folder, which is made.
+// Open creates a registry and enters this process in its folder, which is created if it does not exist.
 func Open(dir string) (*Registry, error) {
 	r := New(dir, durable.OS)
 	if err := r.Enter(); err != nil {
@@ -63,7 +64,7 @@
 	return r, nil
 }
 
-// Enter enters this process in the folder, which is made. It may be called again.
+// Enter enters this process in the folder, which is created if it does not exist. It may be called repeatedly.
 func (r *Registry) Enter() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,14 +74,14 @@
 	if err := os.MkdirAll(r.dir, 0o700); err != nil {
 		return err
 	}
-	// The file gets its name once it is locked: a sibling that found it unlocked would take this process for dead.
+	// The file gets its final name only once it is locked: a sibling that found it unlocked would take this process for dead.
 	temp := filepath.Join(r.dir, tempPrefix+rand.Text())
 	file, err := os.OpenFile(temp, os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
 	if err = tryLock(file); err == nil {
-		file.WriteAt([]byte{servingMark}, 0) // a full disk may have no block for it: a process with an empty file serves too
+		file.WriteAt([]byte{servingMark}, 0) // may fail on a full disk; an empty file counts as serving too
 		err = os.Rename(temp, filepath.Join(r.dir, r.name))
 	}
 	if err != nil {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// tryLock locks a file unless another open file has the lock.
+// tryLock locks a file without waiting, and fails if another open file holds the lock.
 func tryLock(file *os.File) error {
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
@@ -103,7 +104,7 @@
 	return r.entry != nil
 }
 
-// StopServing announces to the siblings that this process shuts down and takes nothing new any more.
+// StopServing announces to the siblings that this process is shutting down and accepts no new connections.
 func (r *Registry) StopServing() error {
 	if r == nil {
 		return nil
@@ -117,7 +118,7 @@
 	return err
 }
 
-// Close takes this process out of the folder.
+// Close removes this process's socket and entry from the folder.
 func (r *Registry) Close() error {
 	if r == nil {
 		return nil
@@ -133,12 +134,12 @@
 	return errors.Join(os.Remove(filepath.Join(r.dir, r.name)), r.entry.Close())
 }
 
-// socketPath is where the process of a name takes connections over.
+// socketPath returns the path of the socket on which the named process receives connections.
 func (r *Registry) socketPath(name string) string {
 	return filepath.Join(r.dir, socketPrefix+strings.TrimPrefix(name, entryPrefix))
 }
 
-// Listen opens the socket at which this process takes connections over from siblings; nil, where it stands alone.
+// Listen opens the socket on which this process receives connections from siblings. It returns nil for a nil Registry.
 func (r *Registry) Listen() (*net.UnixListener, error) {
 	if r == nil {
 		return nil, nil
@@ -146,7 +147,7 @@
 	return net.ListenUnix("unix", &net.UnixAddr{Name: r.socketPath(r.name), Net: "unix"})
 }
 
-// Successor returns how to dial a sibling that serves and takes connections over; nil: there is none.
+// Successor returns a function that dials a serving sibling which can receive connections; nil: there is none.
 func (r *Registry) Successor() func() (*net.UnixConn, error) {
 	for _, name := range r.servingSiblings() {
 		path := r.socketPath(name)
@@ -165,7 +166,7 @@
 	return conn.(*net.UnixConn), nil
 }
 
-// Siblings counts the other live processes, and removes the files of dead ones.
+// Siblings counts the other live processes, and removes the files of dead processes.
 func (r *Registry) Siblings() (count SiblingCount, err error) {
 	err = r.forEachSibling(func(_ string, shuttingDown bool) {
 		if shuttingDown {
@@ -177,7 +178,7 @@
 	return count, err
 }
 
-// servingSiblings names the siblings that serve.
+// servingSiblings returns the names of the siblings that serve.
 func (r *Registry) servingSiblings() (names []string) {
 	r.forEachSibling(func(name string, shuttingDown bool) {
 		if !shuttingDown {
@@ -187,7 +188,7 @@
 	return names
 }
 
-// forEachSibling calls visit for every other live process. An error says that there may be more.
+// forEachSibling calls visit for every other live process. An error means that some may have been missed.
 func (r *Registry) forEachSibling(visit func(name string, shuttingDown bool)) (failed error) {
 	if r == nil {
 		return nil
@@ -208,13 +209,13 @@
 	return failed
 }
 
-// visitSibling calls visit for the process of a file, or removes the file where its process is dead. After an error, such as for
-// want of descriptors, it is not known whether that process lives.
+// visitSibling calls visit for the process with this entry file, or removes the file if the process is dead. After an error, such
+// as a lack of descriptors, it is unknown whether that process is alive.
 func (r *Registry) visitSibling(name string, visit func(name string, shuttingDown bool)) error {
 	path := filepath.Join(r.dir, name)
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
 	if errors.Is(err, os.ErrNotExist) {
-		return nil // it has just gone
+		return nil // removed since the folder was read
 	}
 	if err != nil {
 		return err
--- a/internal/handover/registry_test.go
+++ b/internal/handover/registry_test.go
@@ -19,8 +19,8 @@
 	return registry
 }
 
-// Each process sees the others as they are: serving, shutting down, gone in good order, or killed, which leaves its file
-// behind but not the lock on it.
+// Each process sees the state of the others: serving, shutting down, closed, or killed, which leaves the entry file behind
+// but releases its lock.
 func TestSiblings(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "n1")
 	a, b := open(t, dir), open(t, dir)
@@ -43,12 +43,12 @@
 		}
 	}
 	if list, _ := filepath.Glob(filepath.Join(dir, entryPrefix+"*")); len(list) != 1 {
-		t.Errorf("what a killed process left is not cleared away: %v", list)
+		t.Errorf("files of a killed process are not removed: %v", list)
 	}
 }
 
-// Overrides given to two processes at once are all kept, a reader never sees half a file, and a damaged file costs
-// nothing that is in force.
+// Concurrent updates by two processes are all kept, a reader never sees a partial file, and an update of a damaged file
+// keeps the overrides in force.
 func TestOverrides(t *testing.T) {
 	dir := t.TempDir()
 	a, b := open(t, dir), open(t, dir)
@@ -87,7 +87,7 @@
 	if got, err := b.Read(); err != nil || !got.Draining {
 		t.Errorf("%+v %v", got, err)
 	}
-	var none *Registry // alone, nothing is kept
+	var none *Registry // no siblings, and nothing is stored
 	if o, err := none.Siblings(); err != nil || o != (SiblingCount{}) || none.StopServing() != nil || none.Close() != nil {
 		t.Errorf("%+v %v", o, err)
 	}
--- a/internal/handover/siblings_test.go
+++ b/internal/handover/siblings_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// An entry that can't be opened tells nothing of its process: taken for dead, that process and this one would each send as
-// much as the whole gateway may. The others are counted all the same.
+// An entry that can't be opened must not be taken for that of a dead process: otherwise that process and this one would each
+// use the limits of the whole gateway. The other entries are counted nevertheless.
 func TestUnreadableEntryIsNotTakenForDead(t *testing.T) {
 	dir := t.TempDir()
 	own, err := Open(dir)
@@ -32,6 +32,6 @@
 		t.Fatal(err)
 	}
 	if got, err := own.Siblings(); err != nil || got.Serving != 1 {
-		t.Errorf("once it has gone: %+v, %v", got, err)
+		t.Errorf("after its removal: %+v, %v", got, err)
 	}
 }
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -1,5 +1,5 @@
-// Package neterr tells the failures of this host's own network system calls from those of an endpoint and of the way to
-// it. The former say nothing of the endpoint: the host is short of descriptors, ports, memory or routes.
+// Package neterr distinguishes failures of this host's own network system calls from failures of an endpoint or the path to
+// it. Local failures, such as a lack of descriptors, ports, memory or routes, are no evidence against the endpoint.
 package neterr
 
 import (
@@ -8,27 +8,28 @@
 	"syscall"
 )
 
-// local lists what socket(2), bind(2), connect(2), accept(2), read(2) and write(2) report of this host. Not in the list,
-// as they tell of the endpoint or of the way to it: ECONNREFUSED, ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, EHOSTDOWN.
+// localErrnos lists the errors of socket(2), bind(2), connect(2), accept(2), read(2) and write(2) that are caused by this host.
+// These are not in the list, because the endpoint or the path to it causes them: ECONNREFUSED, ECONNRESET, EPIPE, ETIMEDOUT,
+// EHOSTUNREACH, EHOSTDOWN.
 var localErrnos = []syscall.Errno{
-	syscall.EMFILE,        // the process has no descriptor left
-	syscall.ENFILE,        // the system has none left
-	syscall.ENOBUFS,       // no buffer
-	syscall.ENOMEM,        // no memory
-	syscall.EADDRNOTAVAIL, // no port left towards this address
-	syscall.EADDRINUSE,    // the port that the system chose is taken
-	syscall.EAGAIN,        // no port left, or no room in the routing cache
-	syscall.ENETUNREACH,   // this host has no route
-	syscall.ENETDOWN,      // this host's interface is down
-	syscall.EPERM,         // this host's firewall
-	syscall.EACCES,        // this host's firewall or policy
-	syscall.EINTR,         // a signal ended the call
+	syscall.EMFILE,        // process descriptor limit reached
+	syscall.ENFILE,        // system descriptor limit reached
+	syscall.ENOBUFS,       // no buffer space
+	syscall.ENOMEM,        // out of memory
+	syscall.EADDRNOTAVAIL, // no free local port for this address
+	syscall.EADDRINUSE,    // the port chosen by the system is in use
+	syscall.EAGAIN,        // no free local port, or routing cache full
+	syscall.ENETUNREACH,   // no route from this host
+	syscall.ENETDOWN,      // network interface down
+	syscall.EPERM,         // rejected by this host's firewall
+	syscall.EACCES,        // rejected by this host's firewall or policy
+	syscall.EINTR,         // interrupted by a signal
 	syscall.EAFNOSUPPORT,
 	syscall.EPROTONOSUPPORT,
 }
 
-// Local tells whether an error is one of this host, so that no endpoint is to blame. A name that could not be looked up
-// is local too, unless the answer was that there is none: no endpoint was asked.
+// Local reports whether an error is caused by this host, and not by an endpoint. A failed name lookup is local too, because no
+// endpoint was contacted, unless the response was that the name does not exist.
 func Local(err error) bool {
 	if err == nil {
 		return false
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// Each documented error counts as this host's or as the endpoint's, however the net package wraps it.
+// Each documented errno is classified as local or not, however the net package wraps it.
 func TestLocal(t *testing.T) {
 	for errno, want := range map[syscall.Errno]bool{
 		syscall.EMFILE: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.ENOMEM: true, syscall.EADDRNOTAVAIL: true,
@@ -31,7 +31,7 @@
 	}
 }
 
-// What is no errno is the endpoint's or the caller's, but for a name that could not be looked up.
+// Errors without an errno are not local, except for a failed name lookup.
 func TestLocalOfOtherErrors(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -48,7 +48,7 @@
 	}
 }
 
-// A refused connection over a real socket is the endpoint's.
+// A refused connection on a real socket is not a local error.
 func TestConnectionRefusedIsNotLocal(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,7 +58,7 @@
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err == nil {
 		conn.Close()
-		t.Fatal("somebody listens")
+		t.Fatal("another process listens on the port")
 	}
 	if Local(err) {
 		t.Errorf("%v counts as local", err)
--- a/override_writer.go
+++ b/override_writer.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	writeAckTimeout = 500 * time.Millisecond // for which an admin call waits for the disk
-	writeTimeout    = 5 * time.Second        // of one write, with the wait for a sibling's lock
-	minWriteRetry   = 50 * time.Millisecond  // after a failed write, doubled with each further one
+	writeAckTimeout = 500 * time.Millisecond // how long an admin call waits for the disk
+	writeTimeout    = 5 * time.Second        // for one write, including the wait for a sibling's lock
+	minWriteRetry   = 50 * time.Millisecond  // backoff after a failed write, doubled with each further failure
 	maxWriteRetry   = time.Second
 )
 
-// errNotDurable says that an override is in force, and that neither the disk nor the sibling processes have it yet.
+// errNotDurable means that an override is in force here, but neither on disk nor visible to the sibling processes yet.
 var errNotDurable = errors.New("it holds here, and the other process can't be told yet")
 
-// writeWaiter is notified of the first attempt to write an override; its channels have room for one.
+// writeWaiter is notified of the first attempt to write an override. Its channels have a capacity of 1.
 type writeWaiter struct {
-	placed  chan struct{} // the sibling processes can read it
-	written chan error    // how the attempt ended
+	placed  chan struct{} // the sibling processes can read the override
+	written chan error    // the result of the attempt
 }
 
 func newWriteWaiter() writeWaiter {
@@ -52,7 +52,7 @@
 	}
 }
 
-// rewrite has stored overrides written again as they are; nothing else runs yet.
+// rewrite queues the stored overrides to be written again unchanged. It runs before all goroutines, so it takes no lock.
 func (a *adminState) rewrite(stored handover.Overrides) {
 	a.pendingWrite.drain(stored.Draining)
 	for _, id := range stored.Disabled {
@@ -61,8 +61,9 @@
 	a.requestWrite()
 }
 
-// awaitWrite has the newest override written, and waits up to writeAckTimeout for how that ends. It is no error where the
-// sibling processes can read the override and only the disk is late or refuses to sync: State reports that it is not durable.
+// awaitWrite requests a write of the newest override, and waits up to writeAckTimeout for the result. It returns nil if the
+// sibling processes can read the override and only the sync to disk is late or fails: State then reports that the override is
+// not durable.
 func (a *adminState) awaitWrite(ctx context.Context, waiter writeWaiter) error {
 	a.requestWrite()
 	timeout := time.NewTimer(writeAckTimeout)
@@ -85,7 +86,7 @@
 	}
 }
 
-// durable reports whether a process that starts after this one was killed finds the overrides in force; mu is held.
+// durable reports whether the overrides in force would survive a kill and restart of this process. The caller holds mu.
 func (a *adminState) durable() bool {
 	if a.registry == nil {
 		return !a.overrides.Draining && len(a.overrides.Disabled) == 0
@@ -93,7 +94,8 @@
 	return a.pendingWrite.count() == 0
 }
 
-// runWriter writes the pending overrides until ctx ends: at once when one is applied, and after a backoff when that failed.
+// runWriter writes the pending overrides until ctx ends: at once when an override is applied, and after a backoff when a write
+// failed.
 func (a *adminState) runWriter(ctx context.Context) {
 	backoff := minWriteRetry
 	var retry <-chan time.Time
@@ -114,7 +116,7 @@
 	}
 }
 
-// writePending writes what is not on disk yet, and reports whether that succeeded.
+// writePending writes the overrides that are not on disk yet, and reports whether that succeeded.
 func (a *adminState) writePending(ctx context.Context) bool {
 	a.mu.Lock()
 	batch := a.pendingWrite.clone()
@@ -137,7 +139,7 @@
 	return err == nil
 }
 
-// writeFailed notes that an attempt to write failed; the first failure in a row is logged.
+// writeFailed records a failed write, and logs it if the previous write succeeded.
 func (a *adminState) writeFailed(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -147,7 +149,7 @@
 	a.writeErr = err
 }
 
-// writeSucceeded notes that a batch is on disk, as part of the overrides written.
+// writeSucceeded records that a batch of changes is on disk, as part of the written overrides.
 func (a *adminState) writeSucceeded(batch overrideChanges, written handover.Overrides) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -158,8 +160,8 @@
 	a.pendingWrite.remove(batch)
 	a.overrides.Revision++
 	if written.Revision != a.overrides.Revision {
-		// A sibling wrote too, and its overrides are not in force here yet: one revision less, so that followSibling takes
-		// them up.
+		// A sibling wrote too, and its overrides are not in force here yet. With a lower revision, applySiblingOverrides
+		// applies them.
 		a.overrides.Revision = written.Revision - 1
 	}
 }
--- a/overrides.go
+++ b/overrides.go
@@ -11,23 +11,23 @@
 	"turnfork.dev/turnfork/internal/handover"
 )
 
-// override is one change to the overrides, as an operator asks for it.
+// override is one change to the overrides that an operator requests.
 type override interface {
-	// enforce has the core go by the override; it returns once the core does.
+	// enforce applies the override in the core, and returns once the core has done so.
 	enforce(ctx context.Context, a *adminState) error
 	// record adds the override to changes.
 	record(changes *overrideChanges)
 }
 
-// drainOverride starts the drain of the gateway, or ends it.
+// drainOverride starts or ends the drain of the gateway.
 type drainOverride struct{ on bool }
 
-// enforce does nothing: setOverrides hands the drain to the frontends.
+// enforce does nothing: setOverrides applies the drain to the frontends.
 func (drainOverride) enforce(context.Context, *adminState) error { return nil }
 
 func (o drainOverride) record(changes *overrideChanges) { changes.drain(o.on) }
 
-// disableOverride takes an endpoint out of service, or lets it serve again.
+// disableOverride excludes an endpoint or readmits it.
 type disableOverride struct {
 	endpoint uint32
 	on       bool
@@ -39,8 +39,9 @@
 
 func (o disableOverride) record(changes *overrideChanges) { changes.disable(o.endpoint, o.on) }
 
-// loadOverrides puts the stored overrides in force, before anything is sent. Overrides that are damaged beyond recovery are an
-// error, as to serve without them could be what they forbid. Those that can't be read at present are followed once they can be.
+// loadOverrides applies the stored overrides, before any request is sent. Overrides that are damaged beyond recovery are an
+// error, because serving without them might violate them. Overrides that can't be read at present are applied later by
+// watchSiblings.
 func (a *adminState) loadOverrides() error {
 	a.siblings, _ = a.registry.Siblings()
 	stored, incomplete, err := a.registry.Load()
@@ -49,7 +50,7 @@
 	}
 	a.logFileError(err)
 	if a.siblings.Serving+a.siblings.ShuttingDown == 0 {
-		// A drain ends with the last process that it was given to: a new start serves. Endpoints stay excluded.
+		// A drain ends with the last process that it applied to, so a gateway that starts anew serves. Endpoints stay excluded.
 		stored.Draining = false
 	}
 	for _, id := range stored.Disabled {
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// lock waits until no other override is being applied; false: ctx ended first. It is a channel, and not a mutex, as an admin
-// call has a deadline.
+// lock waits until no other override is being applied, and returns false if ctx ends first. The lock is a channel rather than a
+// mutex because an admin call has a deadline.
 func (a *adminState) lock(ctx context.Context) bool {
 	select {
 	case a.applyLock <- struct{}{}:
@@ -77,9 +78,9 @@
 
 func (a *adminState) unlock() { <-a.applyLock }
 
-// apply puts an override in force and then has it written, for a later start and for the sibling processes. A disk that stalls
-// or fails does not hold it up: the override is in force before anything is written, and without a sibling process the caller
-// gets no error, while State reports that it is not durable yet. The write is retried until it succeeds.
+// apply puts an override in force and then has it written, for later starts and for the sibling processes. A stalled or failing
+// disk does not delay the override, which is in force before it is written. Without sibling processes a failed write is not an
+// error for the caller: State reports that the override is not durable yet. The write is retried until it succeeds.
 func (a *adminState) apply(ctx context.Context, change override) error {
 	if !a.lock(ctx) {
 		return ctx.Err()
@@ -104,8 +105,8 @@
 	return err
 }
 
-// recordPending adds an override to those to be written. It returns the overrides with it, and whether this process has no
-// siblings.
+// recordPending adds an override to the pending writes. It returns the overrides that include it, and whether this process has
+// no siblings.
 func (a *adminState) recordPending(change override, waiter writeWaiter) (next handover.Overrides, alone bool) {
 	var changes overrideChanges
 	change.record(&changes)
@@ -121,8 +122,8 @@
 	return next, a.siblings == (handover.SiblingCount{})
 }
 
-// setOverrides notes the overrides in force from now on, and hands the drain to the frontends. The revision stays as it is: only
-// a write or a sibling's file alters it.
+// setOverrides sets the overrides in force, and applies the drain to the frontends. It keeps the revision, which changes only
+// with a write or with overrides read from a sibling.
 func (a *adminState) setOverrides(next handover.Overrides) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,7 +134,7 @@
 	}
 }
 
-// exclude has the core exclude an endpoint, or readmit it, and returns once the core has done so.
+// exclude posts an exclusion or readmission to the core, and returns once the core has applied it.
 func (a *adminState) exclude(ctx context.Context, event core.Exclude) error {
 	reply := make(chan error, 1)
 	event.Reply = reply
--- a/readiness.go
+++ b/readiness.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// notReadyReason says why a gateway is not ready, as the admin API reports it.
+// notReadyReason is a reason why a gateway is not ready, as the admin API reports it.
 type notReadyReason string
 
 const (
@@ -15,8 +15,7 @@
 	shuttingDownReason = "the process ends"
 )
 
-// readiness is what has yet to happen before the gateway is ready, and whether it is shutting down. The lock of adminState
-// guards it.
+// readiness holds the reasons why the gateway is not ready yet, and whether it is shutting down. adminState.mu guards it.
 type readiness struct {
 	notReady     map[notReadyReason]struct{}
 	shuttingDown bool
@@ -26,7 +25,7 @@
 	return readiness{notReady: map[notReadyReason]struct{}{notListening: {}}}
 }
 
-// reasons lists why the gateway is not ready, for the admin API; empty: it is ready.
+// reasons lists why the gateway is not ready, for the admin API. The list is empty if it is ready.
 func (r readiness) reasons(draining bool) (texts []string) {
 	for reason := range r.notReady {
 		texts = append(texts, string(reason))
@@ -41,7 +40,7 @@
 	return texts
 }
 
-// readyToListen reports whether nothing but the listening itself is left to happen.
+// readyToListen reports whether the gateway is ready except that it does not listen yet.
 func (r readiness) readyToListen() bool {
 	left := len(r.notReady)
 	if _, found := r.notReady[notListening]; found {
@@ -50,28 +49,28 @@
 	return left == 0
 }
 
-// markNotReady adds something that has yet to happen before the gateway is ready.
+// markNotReady adds a reason why the gateway is not ready.
 func (a *adminState) markNotReady(reason notReadyReason) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.readiness.notReady[reason] = struct{}{}
 }
 
-// markReady notes that what the gateway waited for has happened.
+// markReady removes a reason why the gateway was not ready.
 func (a *adminState) markReady(reason notReadyReason) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.readiness.notReady, reason)
 }
 
-// readyToListen reports whether nothing but the listening itself is left to happen.
+// readyToListen reports whether the gateway is ready except that it does not listen yet.
 func (a *adminState) readyToListen() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.readiness.readyToListen()
 }
 
-// beginShutdown marks the process as shutting down, here and for its siblings, and reports whether a sibling serves in its
+// beginShutdown marks this process as shutting down, announces that to its siblings, and reports whether a sibling serves in its
 // place.
 func (a *adminState) beginShutdown() (replaced bool) {
 	if err := a.registry.StopServing(); err != nil {
--- a/reload.go
+++ b/reload.go
@@ -9,9 +9,9 @@
 	"turnfork.dev/turnfork/discovery"
 )
 
-// watchReloads puts each configuration that is read anew into effect, until ctx ends. Requests do not notice: the endpoint list
-// is watched at its new address from the last number held, or a list that the file itself gives replaces the old one, and the
-// limits of the runtime are set again. What else the file says takes effect at the next start.
+// watchReloads applies each reloaded configuration until ctx ends, without an effect on requests in flight. The endpoint list is
+// watched at its new address from the last sequence number received, or a list in the file itself replaces the old one, and the
+// runtime limits are set again. All other settings take effect at the next start.
 func (gw *gateway) watchReloads(ctx context.Context) {
 	for {
 		select {
@@ -23,7 +23,7 @@
 	}
 }
 
-// reload puts one configuration into effect.
+// reload applies one configuration.
 func (gw *gateway) reload(ctx context.Context, node config.Node) {
 	Limit(node.Cores, node.MemoryMB)
 	switch {
@@ -44,8 +44,8 @@
 	gw.Log.Info().Str("changelog", node.Changelog).Msg("configuration reloaded")
 }
 
-// newWatcher makes the watcher of the endpoint list. It marks the gateway ready once the core holds the list as it was at the
-// start.
+// newWatcher creates the watcher of the endpoint list. Once the watcher has caught up for the first time, the gateway is marked
+// as ready in this respect.
 func (gw *gateway) newWatcher(ctx context.Context) *discovery.Watcher {
 	watcher := &discovery.Watcher{
 		Addr: gw.node.Changelog, Seq: gw.node.Seq, AddressChanges: gw.addressChanges, Post: gw.core.Post, Log: gw.Log,
@@ -55,8 +55,8 @@
 	return watcher
 }
 
-// awaitEndpoints waits until the core has taken in all that was posted to it so far, which a query that follows shows, and marks
-// the endpoint list as synced.
+// awaitEndpoints waits until the core has processed all events posted so far, and marks the endpoint list as synced. The core
+// handles events in order, so the reply to a query posted now shows that.
 func (gw *gateway) awaitEndpoints(ctx context.Context) {
 	reply := make(chan core.Stats, 1)
 	gw.core.Post(core.GetStats{Reply: reply})
--- a/shutdown.go
+++ b/shutdown.go
@@ -8,26 +8,26 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// Time limits of a process that is asked to end. The platform kills a process 0.7 s after the longest deadline of its classes,
-// of which it counts maxKillDeadline at most.
+// Time limits of a shutdown. The platform kills a process 0.7 s after the longest deadline of its classes, of which it counts at
+// most maxKillDeadline.
 const (
-	acceptWindow    = 1000 * time.Millisecond // after the signal: connections keep coming for a while
+	acceptWindow    = 1000 * time.Millisecond // after the signal, new connections still arrive for a while
 	maxKillDeadline = 3 * time.Second
 	shutdownSlack   = 550 * time.Millisecond // beyond the longest deadline
-	abortTimeout    = 100 * time.Millisecond // to write the responses to what is aborted then
-	flushDelay      = 20 * time.Millisecond  // for the last response to leave
+	abortTimeout    = 100 * time.Millisecond // to write the responses to aborted requests
+	flushDelay      = 20 * time.Millisecond  // for the last response to be sent
 
 	drainPollInterval    = 10 * time.Millisecond
 	handoverPollInterval = 5 * time.Millisecond
 	abortPollInterval    = 2 * time.Millisecond
 )
 
-// shutdownTimeout is the time that a process has to answer its requests once it is asked to end.
+// shutdownTimeout returns the time that a process has to answer its requests once it is asked to stop.
 func shutdownTimeout(node config.Node) time.Duration {
 	return min(longestDeadline(node), maxKillDeadline) + shutdownSlack
 }
 
-// longestDeadline is the longest deadline of the classes.
+// longestDeadline returns the longest deadline of the classes.
 func longestDeadline(node config.Node) (longest time.Duration) {
 	for _, class := range node.Settings.Classes {
 		longest = max(longest, class.Deadline)
@@ -35,7 +35,8 @@
 	return longest
 }
 
-// shutDown shuts the process down gracefully: its requests are answered, as far as the platform's time allows.
+// shutDown shuts the process down gracefully: requests are answered within the time that the platform allows, and those left
+// over are aborted.
 func (gw *gateway) shutDown(ctx context.Context) {
 	if gw.admin.beginShutdown() {
 		gw.handOver(ctx)
@@ -45,8 +46,8 @@
 	gw.abortOpenRequests(ctx)
 }
 
-// drain ends a process that no other one replaces: it accepts connections through acceptWindow, then waits until all requests
-// are answered.
+// drain prepares the exit of a process that no other one replaces: it accepts connections for acceptWindow, then waits until all
+// requests are answered.
 func (gw *gateway) drain(ctx context.Context) {
 	gw.Log.Info().Msg("shutdown started")
 	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout(gw.node))
@@ -57,8 +58,8 @@
 	wait(ctx, flushDelay)
 }
 
-// handOver ends a process that a successor replaces: it accepts no connection any more, hands its connections over or closes
-// each between requests, and waits until all requests are answered.
+// handOver prepares the exit of a process that a successor replaces: it stops accepting connections, hands its connections over
+// or closes each between requests, and waits until all requests are answered.
 func (gw *gateway) handOver(ctx context.Context) {
 	successor := gw.registry.Successor()
 	gw.Log.Info().Msg("handover started")
@@ -77,9 +78,9 @@
 	wait(ctx, flushDelay)
 }
 
-// abortOpenRequests answers what is still open when the time of a process that ends is up: a client that waits longer than the
-// platform lets the process live is told at once to retry, in place of a closed connection. What comes meanwhile is rejected,
-// and each connection is closed by its reader once all that was read on it is answered.
+// abortOpenRequests aborts the requests that are still open at the end of the shutdown time. A client with a longer deadline
+// gets a response at once, in place of a closed connection. Requests that arrive meanwhile are rejected, and each connection's
+// reader closes it once all requests read from it are answered.
 func (gw *gateway) abortOpenRequests(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, abortTimeout)
 	defer cancel()
@@ -99,7 +100,7 @@
 	})
 }
 
-// stoppables are the servers of all listeners.
+// stoppableServers returns the servers of all listeners.
 func (gw *gateway) stoppableServers() (servers []stoppableServer) {
 	for _, f := range gw.frontends {
 		servers = append(servers, f)
@@ -123,7 +124,7 @@
 	}
 }
 
-// stopRequested reports whether a process has been asked to end.
+// stopRequested reports whether the process has been asked to stop, or ctx has ended.
 func stopRequested(ctx context.Context, stop <-chan struct{}) bool {
 	select {
 	case <-stop:
--- a/siblings.go
+++ b/siblings.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	siblingCheckInterval = 50 * time.Millisecond // of the siblings and their overrides: well inside the grace for a disabled endpoint
+	siblingCheckInterval = 50 * time.Millisecond // well below the grace period of a disabled endpoint
 	stallLogThreshold    = 500 * time.Millisecond
-	siblingReadTimeout   = 200 * time.Millisecond // for one look at a sibling's overrides
+	siblingReadTimeout   = 200 * time.Millisecond // for one check of the siblings' overrides
 	enterRetryInterval   = time.Second            // while the shared folder can't be written
 )
 
-// folderNameChars are the characters of a name or address that its folder keeps.
+// folderNameChars are the characters that folderName keeps.
 const folderNameChars = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-"
 
-// openRegistry enters the process among the siblings of its gateway, in the folder that they share. Where that folder can't be
-// written at present, the process serves nevertheless, goes by the overrides that can be read there, and enters later. It
-// returns nil, so that the process stands alone, without a folder, and for a port of the system's choice, as no other process
-// can be meant to listen there too.
+// openRegistry registers the process in the folder that the processes of a gateway share. If the folder can't be written at
+// present, the process serves nevertheless, applies the overrides that can be read there, and registers later. The result is
+// nil, so that the process has no siblings, without a shared folder and with a port chosen by the system, because no other
+// process can listen on the same one.
 func openRegistry(dir string, files durable.FileSystem, node config.Node, suffix string, log zerolog.Logger) *handover.Registry {
 	if dir == "" || listensOnAnyPort(node) {
 		return nil
@@ -49,7 +49,7 @@
 	return err == nil && port == "0" && node.SocketFD == 0
 }
 
-// folderName replaces what may not stand in the name of a folder.
+// folderName replaces the characters that may not occur in the name of a folder.
 func folderName(text string) string {
 	replace := func(r rune) rune {
 		if strings.ContainsRune(folderNameChars, r) {
@@ -60,7 +60,7 @@
 	return strings.Map(replace, text)
 }
 
-// enterRegistry enters the process in the shared folder once that can be written, until ctx ends.
+// enterRegistry retries the registration in the shared folder until it succeeds or ctx ends.
 func (a *adminState) enterRegistry(ctx context.Context) {
 	if a.registry == nil || a.registry.Entered() {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// logFileError logs an error of the shared folder, once as long as it stays the same.
+// logFileError logs an error of the shared folder unless it repeats the previous one.
 func (a *adminState) logFileError(err error) {
 	text := ""
 	if err != nil {
@@ -92,8 +92,8 @@
 	a.lastFileError = text
 }
 
-// watchSiblings looks at the sibling processes and at the overrides given to them, until ctx ends. A process that got no
-// processor time and a folder that answers late look alike from outside: both are logged.
+// watchSiblings polls the sibling processes and their overrides until ctx ends. A process that gets no processor time and a
+// slow shared folder have the same effect on other processes, so each is logged by its own message.
 func (a *adminState) watchSiblings(ctx context.Context) {
 	if a.registry == nil {
 		return
@@ -119,7 +119,7 @@
 	}
 }
 
-// refreshSiblings counts the sibling processes anew, and divides the limits among another number of processes.
+// refreshSiblings counts the sibling processes, and divides the limits anew when their number has changed.
 func (a *adminState) refreshSiblings() {
 	siblings, err := a.registry.Siblings()
 	a.mu.Lock()
@@ -136,21 +136,21 @@
 	}
 }
 
-// processCount is how many processes make up this gateway; mu is held.
+// processCount returns the number of processes of this gateway. The caller holds mu.
 func (a *adminState) processCount() int { return 1 + a.siblings.Serving + a.siblings.ShuttingDown }
 
-// noSiblingServes reports whether no other process serves.
+// noSiblingServes reports whether no sibling process serves.
 func (a *adminState) noSiblingServes() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.siblings.Serving == 0
 }
 
-// followSibling puts in force here what was given to a sibling process. Where that fails it is tried again at the next look.
+// applySiblingOverrides applies overrides that a sibling process has written. After a failure the next poll retries.
 func (a *adminState) applySiblingOverrides(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, siblingReadTimeout)
 	defer cancel()
-	stored, err := a.registry.Read() // without the lock: an override must not wait for a disk
+	stored, err := a.registry.Read() // without the lock, so that no override waits for the disk
 	if !a.lock(ctx) {
 		return
 	}
@@ -163,7 +163,7 @@
 	if err != nil || stored.Revision <= inForce.Revision {
 		return
 	}
-	pendingWrite.applyTo(&stored) // no file has these yet: without them the file would undo them
+	pendingWrite.applyTo(&stored) // the file lacks these changes and must not undo them
 	a.log.Info().Uint64("revision", stored.Revision).Msg("sibling overrides received")
 	if a.excludeChanged(ctx, inForce.Disabled, stored.Disabled) != nil {
 		return
@@ -174,7 +174,7 @@
 	a.setOverrides(stored)
 }
 
-// excludeChanged has the core readmit the endpoints that are no longer disabled, and exclude those that newly are.
+// excludeChanged readmits the endpoints that are no longer disabled, and excludes the newly disabled ones.
 func (a *adminState) excludeChanged(ctx context.Context, before, after []uint32) error {
 	for _, id := range before {
 		if slices.Contains(after, id) {
--- a/turnfork.go
+++ b/turnfork.go
@@ -1,10 +1,10 @@
-// Package turnfork is a cache gateway. Frontends accept requests, a core with the decision module (package control) decides which
-// endpoint each goes to, and upstreams speak with the endpoints. [Run] puts all of it together and serves; the packages below can
-// also be put together in other ways.
+// Package turnfork is a cache gateway. Frontends accept requests, a core with the decision module (package control) selects the
+// endpoint for each request, and upstreams communicate with the endpoints. [Run] assembles these parts and serves; the packages
+// can also be combined in other ways.
 //
-// The package owns the life of a process: the assembly (gateway.go, frontends.go), its parts of the machine
-// (connection_limits.go), readiness and the operators' overrides (admin.go and its neighbours), configuration reloads
-// (reload.go), and the end of a process by a drain or by a handover to its successor (shutdown.go, handover.go).
+// This package owns the lifecycle of a process: the assembly (gateway.go, frontends.go), its shares of descriptors and memory
+// (connection_limits.go), readiness and the operators' overrides (admin.go and the files that it names), configuration reloads
+// (reload.go), and shutdown, by a drain or by a handover to a successor (shutdown.go, handover.go).
 package turnfork
 
 import (
@@ -19,40 +19,40 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// Config is what a gateway is made of.
+// Config configures a gateway.
 type Config struct {
 	Node     config.Node
-	Operator *config.Operator // the signed frontend and what goes with it; nil on the platform
+	Operator *config.Operator // the signed frontend and its settings; nil on the platform
 	Log      zerolog.Logger
-	Clock    *clock.Clock // nil: the system's
+	Clock    *clock.Clock // nil: the system clock
 
-	SharedDir string             // a folder that the processes of this gateway share; "": this one stands alone
-	Stop      <-chan struct{}    // closed: shut down gracefully; the end of Run's context ends at once
-	Reload    <-chan config.Node // a configuration read anew; nil: none comes
+	SharedDir string             // folder shared by the processes of this gateway; "": single process
+	Stop      <-chan struct{}    // closed: shut down gracefully; cancelling Run's context stops at once
+	Reload    <-chan config.Node // reloaded configurations; nil: no reloads
 	Ready     func(Addrs)        // called once the frontends listen; nil: not called
 
-	// Tap wraps the frontends' connections, for recording; nil: none are recorded.
+	// Tap wraps the frontends' connections in order to record them; nil: no recording.
 	Tap func(frontend string, conn net.Conn) net.Conn
 
-	Distribution distribution.Timing // of the replicated state's way here; the zero value takes the defaults
+	Distribution distribution.Timing // timing of the replicated state's distribution; zero value: defaults
 
-	files    durable.FileSystem                             // of the overrides in SharedDir; nil: the system's
-	openLogs func(path string) (replica.LogDatabase, error) // of a voter's log; nil: replica.OpenLogDatabase
+	files    durable.FileSystem                             // stores the overrides in SharedDir; nil: the system's
+	openLogs func(path string) (replica.LogDatabase, error) // opens a voter's log; nil: replica.OpenLogDatabase
 }
 
-// Addrs are the addresses that the gateway listens on, nil where one is off.
+// Addrs are the addresses that the gateway listens on; the address of a disabled listener is nil.
 type Addrs struct {
 	FastCGI, Signed, Admin net.Addr
 	Fronts                 Fronts
 }
 
-// Fronts take connections from elsewhere than their listener.
+// Fronts let a caller pass connections to the frontends directly, without their listeners.
 type Fronts struct {
-	FastCGI, Signed func(net.Conn) // each returns when the connection has ended; nil: off
-	Open            func() int     // the requests of both that are not yet answered
+	FastCGI, Signed func(net.Conn) // each returns when the connection has closed; nil: frontend disabled
+	Open            func() int     // number of unanswered requests of both frontends
 }
 
-// Run serves until ctx ends, or until Stop is closed and the requests in flight are answered.
+// Run serves until ctx ends, or until Stop is closed and the shutdown that follows has completed.
 func Run(ctx context.Context, cfg Config) error {
 	ctx, end := context.WithCancel(ctx)
 	defer end()
