--- a/admin_test.go
+++ b/admin_test.go
@@ -13,7 +13,7 @@
 	"turnfork.dev/turnfork/internal/handover"
 )
 
-// fakeFrontend notes whether it is drained.
+// fakeFrontend records whether it is drained.
 type fakeFrontend struct{ draining bool }
 
 func (f *fakeFrontend) Serve(context.Context, net.Listener) error { return nil }
@@ -24,9 +24,9 @@
 func (f *fakeFrontend) HandOver(func() (*net.UnixConn, error))    {}
 func (f *fakeFrontend) SetProcessShare(int, int)                  {}
 
-// An override is in force though it can't be written, as while a disk stalls or a sibling process keeps the lock: without a
-// sibling its caller gets no error; with one, which can't know of it yet, an error. It is written once that can be, and nothing
-// read meanwhile undoes it.
+// An override is in force even while it can't be written, because a disk stalls or a sibling process holds the lock. Without a
+// sibling the caller gets no error; with a sibling, which can't read the override yet, it gets one. The override is written once
+// that is possible, and overrides read meanwhile do not undo it.
 func TestOverrideInForceBeforeItIsWritten(t *testing.T) {
 	dir := t.TempDir()
 	registry, err := handover.Open(dir)
@@ -49,16 +49,16 @@
 	defer end()
 	go admin.runWriter(ctx)
 	if err := admin.Drain(ctx, true); err != nil || !f.draining || !admin.State().Draining {
-		t.Errorf("alone: %v, front %t, %+v", err, f.draining, admin.State())
+		t.Errorf("without siblings: %v, frontend draining %t, %+v", err, f.draining, admin.State())
 	}
 	admin.mu.Lock()
 	admin.siblings.Serving = 1
 	admin.mu.Unlock()
 	if err := admin.Drain(ctx, true); err == nil || !admin.State().Draining {
-		t.Errorf("with another process that can't be told: %v", err)
+		t.Errorf("with a sibling that can't read the override: %v", err)
 	}
 	if admin.applySiblingOverrides(ctx); !admin.State().Draining {
-		t.Error("what was read undid an override that waits to be written")
+		t.Error("the stored overrides undid a pending one")
 	}
 	lock.Close()
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -68,10 +68,10 @@
 			break
 		}
 		if admin.mu.Unlock(); time.Now().After(end) {
-			t.Fatalf("never written: %+v %v", s, err)
+			t.Fatalf("override not written within 30 s: %+v %v", s, err)
 		}
 	}
 	if err := admin.Drain(ctx, false); err != nil || f.draining {
-		t.Errorf("%v, front %t", err, f.draining)
+		t.Errorf("undrain: %v, frontend draining %t", err, f.draining)
 	}
 }
--- a/claims_test.go
+++ b/claims_test.go
@@ -23,7 +23,7 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// trio is three gateways, each with its member of the replicated store on disk, in mutual TLS.
+// gatewayGroup is a group of three gateways, each with its own member of the replicated store on disk, connected by mutual TLS.
 type gatewayGroup struct {
 	*testing.T
 	members   []replica.Member
@@ -36,19 +36,19 @@
 	runs      atomic.Int64
 	fault     atomic.Pointer[leaderFault]
 	killed    chan struct{}
-	victim    int // the member that was killed, once killed is closed
+	victim    int // the killed member, valid once killed is closed
 
-	openLogs func(path string) (replica.LogDatabase, error) // of a gateway that is a member; nil: the system's
+	openLogs func(path string) (replica.LogDatabase, error) // opens the log of a gateway that is a member; nil: the default
 }
 
-// fault kills the leader at one step of a claim, before it is proposed or once it is agreed on; then the answer to the
-// step is lost too.
+// leaderFault kills the leader at one step of a claim: before the step is proposed, or after it is committed, in which case the
+// response to the step is lost too.
 type leaderFault struct {
 	op    claims.Op
 	after bool
 }
 
-// faulty is a member that meets the trio's fault.
+// faultyMember is a member that triggers the group's fault.
 type faultyMember struct {
 	*replica.Store
 	group *gatewayGroup
@@ -65,7 +65,7 @@
 	}
 	f.Store.Step(ctx, name, s)
 	f.group.kill(f.group.leader())
-	return claims.Record{}, false, errors.New("the leader is gone")
+	return claims.Record{}, false, errors.New("leader killed")
 }
 
 func (c *gatewayGroup) leader() int {
@@ -85,7 +85,7 @@
 	close(c.killed)
 }
 
-// awaitKill waits for the fault to be met, and gives the member that was killed.
+// awaitKill waits until the fault is triggered, and returns the killed member.
 func (c *gatewayGroup) awaitKill() (victim int) {
 	c.Helper()
 	select {
@@ -96,7 +96,7 @@
 	return c.victim
 }
 
-// isDead tells whether a member was killed.
+// isDead reports whether a member was killed.
 func (c *gatewayGroup) isDead(member int) bool {
 	select {
 	case <-c.killed:
@@ -106,17 +106,17 @@
 	}
 }
 
-// trios counts the trios of this process.
+// groupCount counts the groups of this process.
 var groupCount atomic.Int32
 
-// newTrio starts three members; deadline, in ms, is ride-end's.
+// newGatewayGroup starts three members. deadline is that of the class ride-end, in ms.
 func newGatewayGroup(t *testing.T, deadline float64) *gatewayGroup {
 	c := &gatewayGroup{T: t, clock: clock.System(), killed: make(chan struct{}), dirs: []string{t.TempDir(), t.TempDir(), t.TempDir()}}
 	var err error
 	if c.keys, err = ring.New([]token.Key{{ID: "url", Kind: token.HMAC, Secret: urlSecret}}); err != nil {
 		t.Fatal(err)
 	}
-	// Addresses of their own: while a member is down, no connection that leaves from 127.0.0.1 has its port.
+	// Each member has its own address, so that no outgoing connection from 127.0.0.1 takes its port while it is down.
 	n := byte(groupCount.Add(1))
 	at := func(i int) net.IP { return net.IPv4(127, 77, n, byte(i+1)) }
 	if c.cert, err = fakestore.Authority(at(0), at(1), at(2)); err != nil {
@@ -140,7 +140,7 @@
 
 func (c *gatewayGroup) listen(addr string) net.Listener {
 	c.Helper()
-	// The port of a member that has ended may be lent to another connection of this machine for a while.
+	// Another connection of this machine may use the port of a stopped member for a while.
 	l, err := net.Listen("tcp", addr)
 	for limit := time.Now().Add(20 * time.Second); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(limit); {
 		time.Sleep(10 * time.Millisecond)
@@ -152,7 +152,7 @@
 	return l
 }
 
-// open starts a member and its gateway: on a listener, or with nil where it listened before.
+// openMember starts a member and its gateway, on a listener or, if l is nil, on the member's former address.
 func (c *gatewayGroup) openMember(i int, l net.Listener, deadline float64) {
 	c.Helper()
 	if l == nil {
@@ -171,7 +171,7 @@
 	c.frontends[i] = c.newFrontend(faultyMember{c.stores[i], c}, deadline, 20000)
 }
 
-// front is a gateway on a member; a claim may take claimMost ms.
+// newFrontend returns a frontend that claims tokens at a member. A claim may take up to claimMost ms.
 func (c *gatewayGroup) newFrontend(member signed.Claims, deadline, claimMost float64) *signed.Front {
 	return signed.New(signed.Options{
 		Post: answeringCore(&c.runs), Clock: c.clock, Log: zerolog.Nop(), Ring: c.keys, Claims: member, Leeway: 10000,
@@ -179,7 +179,7 @@
 	})
 }
 
-// url signs a ride's end.
+// url returns a signed URL of a ride-end request.
 func (c *gatewayGroup) url(nonce string) string {
 	c.Helper()
 	u, err := c.keys.Issue("url", token.Terms{URI: rideEnd, Until: c.clock.Unix()/1000 + 600, ID: nonce})
@@ -189,7 +189,7 @@
 	return u.URL
 }
 
-// ride ends a ride at a gateway, over a pipe: the status and what its claim is said to be.
+// endRide sends a ride-end request to a frontend over a pipe, and returns the status and the reported state of the claim.
 func (c *gatewayGroup) endRide(f *signed.Front, url string) (int, string) {
 	c.Helper()
 	client, server := net.Pipe()
@@ -203,8 +203,9 @@
 	return resp.StatusCode, resp.Header.Get("X-Claim")
 }
 
-// The leader is killed at each step of a claim, before and after it is agreed on, under a client that retries at the
-// members in turn: one final answer that is the truth, one ride at most, and all members say the same once it is back.
+// The leader is killed at each step of a claim, before and after the step is committed, while a client retries at the members in
+// turn. The client must get one correct final response, the request must run at most once, and all members must report the same
+// state once the killed member is back.
 func TestLeaderKilledAtEachStep(t *testing.T) {
 	for _, op := range []claims.Op{claims.Hold, claims.Send, claims.Settle} {
 		for _, after := range []bool{false, true} {
@@ -227,10 +228,10 @@
 						}
 						time.Sleep(20 * time.Millisecond)
 					}
-					victim := c.awaitKill() // also where the end is recorded after the answer
-					// Whoever leads at the step is killed, which need not be who led as the test began.
+					victim := c.awaitKill() // the outcome may be recorded after the response
+					// The killed member is the leader at the step, which may differ from the leader at the start of the test.
 					ownMemberKilled := victim == first
-					// A gateway whose own member dies with the step to sent can't tell anybody that it did not send.
+					// A gateway whose own member dies at the Send step can't record that the request was not sent.
 					sendOutcomeLost := ownMemberKilled && op == claims.Send && after
 					if !sendOutcomeLost && (code != 200 || c.runs.Load() != 1) || sendOutcomeLost && (code != 403 || claim != "sent" || c.runs.Load() != 0) {
 						t.Fatalf("%d %q, ran %d times", code, claim, c.runs.Load())
@@ -249,13 +250,13 @@
 								t.Fatalf("replay at %d: %d", i, code)
 							}
 						}
-						// Its own member died before the end was agreed on: then it stays sent.
+						// If the gateway's own member died before the outcome was committed, the claim stays in the state "sent".
 						if (sendOutcomeLost || ownMemberKilled && op == claims.Settle && !after) && claimCounts["sent"] == 3 || time.Now().After(waitUntil) {
 							break
 						}
 					}
 					if c.runs.Load() > 1 || len(claimCounts) != 1 {
-						t.Errorf("ran %d times, members say %v", c.runs.Load(), claimCounts)
+						t.Errorf("ran %d times, members report %v", c.runs.Load(), claimCounts)
 					}
 				})
 			}
--- a/clock_step_test.go
+++ b/clock_step_test.go
@@ -12,18 +12,18 @@
 
 const hour = 3600 * 1000.0 // ms
 
-// A token's dates are judged by the wall clock as it is when a request arrives: what a step makes of them holds as long as the
-// clock is so. Its single use is the group's, which goes by no wall clock.
+// A token's dates are checked against the wall clock at the request's arrival, so a clock step affects them for as long as it
+// lasts. Single use is enforced by the group, which does not depend on the wall clock.
 func TestTokenDatesFollowWallClock(t *testing.T) {
 	s := newSignedGateway(t, nil)
 	u := s.url(tile, 60, "read")
 	once := s.url(rideEnd, 60, "once")
 	if code, _, _ := s.do("POST", once, ""); code != 200 {
-		t.Fatalf("the first use: %d", code)
+		t.Fatalf("first use: %d", code)
 	}
 	s.clock.Step(hour)
-	s.expect("a valid token, an hour ahead", 403, "expired", "GET", u)
-	s.expect("a token of this clock", 200, "", "GET", s.url(tile, 60, "ahead"))
+	s.expect("a valid token, clock an hour ahead", 403, "expired", "GET", u)
+	s.expect("a token issued by the stepped clock", 200, "", "GET", s.url(tile, 60, "ahead"))
 	s.clock.Step(-hour)
 	s.expect("back again", 200, "", "GET", u)
 	s.expectReplayed("back again", once)
@@ -34,9 +34,9 @@
 
 	s.clock.Advance(20 * 60 * 1000)
 	s.expect("expired", 403, "expired", "GET", u)
-	for i := range 2 { // the group forgets the claim
+	for i := range 2 { // after these, the group has deleted the expired claim
 		if code, _, _ := s.do("POST", s.url(rideEnd, 60, fmt.Sprint("later", i)), ""); code != 200 {
-			t.Fatalf("a later use: %d", code)
+			t.Fatalf("use of a later token: %d", code)
 		}
 	}
 	s.clock.Step(-hour)
@@ -47,7 +47,8 @@
 	}
 }
 
-// A step while a request is in hand neither ends what its token allows nor prolongs it, for attempts and for the client's cache.
+// A clock step while a request is in flight neither shortens nor extends the validity of its token, for attempts or for the
+// max-age that the client's cache gets.
 func TestClockStepDuringRequest(t *testing.T) {
 	maxAge := regexp.MustCompile(`max-age=(\d+)`)
 	for _, x := range []struct {
@@ -80,7 +81,7 @@
 		s.clock.Step(x.clockStep)
 		s.clock.Advance(x.elapsed)
 		responses <- "NOENT"
-		responses <- "ACK" // of a fill, where one may start
+		responses <- "ACK" // for a fill, if one may start
 		resp := <-answered
 		resp.Body.Close()
 		if resp.StatusCode != x.status {
--- a/flood_test.go
+++ b/flood_test.go
@@ -24,7 +24,7 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// lines counts the lines of a log.
+// lineCounter counts the lines of a log.
 type lineCounter struct{ n atomic.Int64 }
 
 func (l *lineCounter) Write(b []byte) (int, error) {
@@ -32,8 +32,8 @@
 	return len(b), nil
 }
 
-// A source that tries tokens out is refused before they are checked, told when to come back, and forgiven in time;
-// others go on as before, and an honest client behind the same address gets through. The log stays short.
+// An address that sends forged tokens is rejected before its tokens are checked, gets a Retry-After, and is accepted again
+// later. Other addresses are not affected, and a legitimate client behind the same address is still served.
 func TestForgedTokensAreThrottled(t *testing.T) {
 	s := newSignedGateway(t, nil)
 	forged := strings.Replace(s.url(tile, 600, "f"), "signature=", "signature=A", 1)
@@ -47,30 +47,31 @@
 		code, retryHeader := from("127.0.0.2", forged)
 		codes[code]++
 		if code == 429 && retryHeader == "" {
-			t.Error("no advice when to come back")
+			t.Error("429 without Retry-After")
 		}
 	}
-	if codes[403] != 120 || codes[429] != 30 { // a hundred are forgiven, and a burst of twenty is checked
+	if codes[403] != 120 || codes[429] != 30 { // a hundred failures are tolerated, and then a burst of twenty is checked
 		t.Errorf("%v", codes)
 	}
 	if code, _ := from("127.0.0.2", good); code != 429 {
-		t.Errorf("beside the flood, at once: %d", code)
+		t.Errorf("valid token from the throttled address, at once: %d", code)
 	}
-	s.clock.Advance(50) // one check's worth
+	s.clock.Advance(50) // refills the limiter by one check
 	if code, _ := from("127.0.0.2", good); code != 200 {
-		t.Errorf("beside the flood, at its rate: %d", code)
+		t.Errorf("valid token from the throttled address, after 50 ms: %d", code)
 	}
 	if code, _ := from("127.0.0.3", good); code != 200 {
 		t.Errorf("from another address: %d", code)
 	}
 	s.clock.Advance(2000)
 	if code, _ := from("127.0.0.2", good); code != 200 {
-		t.Errorf("forgiven: %d", code)
+		t.Errorf("valid token from the formerly throttled address: %d", code)
 	}
 }
 
-// load has clients ask for a URL over and over until a time, each on a connection of its own from an address. It counts
-// the answers that are good and the others, and reads them leanly, so that the figures are the gateway's.
+// startClients starts clients that request a URL repeatedly until a given time, each on its own connection from the address
+// from. It counts the 2xx responses in good and the others in other. Responses are parsed minimally, so that the results measure
+// the gateway and not the clients.
 func startClients(b *testing.B, wg *sync.WaitGroup, addr, from, url string, clients int, until time.Time, good, other *atomic.Int64) {
 	sendUntilDeadline := func() error {
 		dial := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
@@ -112,8 +113,8 @@
 	}
 }
 
-// BenchmarkFlood measures the good clients' rate alone and beside 64 connections that send forged links from another
-// address, in one run, and the lines that the log grows by.
+// BenchmarkFlood measures the request rate of legitimate clients alone and beside 64 connections that send forged links from
+// another address, and the number of log lines written meanwhile.
 func BenchmarkFlood(b *testing.B) {
 	store, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
 		return "ACK", "tag=00000000000000aa,why=local,minted=1799999990000", []byte("piece"), true
@@ -153,7 +154,8 @@
 	}
 }
 
-// depotOf runs a gateway with one store and two keys, "url" and "other", and what more its operator's file says.
+// startGatewayWithKeys runs a gateway with one endpoint and the two keys "url" and "other". more is appended to its operator's
+// file.
 func startGatewayWithKeys(t testing.TB, store *fakestore.Store, log zerolog.Logger, clk *clock.Clock, more string) (addr string, keys *ring.Ring, stop func()) {
 	text := anyPortConfig + classConfig("firmware", "deadline_ms = 5000") + endpointsConfig(store.Addr()) +
 		hmacKeyConfig("url", "a2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=") +
@@ -169,7 +171,7 @@
 	return addr, keys, stop
 }
 
-// getFrom asks for a URL from an address, on a connection of its own.
+// getFrom requests a URL on a new connection from the given local address.
 func getFrom(t testing.TB, from, url string) (*http.Response, string) {
 	dial := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 	client := &http.Client{Transport: &http.Transport{DialContext: dial.DialContext, DisableKeepAlives: true}}
@@ -183,7 +185,7 @@
 	return resp, string(b)
 }
 
-// runGateway runs a gateway by an operator's file until stop.
+// runGateway runs a gateway with an operator's file until stop is called.
 func runGateway(b testing.TB, o *config.Operator, log zerolog.Logger, clk *clock.Clock) (addr string, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ready, ended := make(chan Addrs, 1), make(chan error, 1)
@@ -200,7 +202,8 @@
 	}
 }
 
-// Limits of the operator's file hold over sockets: by grant, by key, by client, and in hand; others go on.
+// The limits of the operator's file are enforced per grant, per key and per client, for request rates, bandwidth and requests
+// in flight. Clients, keys and grants below their limits are served.
 func TestFrontendLimits(t *testing.T) {
 	release := make(chan struct{})
 	store, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
@@ -233,7 +236,7 @@
 		}
 		resp, text := getFrom(t, from, "http://"+addr+u.URL)
 		if resp.StatusCode == 429 && (resp.Header.Get("Retry-After") == "" || resp.Header.Get("X-Throttle-Ms") == "") {
-			t.Error("no advice when to come back")
+			t.Error("429 without Retry-After or X-Throttle-Ms")
 		}
 		return resp.StatusCode, text
 	}
@@ -248,10 +251,10 @@
 		}
 	}
 	var wg sync.WaitGroup
-	for i := range 2 { // in hand until let go
+	for i := range 2 { // in flight until released
 		wg.Go(func() {
 			if code, _ := get("127.0.0.2", "url", fmt.Sprint("c", i), "9"); code != 200 {
-				t.Errorf("held: %d", code)
+				t.Errorf("request in flight: %d", code)
 			}
 		})
 	}
--- a/graceful_shutdown_test.go
+++ b/graceful_shutdown_test.go
@@ -17,14 +17,14 @@
 	"turnfork.dev/turnfork/internal/fakestore"
 )
 
-// watchedConn counts the bytes that the gateway has read of a connection, and holds one read up once it is told to.
+// watchedConn counts the bytes that the gateway has read from a connection, and blocks one read after holdNextRead is set.
 type watchedConn struct {
 	*net.TCPConn
 	bytesRead    atomic.Int64
 	holdNextRead atomic.Bool
-	readDone     chan struct{} // closed once a read that is held up has taken its bytes
-	resume       chan struct{} // closed by the test: it returns
-	closing      chan struct{} // closed once the connection is closed, or its reader is told to
+	readDone     chan struct{} // closed once the blocked read has received its bytes
+	resume       chan struct{} // closed by the test to unblock the read
+	closing      chan struct{} // closed once the connection is closed or its reader is interrupted
 	once         sync.Once
 }
 
@@ -50,15 +50,15 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// endingGateway is a gateway on the platform with one store, whose connections are watched.
+// stoppingGateway is a gateway on the platform with one endpoint, whose client connections are watched.
 type stoppingGateway struct {
 	addr     string
 	accepted chan *watchedConn
-	stop     chan struct{} // closed: it is asked to end
+	stop     chan struct{} // closed to request the shutdown
 	ended    chan error
 }
 
-const stoppingGatewayDeadline = 1800 * time.Millisecond // the only class's, in coldFleet
+const stoppingGatewayDeadline = 1800 * time.Millisecond // of the only class in coldEndpointConfig
 
 func newStoppingGateway(t *testing.T, handle func(fakestore.Call) (string, string, []byte, bool)) *stoppingGateway {
 	store, err := fakestore.Listen("127.0.0.1:0", handle)
@@ -94,7 +94,7 @@
 	return g
 }
 
-// connect opens a connection, and gives both ends.
+// connect opens a connection, and returns its client and server ends.
 func (g *stoppingGateway) connect(t *testing.T) (net.Conn, *watchedConn) {
 	nc, err := net.Dial("tcp", g.addr)
 	if err != nil {
@@ -109,7 +109,8 @@
 	return "ACK", "tag=00000000000000aa,why=local,minted=1799999990000", []byte("piece"), true
 }
 
-// A request that has been read when a process ends, and of which nobody knows yet, is answered before its connection closes.
+// A request that a blocked read has received when the shutdown begins, but that is not registered yet, is answered before its
+// connection closes.
 func TestRequestReadDuringShutdownIsAnswered(t *testing.T) {
 	g := newStoppingGateway(t, answerImmediately)
 	nc, conn := g.connect(t)
@@ -125,15 +126,15 @@
 	<-conn.closing
 	close(conn.resume)
 	if err := readEnds(in, 1, answered); err != nil {
-		t.Errorf("a request that was read has no answer: %v", err)
+		t.Errorf("a request that was read got no response: %v", err)
 	}
 	if err := <-g.ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// Clients go on sending on their open connections until the process has ended, which it has by the time at which it would be
-// killed, though the store hangs through all of it for half of them: what was read is answered.
+// Clients keep sending on their open connections during a shutdown, and the endpoint does not respond to half of them. Every
+// request that was read must be answered, and the process must end before the platform would kill it.
 func TestClientsKeepSendingDuringShutdown(t *testing.T) {
 	const clients = 16
 	g := newStoppingGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
@@ -170,7 +171,7 @@
 		t.Error(err)
 	}
 	if took := time.Since(stopped); took > stoppingGatewayDeadline+700*time.Millisecond {
-		t.Errorf("the process ends after %v", took)
+		t.Errorf("the shutdown took %v", took)
 	}
 	running.Wait()
 	if served.Load() < clients {
--- a/handover_test.go
+++ b/handover_test.go
@@ -11,7 +11,7 @@
 	"turnfork.dev/turnfork/internal/faultnet"
 )
 
-// faultyHandovers fails with each of errs in turn before it takes a connection.
+// failingHandoverListener fails with each of errs in turn before it accepts a connection.
 type failingHandoverListener struct {
 	*net.UnixListener
 	errs   []syscall.Errno
@@ -26,7 +26,7 @@
 	return l.UnixListener.AcceptUnix()
 }
 
-// No error of accept ends the taking over of connections.
+// After any accept error the process keeps accepting handover connections.
 func TestAcceptErrorsDoNotStopHandover(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
--- a/http_test.go
+++ b/http_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// ask makes a request with headers, given as name and value in turn, and gives the answer and its body.
+// request sends a request with headers, given as alternating names and values, and returns the response and its body.
 func (s *signedGateway) request(method, path string, headers ...string) (*http.Response, string) {
 	s.t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.addr+path, nil)
@@ -32,9 +32,9 @@
 	return resp, string(b)
 }
 
-// A read is answered as RFC 9110 says to its ranges and conditions.
+// The response to a read follows RFC 9110 for ranges and conditions.
 func TestRangesAndConditions(t *testing.T) {
-	s := newSignedGateway(t, nil) // each part is "piece 3" under the tag 00000000000000aa
+	s := newSignedGateway(t, nil) // the part is "piece 3" with the tag 00000000000000aa
 	const tag, other = `"00000000000000aa"`, `"00000000000000bb"`
 	u := s.url(tile, 600, "n")
 	for _, x := range []struct {
@@ -43,7 +43,7 @@
 		status             int
 		body, contentRange string
 	}{
-		{"whole", "GET", nil, 200, "piece 3", ""},
+		{"complete", "GET", nil, 200, "piece 3", ""},
 		{"HEAD", "HEAD", nil, 200, "", ""},
 		{"HEAD with a range", "HEAD", []string{"Range", "bytes=0-1"}, 200, "", ""},
 		{"first bytes", "GET", []string{"Range", "bytes=0-1"}, 206, "pi", "bytes 0-1/7"},
@@ -51,25 +51,25 @@
 		{"last bytes", "GET", []string{"Range", "bytes=-3"}, 206, "e 3", "bytes 4-6/7"},
 		{"past the end", "GET", []string{"Range", "bytes=5-99999999999999999999"}, 206, " 3", "bytes 5-6/7"},
 		{"beyond the end", "GET", []string{"Range", "bytes=7-"}, 416, "", "bytes */7"},
-		{"no last bytes", "GET", []string{"Range", "bytes=-0"}, 416, "", "bytes */7"},
-		{"one of two beyond", "GET", []string{"Range", "bytes=0-0,9-"}, 206, "p", "bytes 0-0/7"},
-		{"unreadable", "GET", []string{"Range", "bytes=b-a"}, 200, "piece 3", ""},
+		{"zero last bytes", "GET", []string{"Range", "bytes=-0"}, 416, "", "bytes */7"},
+		{"one of two beyond the end", "GET", []string{"Range", "bytes=0-0,9-"}, 206, "p", "bytes 0-0/7"},
+		{"malformed", "GET", []string{"Range", "bytes=b-a"}, 200, "piece 3", ""},
 		{"other unit", "GET", []string{"Range", "lines=0-1"}, 200, "piece 3", ""},
-		{"backward", "GET", []string{"Range", "bytes=3-1"}, 200, "piece 3", ""},
+		{"end before start", "GET", []string{"Range", "bytes=3-1"}, 200, "piece 3", ""},
 		{"overlapping", "GET", []string{"Range", "bytes=0-3,2-5"}, 200, "piece 3", ""},
-		{"too many", "GET", []string{"Range", "bytes=" + strings.Repeat("0-0,", 40)}, 200, "piece 3", ""},
-		{"if it is the same", "GET", []string{"Range", "bytes=0-1", "If-Range", tag}, 206, "pi", "bytes 0-1/7"},
-		{"if it is another", "GET", []string{"Range", "bytes=0-1", "If-Range", other}, 200, "piece 3", ""},
-		{"if weakly the same", "GET", []string{"Range", "bytes=0-1", "If-Range", "W/" + tag}, 200, "piece 3", ""},
-		{"if since a date", "GET", []string{"Range", "bytes=0-1", "If-Range", "Tue, 01 Dec 2026 00:00:00 GMT"}, 200, "piece 3", ""},
-		{"list with it", "GET", []string{"If-None-Match", other + ", W/" + tag}, 304, "", ""},
-		{"list without", "GET", []string{"If-None-Match", other + `, "x"`}, 200, "piece 3", ""},
-		{"star", "GET", []string{"If-None-Match", "*"}, 304, "", ""},
-		{"HEAD, the same", "HEAD", []string{"If-None-Match", tag + "," + other}, 304, "", ""},
-		{"condition before range", "GET", []string{"If-None-Match", "*", "Range", "bytes=0-1"}, 304, "", ""},
-		{"unreadable list", "GET", []string{"If-None-Match", `"x`}, 200, "piece 3", ""},
-		{"must match", "GET", []string{"If-Match", tag}, 200, "piece 3", ""},
-		{"must match another", "GET", []string{"If-Match", other}, 412, "", ""},
+		{"too many ranges", "GET", []string{"Range", "bytes=" + strings.Repeat("0-0,", 40)}, 200, "piece 3", ""},
+		{"If-Range with the same tag", "GET", []string{"Range", "bytes=0-1", "If-Range", tag}, 206, "pi", "bytes 0-1/7"},
+		{"If-Range with another tag", "GET", []string{"Range", "bytes=0-1", "If-Range", other}, 200, "piece 3", ""},
+		{"If-Range with a weak tag", "GET", []string{"Range", "bytes=0-1", "If-Range", "W/" + tag}, 200, "piece 3", ""},
+		{"If-Range with a date", "GET", []string{"Range", "bytes=0-1", "If-Range", "Tue, 01 Dec 2026 00:00:00 GMT"}, 200, "piece 3", ""},
+		{"If-None-Match list with the tag", "GET", []string{"If-None-Match", other + ", W/" + tag}, 304, "", ""},
+		{"If-None-Match list without the tag", "GET", []string{"If-None-Match", other + `, "x"`}, 200, "piece 3", ""},
+		{"If-None-Match: *", "GET", []string{"If-None-Match", "*"}, 304, "", ""},
+		{"HEAD with If-None-Match", "HEAD", []string{"If-None-Match", tag + "," + other}, 304, "", ""},
+		{"If-None-Match takes precedence over Range", "GET", []string{"If-None-Match", "*", "Range", "bytes=0-1"}, 304, "", ""},
+		{"malformed If-None-Match list", "GET", []string{"If-None-Match", `"x`}, 200, "piece 3", ""},
+		{"If-Match with the tag", "GET", []string{"If-Match", tag}, 200, "piece 3", ""},
+		{"If-Match with another tag", "GET", []string{"If-Match", other}, 412, "", ""},
 	} {
 		resp, body := s.request(x.method, u, x.headers...)
 		if resp.StatusCode != x.status || body != x.body || resp.Header.Get("Content-Range") != x.contentRange {
@@ -103,19 +103,19 @@
 	}
 }
 
-// An answer says how old it is, how long it may be kept, where it came from, and what stood in a refusal's way.
+// Response headers state the age, the cache lifetime and the source of a response, and the reason for a rejection.
 func TestResponseHeadersGiveReasons(t *testing.T) {
-	s := newSignedGateway(t, nil) // minted 10 s before the test's time
+	s := newSignedGateway(t, nil) // its content was created 10 s before the test's time
 	asset := "/v1/app-assets/7f3a9c21e0b4d655/0"
 	for _, x := range []struct {
 		name, url string
 		want      map[string]string
 	}{
 		{"fresh", s.url(asset, 600, "a"), map[string]string{"Age": "10", "Cache-Control": "private, max-age=12", "Cache-Status": "turnfork;hit;ttl=2"}},
-		{"grant ends first", s.url(asset, 1, "b"), map[string]string{"Age": "10", "Cache-Control": "private, max-age=11"}},
+		{"grant expires before the content", s.url(asset, 1, "b"), map[string]string{"Age": "10", "Cache-Control": "private, max-age=11"}},
 		{"until purged", s.url(tile, 600, "c"), map[string]string{"Age": "10", "Cache-Control": "private, no-cache", "Cache-Status": "turnfork;hit"}},
 		{"no token", tile, map[string]string{"Proxy-Status": `turnfork;error=http_request_denied;details="missing"`, "Cache-Control": "no-store"}},
-		{"unreadable", tile + "?a=1&a=2", map[string]string{"Proxy-Status": `turnfork;error=http_request_error;details="malformed"`}},
+		{"malformed", tile + "?a=1&a=2", map[string]string{"Proxy-Status": `turnfork;error=http_request_error;details="malformed"`}},
 		{"no class", s.url("/v1/x/7f3a9c21e0b4d655/0", 60, "d"), map[string]string{"Proxy-Status": `turnfork;error=destination_not_found;details="unknown_class"`}},
 	} {
 		resp, _ := s.request("GET", x.url)
@@ -136,7 +136,7 @@
 	}
 }
 
-// Pages of the origins in the file are let in, and their preflights need no token; others are told nothing.
+// Origins in the operator's file get CORS headers, and their preflight requests need no token. Other origins get no CORS headers.
 func TestCORS(t *testing.T) {
 	s := newSignedGateway(t, nil)
 	pre := []string{"Access-Control-Request-Method", "GET", "Access-Control-Request-Headers", "range"}
@@ -156,7 +156,7 @@
 	if resp.StatusCode != 204 || resp.Header.Get("Allow") != "POST, OPTIONS" {
 		t.Error(resp.StatusCode, resp.Header)
 	}
-	for _, path := range []string{s.url(tile, 60, "n"), tile} { // also a refusal can be read by the page
+	for _, path := range []string{s.url(tile, 60, "n"), tile} { // the page can read a rejection too
 		resp, _ := s.request("GET", path, "Origin", "https://help.example")
 		if resp.Header.Get("Access-Control-Allow-Origin") != "https://help.example" || !strings.Contains(resp.Header.Get("Access-Control-Expose-Headers"), "ETag") {
 			t.Error(resp.StatusCode, resp.Header)
--- a/operator_config_test.go
+++ b/operator_config_test.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// Parts of the operators' files of tests.
+// Parts of operators' files for tests.
 
-// anyAddress has a gateway listen on a port of its own.
+// anyPortConfig makes a gateway listen on a port chosen by the system.
 const anyPortConfig = "listen = \"127.0.0.1:0\"\n"
 
-// classText names a class with its settings.
+// classConfig returns the section of a class with its settings.
 func classConfig(name string, settings ...string) string {
 	return fmt.Sprintf("[[class]]\nname = %q\n%s\n", name, strings.Join(settings, "\n"))
 }
 
-// storesText names a cache and an origin, both played by one stand-in.
+// endpointsConfig returns the sections of a cache and an origin, both simulated by one server.
 func endpointsConfig(addr string) string {
 	return endpointConfig(1, "cache", addr) + endpointConfig(2, "origin", addr)
 }
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("[[store]]\nid = %d\nkind = %q\naddr = %q\n", id, kind, addr)
 }
 
-// hmacKeyText names a key of URLs.
+// hmacKeyConfig returns the section of an HMAC key for signed URLs.
 func hmacKeyConfig(id, secret string) string {
 	return fmt.Sprintf("[[key]]\nid = %q\nkind = \"hmac\"\nsecret = %q\n", id, secret)
 }
--- a/production_rig_test.go
+++ b/production_rig_test.go
@@ -24,8 +24,8 @@
 	"turnfork.dev/turnfork/internal/fakestore"
 )
 
-// productionSettings is a gateway before three caches, a parent and the origin, less the address of discovery and the list
-// of endpoints that it knows at its start.
+// productionSettings configures a gateway with three caches, a parent and the origin. Its arguments are the address of discovery
+// and the list of endpoints known at the start.
 const productionSettings = `{"name":"n","listen":"127.0.0.1:0","limits":{"cores":1,"memory_mb":64,"sockets":400},"seed":"1",
 "changelog":%q,"known":{"seq":1,"results":[{"seq":1,"fleet":{"version":1,"full":true,"servers":[%s]}}]},
 "settings":{"me":0,"az":1,"balancers":1,"zones":["hub","edge"],"kinds":["box","parent","origin"],"quantum":0.002,
@@ -38,19 +38,20 @@
 "family-info":{"origin-kind":2,"shield-kind":1,"client-kb-per-s":1000,"seats-by-zone":[0,1],"zone-hub":[0,0],"says":"all",
 "straight":true,"goes-through":[false,true,true]}}}`
 
-// Classes of productionSettings by the effect that a repeat has.
+// Classes of productionSettings, by whether a request may be repeated.
 const (
 	safeClass   = "firmware"
 	unsafeClass = "ride-end"
 	keyedClass  = "mark"
 )
 
-const maxAttempts = 8 // as productionSettings allow
+const maxAttempts = 8 // max-attempts of productionSettings
 
-// endpointKinds are the endpoints of the rig: three caches, a parent and the origin.
+// endpointKinds lists the kinds of the rig's endpoints: three caches, a parent and the origin.
 var endpointKinds = []string{"box", "box", "box", "parent", "origin"}
 
-// productionRig is a whole gateway over connections: its endpoints, discovery and clients, and a clock that a test moves.
+// productionRig is a complete gateway on real connections, with its endpoints, discovery and clients, and a clock that the test
+// advances.
 type productionRig struct {
 	*testing.T
 	clock     *clock.Clock
@@ -59,11 +60,11 @@
 	gateway   *gateway
 	stop      chan struct{}
 	reloads   chan config.Node
-	ended     chan struct{} // closed once the gateway has
+	ended     chan struct{} // closed once the gateway has stopped
 
 	behavior  atomic.Pointer[func(c fakestore.Call, n int) fakestore.Behavior]
 	mu        sync.Mutex
-	runs      map[string]int // attempts by request ID that a store may have run
+	runs      map[string]int // number of attempts that an endpoint may have run, by request ID
 	requests  []*clientRequest
 	sentCount int
 }
@@ -71,12 +72,12 @@
 // clientRequest is one request of a client.
 type clientRequest struct {
 	id, class string
-	deadline  float64     // clock ms at which its client's time ends
-	answered  chan string // its status, once
-	status    string      // as it was answered; "": not yet
+	deadline  float64     // clock time in ms
+	answered  chan string // receives the status, once
+	status    string      // status of the response; "": not answered yet
 }
 
-// newProductionRig starts a gateway whose endpoints all answer, and which knows them without discovery.
+// newProductionRig starts a gateway whose endpoints all respond, and which knows them from its configuration.
 func newProductionRig(t *testing.T) *productionRig {
 	r := &productionRig{
 		T: t, clock: clock.Manual(1.8e12), stop: make(chan struct{}), reloads: make(chan config.Node), ended: make(chan struct{}), runs: map[string]int{},
@@ -111,11 +112,11 @@
 		}
 	}()
 	t.Cleanup(func() { end(); <-r.ended; r.gateway.close() })
-	r.waitFor("discovery is followed", func() bool { return r.discovery.watches.Load() > 0 })
+	r.waitFor("gateway watches discovery", func() bool { return r.discovery.watches.Load() > 0 })
 	return r
 }
 
-// settings is the gateway's configuration at present.
+// settings returns the gateway's configuration with the current addresses.
 func (r *productionRig) settings() config.Node {
 	var list []string
 	for i, kind := range endpointKinds {
@@ -133,7 +134,7 @@
 	return node
 }
 
-// behave has every endpoint end all attempts in one way from now on.
+// setBehavior makes every endpoint respond to all further attempts with this behavior.
 func (r *productionRig) setBehavior(how fakestore.Behavior) {
 	r.setBehaviorFunc(func(fakestore.Call, int) fakestore.Behavior { return how })
 }
@@ -142,20 +143,20 @@
 	r.behavior.Store(&how)
 }
 
-// until waits for what must come; only a hung program meets its limit.
+// waitFor polls a condition that must become true. Only a hung program exceeds its time limit.
 func (r *productionRig) waitFor(what string, ok func() bool) {
 	r.Helper()
 	for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			r.Fatalf("never: %s; %+v", what, r.stats())
+			r.Fatalf("not within 20 s: %s; %+v", what, r.stats())
 		}
 	}
 }
 
-// stats asks the core, which has looked at its timers before it answers.
+// stats queries the core. The core has processed its due timers before it replies.
 func (r *productionRig) stats() core.Stats {
 	var got core.Stats
-	for range 2 { // the core may have been past its timers when the first question came
+	for range 2 { // the core may already have passed its timers when it receives the first query
 		reply := make(chan core.Stats, 1)
 		r.gateway.core.Post(core.GetStats{Reply: reply})
 		select {
@@ -166,7 +167,7 @@
 	return got
 }
 
-// advance moves the clock on in steps, each of which the core takes note of.
+// advance advances the clock in steps, and lets the core process each step.
 func (r *productionRig) advance(ms float64) {
 	const step = 20.0
 	for ; ms > 0; ms -= step {
@@ -175,7 +176,7 @@
 	}
 }
 
-// connect opens a client's connection.
+// connect opens a client connection.
 func (r *productionRig) connect() *productionClient {
 	c, err := net.Dial("tcp", r.gateway.addrs.FastCGI.String())
 	if err != nil {
@@ -187,7 +188,7 @@
 	return p
 }
 
-// productionClient is a client's connection.
+// productionClient is a client connection.
 type productionClient struct {
 	rig  *productionRig
 	conn net.Conn
@@ -196,7 +197,7 @@
 	open map[uint16]*clientRequest
 }
 
-// ask sends so many requests of a class, each with ttl ms left, and gives them.
+// send sends this number of requests of a class, each with ttl ms until its deadline, and returns them.
 func (p *productionClient) send(class string, count int, ttl float64) (sent []*clientRequest) {
 	for range count {
 		p.rig.sentCount++
@@ -206,7 +207,7 @@
 	return sent
 }
 
-// askAs sends a request under an ID that may be in use.
+// sendWithID sends a request with the given ID, which may be in use.
 func (p *productionClient) sendWithID(id, class string, ttl float64) *clientRequest {
 	p.last++
 	q := &clientRequest{id: id, class: class, deadline: p.rig.clock.Now() + ttl, answered: make(chan string, 1)}
@@ -217,18 +218,18 @@
 	return q
 }
 
-// askAll sends so many requests of each class, and waits until the core has them.
+// sendAll sends this number of requests of each class, and waits until the core has received them.
 func (r *productionRig) sendAll(each int, ttl float64) (sent []*clientRequest) {
 	r.Helper()
 	before := r.stats().Received
 	for _, class := range []string{safeClass, unsafeClass, keyedClass} {
 		sent = append(sent, r.connect().send(class, each, ttl)...)
 	}
-	r.waitFor("requests are taken", func() bool { return r.stats().Received >= before+len(sent) })
+	r.waitFor("requests are received", func() bool { return r.stats().Received >= before+len(sent) })
 	return sent
 }
 
-// productionRequest words a request for an object of its own.
+// productionRequest encodes a request. Requests with different IDs are for different objects.
 func productionRequest(id uint16, txn, class string, ttl float64) []byte {
 	var params []byte
 	for _, field := range [][2]string{
@@ -242,7 +243,7 @@
 	return append(append(b, fastcgiRecord(4, id, nil)...), fastcgiRecord(5, id, nil)...)
 }
 
-// read takes the answers, and tells the requests that are open at the connection's end that none comes.
+// read receives the responses. When the connection ends, it reports noResponse to the requests that are still open.
 func (p *productionClient) read() {
 	text := map[uint16]string{}
 	in := bufio.NewReader(p.conn)
@@ -264,7 +265,7 @@
 		delete(p.open, id)
 		p.mu.Unlock()
 		if q == nil {
-			p.rig.Errorf("a second answer to request %d: %.40q", id, text[id])
+			p.rig.Errorf("second response to request %d: %.40q", id, text[id])
 			continue
 		}
 		q.answered <- strings.TrimPrefix(text[id], "Status: ")[:3]
@@ -276,20 +277,20 @@
 	}
 }
 
-// finish moves the clock on, to the end of each client's time and no further, until all requests are answered, and gives
-// their statuses. The clock is faster than the machine's here, so what is served in time is not told by it.
+// awaitWithClock advances the clock, at most to each request's deadline, until all requests are answered, and returns their
+// statuses. The test clock runs faster than real time here, so a status does not show whether a request could be served in time.
 func (r *productionRig) awaitWithClock(requests []*clientRequest) (statuses []string) {
 	r.Helper()
 	return r.await(requests, func(q *clientRequest) { r.advance(min(20, q.deadline-r.clock.Now())) })
 }
 
-// serve gives the statuses of requests that need no time: the clock stands.
+// awaitWithoutClock waits until all requests are answered without advancing the clock, and returns their statuses.
 func (r *productionRig) awaitWithoutClock(requests []*clientRequest) (statuses []string) {
 	r.Helper()
 	return r.await(requests, func(*clientRequest) {})
 }
 
-// await waits for the answers to requests, and calls while again and again meanwhile. Only a hung program meets its limit.
+// await waits for the responses to requests, and calls while repeatedly meanwhile. Only a hung program exceeds its time limit.
 func (r *productionRig) await(requests []*clientRequest, while func(q *clientRequest)) (statuses []string) {
 	r.Helper()
 	hung := time.After(20 * time.Second)
@@ -299,7 +300,7 @@
 			case q.status = <-q.answered:
 				r.checkResponse(q)
 			case <-hung:
-				r.Fatalf("request %s (%s) has no answer; %+v", q.id, q.class, r.stats())
+				r.Fatalf("request %s (%s) got no response within 20 s; %+v", q.id, q.class, r.stats())
 			case <-time.After(2 * time.Millisecond):
 				while(q)
 			}
@@ -309,25 +310,26 @@
 	return statuses
 }
 
-// noAnswer is the status of a request whose connection ended before.
+// noResponse is the status of a request whose connection ended before its response.
 const noResponse = "none"
 
-// checkAnswer holds a final answer against what may have run.
+// checkResponse checks a final response against the attempts that may have run.
 func (r *productionRig) checkResponse(q *clientRequest) {
 	r.Helper()
 	if q.status == noResponse {
-		r.Errorf("request %s (%s): its connection ended without an answer", q.id, q.class)
+		r.Errorf("request %s (%s): connection ended without a response", q.id, q.class)
 	}
 	if q.status == "503" && q.class == unsafeClass && r.mayHaveRun(q) {
-		r.Errorf("request %s (%s) was refused as harmless to repeat, and may have run", q.id, q.class)
+		r.Errorf("request %s (%s) was rejected as safe to repeat, but may have run", q.id, q.class)
 	}
 }
 
-// checkRules holds what the endpoints saw against the rules of attempts. That no two of a request are out at once is held by
-// the tests of core: here the clock by which an end settles is faster than the connections by which endpoints hear of it.
+// checkRules checks the attempts that the endpoints received against the limits on attempts. That no two attempts of a request
+// are in flight at once is checked by the tests of core: here the test clock, by which an attempt's end counts as confirmed, runs
+// faster than the connections that notify the endpoints.
 func (r *productionRig) checkRules() {
 	r.Helper()
-	r.mu.Lock() // not beside the endpoints' own lock, under which they take this one
+	r.mu.Lock() // must not be held while taking the endpoints' lock, because they lock in the opposite order
 	requests, runs := slices.Clone(r.requests), maps.Clone(r.runs)
 	r.mu.Unlock()
 	for _, q := range requests {
@@ -340,24 +342,24 @@
 	}
 }
 
-// ran tells whether a store may have run a request.
+// mayHaveRun reports whether an endpoint may have run a request.
 func (r *productionRig) mayHaveRun(q *clientRequest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[q.id] > 0
 }
 
-// fakeDiscovery tells of endpoints over connections, with what goes wrong on its side.
+// fakeDiscovery is a discovery server that publishes endpoints over connections, with injected faults.
 type fakeDiscovery struct {
 	*testing.T
 	addr    string
-	watches atomic.Int64 // connections on which a gateway has asked
+	watches atomic.Int64 // number of watch requests received
 
 	mu          sync.Mutex
 	l           net.Listener
 	conns       map[net.Conn]struct{}
-	events      [][]byte      // from number 2 on: the gateway knows number 1 at its start
-	firstKept   uint64        // the events of lower numbers are told no more
+	events      [][]byte      // from sequence number 2 on, as the gateway knows number 1 at its start
+	firstKept   uint64        // events with lower sequence numbers are no longer sent
 	changed     chan struct{} // closed with each new event
 	writeFrames func(c net.Conn, frames []byte)
 }
@@ -370,7 +372,7 @@
 	return d
 }
 
-// up has discovery listen, at its former address where it had one.
+// start makes discovery listen, on its former address if it had one.
 func (d *fakeDiscovery) start() {
 	l, err := net.Listen("tcp", d.addr)
 	if err != nil {
@@ -393,7 +395,7 @@
 	}()
 }
 
-// down ends discovery's listener and its watches.
+// stop closes discovery's listener and its watch connections.
 func (d *fakeDiscovery) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -404,7 +406,7 @@
 	clear(d.conns)
 }
 
-// answering sets how frames are written to gateways that ask from now on.
+// setWriter sets the function that writes frames, for new watches and the next frames of existing ones.
 func (d *fakeDiscovery) setWriter(how func(c net.Conn, frames []byte)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -432,7 +434,7 @@
 		writeFrames(c, append(frames, discoveryFrame(last, 0, nil)...))
 		select {
 		case <-changed:
-		case <-time.After(500 * time.Millisecond): // a watch says something each second
+		case <-time.After(500 * time.Millisecond): // a watch sends a frame at least once a second
 		}
 		if _, err := c.Write(nil); errors.Is(err, net.ErrClosed) {
 			return
@@ -445,7 +447,7 @@
 	return append(append(binary.BigEndian.AppendUint64(b, number), kind), payload...)
 }
 
-// States of an endpoint in a record of discovery, and kinds of its frames.
+// States of an endpoint in a discovery record, and kinds of frames.
 const (
 	endpointReady    = 0
 	endpointDraining = 1
@@ -455,7 +457,7 @@
 	frameChanges  = 2
 )
 
-// entry words an endpoint of the rig for discovery.
+// endpointRecord encodes an endpoint of the rig as a discovery record.
 func (r *productionRig) endpointRecord(index int, state byte, startedMs float64, weight float64) []byte {
 	at, err := net.ResolveTCPAddr("tcp", r.endpoints.Addrs[index])
 	if err != nil {
@@ -472,10 +474,11 @@
 	return binary.BigEndian.AppendUint64(b, uint64(startedMs))
 }
 
-// firstMarker is the first ID of the endpoints that are never there, by which a test sees how far a list was taken.
+// firstMarker is the first ID of the marker endpoints. A marker endpoint is always listed as gone, and shows a test how far the
+// gateway has processed the list.
 const firstMarker = 1000
 
-// publish has discovery tell of endpoints, beside a marker.
+// publish makes discovery send a frame with these endpoint records and a marker, which it returns.
 func (r *productionRig) publish(kind byte, entries ...[]byte) (marker uint32) {
 	d := r.discovery
 	d.mu.Lock()
@@ -493,10 +496,10 @@
 	return marker
 }
 
-// listed waits until the core has taken the list with a marker.
+// awaitMarker waits until the core has processed the list with this marker.
 func (r *productionRig) awaitMarker(marker uint32) {
 	r.Helper()
-	r.waitFor("the list is taken", func() bool {
+	r.waitFor("the list is processed", func() bool {
 		reply := make(chan error, 1)
 		r.gateway.core.Post(core.Exclude{Endpoint: marker, Reply: reply})
 		select {
--- a/production_test.go
+++ b/production_test.go
@@ -20,12 +20,12 @@
 	requestsPerClass = 8
 )
 
-// served tells whether all statuses are good.
+// allServed reports whether all statuses are 200.
 func allServed(statuses []string) bool {
 	return !slices.ContainsFunc(statuses, func(s string) bool { return s != "200" })
 }
 
-// trouble is something that goes wrong at the endpoints.
+// faultScenario is a fault at the endpoints.
 type faultScenario struct {
 	name   string
 	inject func(r *productionRig)
@@ -35,18 +35,18 @@
 	return func(r *productionRig) { r.setBehavior(how) }
 }
 
-// endpointTroubles are the ways in which all endpoints fail at once.
+// endpointFaults are the ways in which all endpoints fail at once.
 var endpointFaults = []faultScenario{
-	{"they hang", withBehavior(fakestore.Hang)},
-	{"they refuse", withBehavior(fakestore.Busy)},
-	{"they fail", withBehavior(fakestore.Failing)},
-	{"they reset each connection under its request", withBehavior(fakestore.ResetReading)},
-	{"they reset each connection under its answer", withBehavior(fakestore.ResetWriting)},
-	{"their answers end half way", withBehavior(fakestore.Cut)},
-	{"their answers stop half way", withBehavior(fakestore.Stall)},
-	{"their answers can't be read", withBehavior(fakestore.Spoilt)},
-	{"they forget their connections and hang", func(r *productionRig) { r.setBehavior(fakestore.Hang); r.endpoints.Forget() }},
-	{"each first attempt fails", func(r *productionRig) {
+	{"no response", withBehavior(fakestore.Hang)},
+	{"busy", withBehavior(fakestore.Busy)},
+	{"failure response", withBehavior(fakestore.Failing)},
+	{"reset while reading the request", withBehavior(fakestore.ResetReading)},
+	{"reset while writing the response", withBehavior(fakestore.ResetWriting)},
+	{"truncated response", withBehavior(fakestore.Cut)},
+	{"stalled response", withBehavior(fakestore.Stall)},
+	{"malformed response", withBehavior(fakestore.Spoilt)},
+	{"connections forgotten and no response", func(r *productionRig) { r.setBehavior(fakestore.Hang); r.endpoints.Forget() }},
+	{"first attempt fails", func(r *productionRig) {
 		r.setBehaviorFunc(func(_ fakestore.Call, n int) fakestore.Behavior {
 			if n == 0 {
 				return fakestore.Failing
@@ -56,15 +56,15 @@
 	}},
 }
 
-// connectionTroubles are the ways in which connections to endpoints end that rest.
+// idleConnectionFaults are the ways in which idle connections to endpoints end.
 var idleConnectionFaults = []faultScenario{
-	{"endpoints close them", func(r *productionRig) { r.endpoints.CloseLater(false)() }},
-	{"endpoints reset them", func(r *productionRig) { r.endpoints.Cut() }},
-	{"endpoints forget them", func(r *productionRig) { r.endpoints.Forget() }},
+	{"idle connections closed", func(r *productionRig) { r.endpoints.CloseLater(false)() }},
+	{"idle connections reset", func(r *productionRig) { r.endpoints.Cut() }},
+	{"idle connections forgotten", func(r *productionRig) { r.endpoints.Forget() }},
 }
 
-// Whatever goes wrong after ten quiet minutes, each request has its final answer in its client's time, and once it is over
-// requests are served again.
+// After ten idle minutes endpoints or connections fail. Each request must get its final response before its deadline, and
+// requests must be served again once the fault is over.
 func TestFaultsAfterIdlePeriod(t *testing.T) {
 	for _, c := range slices.Concat(endpointFaults, idleConnectionFaults) {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,14 +78,14 @@
 			c.inject(r)
 			r.awaitWithClock(r.sendAll(requestsPerClass, clientTTL))
 			r.setBehavior(fakestore.Good)
-			r.advance(30000) // endpoints are tried again by then
+			r.advance(30000) // by then endpoints are retried
 			r.awaitService()
 			r.checkRules()
 		})
 	}
 }
 
-// untilServed asks until requests of all classes are served: connections that were lost have to come up first.
+// awaitService sends requests of all classes until they are served, because lost connections have to be opened again first.
 func (r *productionRig) awaitService() {
 	r.Helper()
 	r.waitFor("requests are served again", func() bool {
@@ -94,8 +94,8 @@
 	})
 }
 
-// Endpoints end connections that rest, in the moment in which requests come: what must not run twice is served, as it never
-// goes on such a connection, and everything else is answered.
+// Endpoints close idle connections at the moment when requests arrive. Non-idempotent requests must be served, as they are never
+// sent on an idle connection, and all others must be answered.
 func TestEndpointsCloseIdleConnections(t *testing.T) {
 	for name, prepare := range map[string]func(r *productionRig) (end func()){
 		"closed":    func(r *productionRig) func() { return r.endpoints.CloseLater(false) },
@@ -114,7 +114,7 @@
 				requests := r.sendAll(requestsPerClass, clientTTL)
 				<-ended
 				if statuses := r.awaitWithoutClock(requests[requestsPerClass : 2*requestsPerClass]); !allServed(statuses) {
-					t.Errorf("what must not run twice: %v", statuses)
+					t.Errorf("non-idempotent requests: %v", statuses)
 				}
 				r.awaitWithClock(requests)
 				r.advance(30000)
@@ -125,18 +125,18 @@
 	}
 }
 
-// Attempts that are out all fail in one moment, and so do those that follow; clients send the same requests again on other
-// connections meanwhile. Each request has one final answer, and what may have run and is unsafe is not sent again.
+// All attempts in flight fail at the same moment, and so do those that follow, while clients send the same requests again on
+// other connections. Each request must get one final response, and a non-idempotent request that may have run is not sent again.
 func TestAllAttemptsFailAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		then fakestore.Behavior // how the following attempts end
+		then fakestore.Behavior // of the following attempts
 		fail func(r *productionRig)
 	}{
 		{"reset", fakestore.ResetReading, func(r *productionRig) { r.endpoints.Cut() }},
 		{"closed", fakestore.Cut, func(r *productionRig) { r.endpoints.CloseLater(false)() }},
-		{"reset, then refused", fakestore.Busy, func(r *productionRig) { r.endpoints.Cut() }},
-		{"reset, then silent", fakestore.Hang, func(r *productionRig) { r.endpoints.Cut() }},
+		{"reset, then busy", fakestore.Busy, func(r *productionRig) { r.endpoints.Cut() }},
+		{"reset, then no response", fakestore.Hang, func(r *productionRig) { r.endpoints.Cut() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -151,18 +151,18 @@
 			for _, q := range requests {
 				hedged = append(hedged, hedgingClient.sendWithID(q.id, q.class, clientTTL))
 			}
-			r.waitFor("they are taken", func() bool { return r.stats().Received == 2*len(requests) })
+			r.waitFor("they are received", func() bool { return r.stats().Received == 2*len(requests) })
 			r.setBehavior(c.then)
 			c.fail(r)
-			r.awaitWithClock(hedged) // at once: the ID is in hand; or as new requests
+			r.awaitWithClock(hedged) // rejected at once because the ID is in flight, or handled as new requests
 			r.awaitWithClock(requests)
 			r.checkRules()
 		})
 	}
 }
 
-// Requests with 1 to 20 ms left are answered in that time, though endpoints drop them without a word, and no endpoint is
-// blamed for it.
+// Requests with deadlines of 1 to 20 ms are answered in that time, even if endpoints drop them without a response, and no endpoint
+// is ejected for it.
 func TestVeryShortDeadlines(t *testing.T) {
 	for _, how := range []fakestore.Behavior{fakestore.Hang, fakestore.Good, fakestore.Failing} {
 		t.Run(fmt.Sprintf("behavior %d", how), func(t *testing.T) {
@@ -174,9 +174,9 @@
 				r.awaitWithClock(r.sendAll(4, ttl))
 			}
 			r.setBehavior(fakestore.Good)
-			if how == fakestore.Hang { // silence for so short a time tells nothing of an endpoint
+			if how == fakestore.Hang { // no response within so short a time is no evidence against an endpoint
 				if statuses := r.awaitWithoutClock(r.sendAll(requestsPerClass, clientTTL)); !allServed(statuses) {
-					t.Errorf("after it: %v", statuses)
+					t.Errorf("after the short deadlines: %v", statuses)
 				}
 			}
 			r.checkRules()
@@ -184,8 +184,8 @@
 	}
 }
 
-// Trouble at all endpoints, with other clients that send garbage, half requests and floods, frees no request of its final
-// answer.
+// While all endpoints fail, and other clients send garbage, partial requests and floods, each request still gets its final
+// response.
 func TestEveryRequestAnsweredDuringFaults(t *testing.T) {
 	for _, c := range endpointFaults {
 		t.Run(c.name, func(t *testing.T) {
@@ -217,7 +217,8 @@
 	}
 }
 
-// Nothing begins for a client that has closed, reset or cancelled, however its attempts end from then on.
+// No attempt starts for a client that has closed or reset its connection or cancelled its requests, however its attempts in
+// flight end.
 func TestNoNewAttemptAfterClientLeaves(t *testing.T) {
 	ways := map[string]func(c *productionClient){
 		"closed": func(c *productionClient) { c.conn.Close() },
@@ -245,7 +246,7 @@
 					return !slices.ContainsFunc(requests, func(q *clientRequest) bool { return r.endpoints.Gets(q.id) == 0 })
 				})
 				leave(client)
-				r.waitFor("the core has heard of it", func() bool { return r.stats().ClientGone == len(requests) })
+				r.waitFor("the core is notified", func() bool { return r.stats().ClientGone == len(requests) })
 				r.setBehavior(fakestore.Good)
 				end(r)
 				r.advance(4000)
@@ -259,10 +260,10 @@
 	}
 }
 
-// Discovery is away for ten minutes, and meanwhile one cache drains and another starts anew. What was known serves, and what
-// discovery tells then holds, whether it still has the changes or only a whole list.
+// Discovery is unavailable for ten minutes, and meanwhile one cache starts to drain and another restarts. The known endpoints
+// serve during the outage. Afterwards the gateway applies the changes, whether discovery sends them or only a snapshot.
 func TestLongDiscoveryOutage(t *testing.T) {
-	for name, onlySnapshot := range map[string]bool{"its changes are kept": false, "its changes are forgotten": true} {
+	for name, onlySnapshot := range map[string]bool{"changes kept": false, "snapshot only": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
@@ -270,7 +271,7 @@
 			for range 5 {
 				r.clock.Advance(idlePeriod / 5)
 				if statuses := r.awaitWithoutClock(r.sendAll(requestsPerClass, clientTTL)); !allServed(statuses) {
-					t.Errorf("in the outage: %v", statuses)
+					t.Errorf("during the outage: %v", statuses)
 				}
 			}
 			changes := [][]byte{r.endpointRecord(0, endpointDraining, 0, 10), r.endpointRecord(1, endpointReady, r.clock.Now(), 10)}
@@ -294,23 +295,23 @@
 	}
 }
 
-// neverAt checks that no request came to an endpoint, as its target or its source.
+// checkNotSentTo checks that none of the requests used an endpoint as its target or its fill source.
 func (r *productionRig) checkNotSentTo(index int, requests []*clientRequest) {
 	r.Helper()
 	for _, c := range r.endpoints.Calls() {
 		asked := slices.ContainsFunc(requests, func(q *clientRequest) bool { return q.id == c.ID })
 		if asked && (c.At == r.endpoints.Addrs[index] || c.Fields["via"] == fmt.Sprintf("s-%08x", index+1)) {
-			r.Errorf("request %s came to endpoint %d, which takes none", c.ID, index+1)
+			r.Errorf("request %s used endpoint %d, which is excluded", c.ID, index+1)
 		}
 	}
 }
 
-// In one change two caches drain and the third starts anew, while requests are out that hang or fail: what is decided then
-// goes to none of the first two, no more goes to the third than a cold one bears, and each request is answered. So it is when
-// the process is asked to stop in that moment.
+// One change makes two caches drain and reports a restart of the third, while requests in flight get no response. Requests that
+// arrive afterwards must not use the first two, the third must not get more than its slow-start budget, and each request must be
+// answered. The same holds if the process is asked to stop at that moment.
 func TestRestartsAndDrainsAtOnce(t *testing.T) {
 	const weight = 1.0
-	for name, stops := range map[string]bool{"it serves on": false, "it is asked to stop": true} {
+	for name, stops := range map[string]bool{"keeps serving": false, "stops": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
@@ -326,7 +327,7 @@
 				close(r.stop)
 			}
 			after := r.sendAll(2*requestsPerClass, clientTTL)
-			r.stats() // with the clock at rest: all that a cold cache may get at once is out
+			r.stats() // without advancing the clock, so that all that a cold cache may get at once is sent
 			r.awaitWithClock(after)
 			r.awaitWithClock(before)
 			r.checkNotSentTo(0, after)
@@ -337,18 +338,18 @@
 					sent++
 				}
 			}
-			// Requests of 1 KB cost less than the mean that the settings have budgets count by: this is the strictest N.
+			// Requests of 1 KB cost less than the mean cost that budgets are based on, so this is the strictest N.
 			n := 2 * (0.2 + 0.8*clientTTL/40000) * weight * 1.9 / 0.3
 			if limit := n + 3*math.Sqrt(n) + 3; float64(sent) > limit {
-				t.Errorf("%d requests came to a cold cache that bears %.1f", sent, limit)
+				t.Errorf("%d requests were sent to a cold cache with a budget of %.1f", sent, limit)
 			}
 			r.checkRules()
 		})
 	}
 }
 
-// Configurations come in quick succession, each with discovery at another address: the last one holds, a request in hand
-// notices nothing, and nothing that was told is lost.
+// Configurations are reloaded in quick succession, each with another address of discovery. The last one must take effect,
+// requests in flight must not be affected, and no published change may be lost.
 func TestRapidReloads(t *testing.T) {
 	r := newProductionRig(t)
 	r.setBehavior(fakestore.Hang)
@@ -361,14 +362,14 @@
 		next.events = slices.Clone(former.events)
 		node.Changelog = next.addr
 		r.reloads <- node
-		r.reloads <- node // read again, unchanged
+		r.reloads <- node // reloaded unchanged
 		missing := node
 		missing.Changelog = ""
-		r.reloads <- missing // a file that can't be used: the former stays
+		r.reloads <- missing // rejected: the previous configuration stays in effect
 		r.discovery = next
 	}
 	r.awaitMarker(marker)
-	r.waitFor("the last address is asked", func() bool { return r.discovery.watches.Load() > 0 })
+	r.waitFor("the last address is watched", func() bool { return r.discovery.watches.Load() > 0 })
 	r.awaitMarker(r.publish(frameChanges, r.endpointRecord(1, endpointDraining, 0, 10)))
 	r.setBehavior(fakestore.Good)
 	after := r.sendAll(requestsPerClass, clientTTL)
@@ -379,8 +380,8 @@
 	r.checkRules()
 }
 
-// Discovery that is slow or crowded: frames come a byte at a time, or connections are closed unread or reset under a frame.
-// What it tells holds in the end, and requests are served meanwhile.
+// Discovery is slow or overloaded: frames arrive a byte at a time, or connections are closed before a frame or reset within one.
+// The gateway must apply the published changes in the end, and serve requests meanwhile.
 func TestSlowOrOverloadedDiscovery(t *testing.T) {
 	for name, answer := range map[string]func() func(c net.Conn, frames []byte){
 		"a byte at a time": func() func(net.Conn, []byte) {
@@ -391,7 +392,7 @@
 				}
 			}
 		},
-		"closed unread": func() func(net.Conn, []byte) {
+		"closed before a frame": func() func(net.Conn, []byte) {
 			var tries atomic.Int64
 			return func(c net.Conn, frames []byte) {
 				if tries.Add(1) <= 4 {
@@ -401,7 +402,7 @@
 				c.Write(frames)
 			}
 		},
-		"reset under a frame": func() func(net.Conn, []byte) {
+		"reset within a frame": func() func(net.Conn, []byte) {
 			var tries atomic.Int64
 			return func(c net.Conn, frames []byte) {
 				if tries.Add(1) <= 4 {
--- a/shutdown_test.go
+++ b/shutdown_test.go
@@ -8,11 +8,11 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// A process that is asked to end has given up and written its last answers before it may be killed, whatever the deadlines of
-// its classes are.
+// For any deadlines of the classes, a process that is asked to stop has aborted its open requests and written the last responses
+// before the platform may kill it.
 func TestShutdownEndsBeforeTheKill(t *testing.T) {
 	const (
-		maxCounted = 3 * time.Second // the kill counts no longer deadline
+		maxCounted = 3 * time.Second // longest deadline that the platform takes into account
 		killAfter  = 700 * time.Millisecond
 	)
 	for _, longest := range []time.Duration{
@@ -20,7 +20,7 @@
 	} {
 		node := config.Node{Settings: control.Settings{Classes: []control.Class{{Deadline: time.Millisecond}, {Deadline: longest}}}}
 		if ends, kill := shutdownTimeout(node)+abortTimeout, min(longest, maxCounted)+killAfter; ends >= kill {
-			t.Errorf("longest deadline %v: it ends after %v, and is killed after %v", longest, ends, kill)
+			t.Errorf("longest deadline %v: the shutdown takes %v, the kill comes after %v", longest, ends, kill)
 		}
 	}
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -19,8 +19,8 @@
 	"turnfork.dev/turnfork/internal/fakestore"
 )
 
-// coldFleet is the configuration of one of some gateways whose only store has just started: its number, how many there are
-// (twice), the store's address and weight, and when it started.
+// coldEndpointConfig is the configuration of a gateway whose only endpoint has just started. Its arguments are the seed, the
+// endpoint's address, weight and start time in ms, the gateway's index, and the number of gateways (twice).
 const coldEndpointConfig = `{"name":"n","listen":"127.0.0.1:0","limits":{"cores":1,"memory_mb":64,"sockets":200},"seed":"%x",
 "known":{"seq":1,"results":[{"seq":1,"fleet":{"version":1,"full":true,"servers":[{"id":"s-0000000a","addr":%q,"zone":"edge",
 "kind":"box","cell":0,"state":"Ready","weight":%d,"started_ms":%d}]}}]},"settings":{"me":%d,"az":1,"balancers":%d,
@@ -40,7 +40,7 @@
 	return append(append(b, 0, 0), data...)
 }
 
-// fastcgiGet words a request for a part of 300 KB.
+// fastcgiGet encodes a request for a part of 300 KB.
 func fastcgiGet(id uint16, txn uint64) []byte {
 	params := fastcgiParam("SCRIPT_NAME", "/v1/firmware")
 	for name, value := range map[string]string{
@@ -54,7 +54,7 @@
 	return append(append(b, fastcgiRecord(4, id, nil)...), fastcgiRecord(5, id, nil)...)
 }
 
-// ends reads up to the ends of so many requests, and counts them.
+// readEnds reads until this number of requests has ended, and counts the ends.
 func readEnds(r io.Reader, requests int, ended *atomic.Int64) error {
 	for requests > 0 {
 		var head [8]byte
@@ -72,8 +72,9 @@
 	return nil
 }
 
-// Thirty gateways want a cold store in the same moment, each after a lull in which it could save up what it may send. In
-// any span of the settings' length the store gets no more calls than the N that they allow and 2 x root of N + 2.
+// Thirty gateways send to a cold endpoint at the same moment, each after an idle period in which its slow-start budget could
+// accumulate. In any window of the configured length the endpoint must get at most N + 2 x root of N + 2 calls, where N is
+// the number that the settings allow.
 func TestManyGatewaysStartOnAColdEndpoint(t *testing.T) {
 	const gateways, weight, requestsEach, idleTime, window = 30, 1, 8, 12000, 1900
 	store, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
@@ -103,8 +104,8 @@
 		})
 		fronts = append(fronts, <-ready)
 	}
-	// ask has every gateway asked for so many parts on a new connection, and gives the calls that came until all are
-	// answered, the clock moving on by ms meanwhile.
+	// requestParts requests this number of parts from every gateway on a new connection, advances the clock by ms meanwhile, and
+	// returns the number of calls that the endpoint received until all requests were answered.
 	requestCount := uint64(0)
 	requestParts := func(parts int, ms float64) int {
 		before := len(store.Calls("GET"))
@@ -122,7 +123,7 @@
 			}
 			go func() { answered <- readEnds(bufio.NewReader(c), parts, &ended) }()
 		}
-		for received := 0; received < parts*gateways; time.Sleep(time.Millisecond) { // before their time goes on
+		for received := 0; received < parts*gateways; time.Sleep(time.Millisecond) { // before the clock advances
 			received = int(ended.Load())
 			for _, f := range fronts {
 				received += f.Fronts.Open()
@@ -136,7 +137,7 @@
 					t.Fatal(err)
 				}
 				left--
-			case <-time.After(10 * time.Millisecond): // for the gateways to act on the time that it is
+			case <-time.After(10 * time.Millisecond): // for the gateways to act at the current time
 				if ms > 0 {
 					clk.Advance(step)
 					ms -= step
@@ -145,16 +146,16 @@
 		}
 		return len(store.Calls("GET")) - before
 	}
-	requestParts(1, window) // the store is seen, and what may be sent to it saved up from here on
+	requestParts(1, window) // the gateways know the endpoint, and its budget accumulates from here on
 	clk.Advance(idleTime)
 	rampShare := 0.2 + 0.8*(window+idleTime)/40000.0
 	allowed := 2 * rampShare * weight * 2 / 0.3
 	calls := requestParts(requestsEach, window)
 	if limit := allowed + 2*math.Sqrt(allowed) + 2; float64(calls) > limit {
-		t.Errorf("%d calls came, %.1f are allowed and chance gives %.1f", calls, allowed, limit)
+		t.Errorf("%d calls received, %.1f are allowed and %.1f with the random deviation", calls, allowed, limit)
 	}
 	if calls < 2 {
-		t.Errorf("%d calls came, %.1f are allowed", calls, allowed)
+		t.Errorf("only %d calls received, %.1f are allowed", calls, allowed)
 	}
-	t.Logf("%d of %d requests were sent on, %.1f are allowed", calls, gateways*requestsEach, allowed)
+	t.Logf("%d of %d requests were sent to the endpoint, %.1f are allowed", calls, gateways*requestsEach, allowed)
 }
