--- a/production_test.go
+++ b/production_test.go
@@ -16,7 +16,7 @@
 const (
 	clientTTL        = 1800.0         // ms
 	idlePeriod       = 10 * 60 * 1000 // ms
-	connIdleTime     = 5000           // ms: connections to endpoints rest, and are still to be used
+	connIdleTime     = 5000           // ms, below the idle-close time of connections to endpoints
 	requestsPerClass = 8
 )
 
@@ -162,7 +162,7 @@
 }
 
 // Requests with deadlines of 1 to 20 ms are answered in that time, even if endpoints drop them without a response, and no endpoint
-// is ejected for it.
+// is penalized for it.
 func TestVeryShortDeadlines(t *testing.T) {
 	for _, how := range []fakestore.Behavior{fakestore.Hang, fakestore.Good, fakestore.Failing} {
 		t.Run(fmt.Sprintf("behavior %d", how), func(t *testing.T) {
--- a/signed_test.go
+++ b/signed_test.go
@@ -29,21 +29,21 @@
 
 const operatorSecret = "a secret for the operator"
 
-// site is a gateway with the second front before a stand-in store, on loopback, with a clock that the
-// test sets.
+// signedGateway is a gateway with the signed frontend and a fake endpoint on loopback, and with a clock that the test advances.
 type signedGateway struct {
 	t     testing.TB
 	clock *clock.Clock
 	store *fakestore.Store
 	ring  *ring.Ring
 	addr  string
-	runs  atomic.Int64 // of ride-end
+	runs  atomic.Int64 // number of ride-end requests that the endpoint received
 	stop  func()
 }
 
 const start = 1.8e12 // Unix ms
 
-// hold lets a test keep a GET unanswered; a nil handler answers at once.
+// newSignedGateway starts a gateway. handle responds to the calls of the endpoint, and may block to keep a request in flight; nil:
+// the endpoint responds at once.
 func newSignedGateway(t testing.TB, handle func(fakestore.Call) (string, string, []byte, bool)) *signedGateway {
 	t.Helper()
 	s := &signedGateway{t: t, clock: clock.Manual(start)}
@@ -113,7 +113,7 @@
 	return s
 }
 
-// do asks with a method and gives the status, the error's code and the body.
+// do sends a request and returns the status, the error code and the body.
 func (s *signedGateway) do(method, url string, body string, head ...string) (int, string, string) {
 	s.t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.addr+url, strings.NewReader(body))
@@ -157,8 +157,8 @@
 	return path + "?" + jws.Param + "=" + p
 }
 
-// replayed expects a write to be refused as used. As long as what became of the first use is not recorded, the answer is
-// to come back.
+// expectReplayed expects a write to be rejected because its token is used. Until the outcome of the first use is recorded, the
+// response is 503.
 func (s *signedGateway) expectReplayed(what, url string) {
 	s.t.Helper()
 	code, why := 503, ""
@@ -187,13 +187,13 @@
 	}
 	good := s.packageURL(tile, nil)
 	s.expect("package", 200, "", "GET", good)
-	s.expect("again: no single use", 200, "", "GET", good)
+	s.expect("package used again: not single-use", 200, "", "GET", good)
 	s.expect("no token", 401, "missing", "GET", tile)
 	s.expect("another path", 403, "bad_signature", "GET", strings.Replace(s.url(tile, 60, "n"), "/3?", "/4?", 1))
 	s.expect("another URI", 403, "wrong_uri", "GET", strings.Replace(good, "/3?", "/4?", 1))
-	s.expect("cut signature", 403, "bad_signature", "GET", strings.TrimRight(s.url(tile, 60, "n"), "=")[:len(s.url(tile, 60, "n"))-1])
+	s.expect("truncated signature", 403, "bad_signature", "GET", strings.TrimRight(s.url(tile, 60, "n"), "=")[:len(s.url(tile, 60, "n"))-1])
 	s.expect("forged package", 403, "bad_signature", "GET", good[:len(good)-6]+"AAAAAA")
-	s.expect("no package at all", 400, "malformed", "GET", tile+"?"+jws.Param+"=abc")
+	s.expect("malformed package", 400, "malformed", "GET", tile+"?"+jws.Param+"=abc")
 	none := base64.RawURLEncoding.EncodeToString([]byte(`{"alg":"none","kid":"pack"}`))
 	s.expect("alg none", 400, "malformed", "GET", tile+"?"+jws.Param+"="+none+".e30.")
 	s.expect("two tokens", 400, "malformed", "GET", good+"&"+strings.SplitN(s.url(tile, 60, "n"), "?", 2)[1])
@@ -205,11 +205,11 @@
 	s.expect("regex", 200, "", "GET", s.packageURL(tile, func(c *jws.Claims) { c.Container = "regex:http://[^/]+/v1/firmware/.*" }))
 	s.expect("regex of a part", 403, "wrong_uri", "GET", s.packageURL(tile, func(c *jws.Claims) { c.Container = "regex:/v1/" }))
 
-	// Clocks differ: ten seconds of leeway both ways.
+	// Clocks may differ: the leeway is 10 s in both directions.
 	u := s.url(tile, 5, "n2")
 	early := s.packageURL(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 + 9; c.NotBefore = &v })
-	s.expect("from a clock 9 s ahead", 200, "", "GET", early)
-	s.expect("from one 11 s ahead", 403, "not_yet_valid", "GET",
+	s.expect("issued by a clock 9 s ahead", 200, "", "GET", early)
+	s.expect("issued by a clock 11 s ahead", 403, "not_yet_valid", "GET",
 		s.packageURL(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 + 11; c.IssuedAt = &v }))
 	s.clock.Advance(14000)
 	s.expect("9 s past expiry", 200, "", "GET", u)
@@ -231,7 +231,7 @@
 			switch code, _, _ := s.do("POST", u, "ride"); code {
 			case 200:
 				served.Add(1)
-			case 403, 503: // the second, as long as the first is under way
+			case 403, 503: // 503 while the first request is in flight
 				replayed.Add(1)
 			}
 		}()
@@ -241,15 +241,15 @@
 	s.clock.Advance(69000)
 	s.expectReplayed("within the leeway", u)
 	s.clock.Advance(20000)
-	s.expect("after it", 403, "expired", "POST", u)
+	s.expect("after the leeway", 403, "expired", "POST", u)
 	s.expect("a package without jti", 403, "bad_claim", "POST", s.packageURL(rideEnd, nil))
 	if served.Load() != 1 || replayed.Load() != 7 || s.runs.Load() != 1 {
 		t.Errorf("served %d, replayed %d, ran %d times", served.Load(), replayed.Load(), s.runs.Load())
 	}
 }
 
-// A store that dies with ride-end in hand leaves its outcome in doubt: it is not sent again, the client
-// hears 502 and the token stays used.
+// If the endpoint dies while a ride-end request is in flight, its outcome is unconfirmed: it is not sent again, the client gets 502
+// and the token stays used.
 func TestUnconfirmedRideEndStaysClaimed(t *testing.T) {
 	var s *signedGateway
 	s = newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
@@ -264,7 +264,7 @@
 	}
 }
 
-// A refusal promises that nothing ran, so the token serves again.
+// A 503 promises that the request did not run, so its token can be used again.
 func TestRejectedRideEndMayBeRetried(t *testing.T) {
 	var full atomic.Bool
 	full.Store(true)
@@ -276,7 +276,7 @@
 	})
 	u := s.url(rideEnd, 600, "later")
 	done := make(chan struct{})
-	go func() { // the module waits a little between tries; time has to pass for it
+	go func() { // the decision module waits between attempts, so the clock has to advance
 		for {
 			select {
 			case <-done:
@@ -288,21 +288,21 @@
 		}
 	}()
 	if code, _, _ := s.do("POST", u, ""); code != 503 && code != 504 {
-		t.Errorf("full store: %d", code)
+		t.Errorf("busy endpoint: %d", code)
 	}
 	full.Store(false)
 	code := 403
-	for i := 0; i < 2000 && code == 403; i++ { // the claim is given back just after the answer
+	for i := 0; i < 2000 && code == 403; i++ { // the claim is released after the response
 		code, _, _ = s.do("POST", u, "")
 		time.Sleep(time.Millisecond)
 	}
 	close(done)
 	if code != 200 && code != 503 {
-		t.Errorf("after the refusal: %d", code)
+		t.Errorf("after the rejection: %d", code)
 	}
 }
 
-// A token that expires in the middle of a request: what is under way finishes, and no new attempt starts.
+// When a token expires during a request, the attempt in flight completes and no new attempt starts.
 func TestTokenExpiryDuringRequest(t *testing.T) {
 	arrived, statuses := make(chan struct{}, 8), make(chan string, 8)
 	s := newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
@@ -322,11 +322,11 @@
 		<-arrived
 		return out
 	}
-	a := request(s.url(tile, -8, "a")) // within the leeway for two seconds more
+	a := request(s.url(tile, -8, "a")) // stays within the leeway for 2 s
 	s.clock.Advance(2500)
 	statuses <- "ACK"
 	if got := <-a; got.code != 200 {
-		t.Errorf("an answer under way was lost: %+v", got)
+		t.Errorf("the response of an attempt in flight was lost: %+v", got)
 	}
 	b := request(s.url("/v1/firmware/7f3a9c21e0b4d655/4", -5, "b"))
 	before := len(s.store.Calls("GET"))
@@ -338,7 +338,7 @@
 	d := request(s.url("/v1/firmware/7f3a9c21e0b4d655/5", -8, "d"))
 	before++
 	s.clock.Advance(2500)
-	statuses <- "NOENT" // the module fills a miss at once; here it may not
+	statuses <- "NOENT" // a miss normally starts a fill at once, but not after expiry
 	if got := <-d; got.code != 403 || got.err != "expired" {
 		t.Errorf("a miss after expiry: %+v", got)
 	}
@@ -365,7 +365,7 @@
 	}
 	s.expect("revoked", 403, "revoked", "GET", u)
 
-	// Renewal by cookie, but for no longer than a token may last.
+	// Renewal by cookie, limited to the longest lifetime of a token.
 	for seconds, want := range map[int]bool{60: true, 2 * signed.DefaultTokenSeconds: false} {
 		resp, err := http.Get("http://" + s.addr + s.packageURL(tile, func(c *jws.Claims) { c.Transport, c.Renew = 1, seconds }))
 		if err != nil {
@@ -377,7 +377,7 @@
 		}
 	}
 
-	// Rotation: a new key comes, the old one is taken away.
+	// Rotation: a new key replaces the old one.
 	old := s.url(tile, 60, "o")
 	secret := base64.StdEncoding.EncodeToString([]byte(strings.Repeat("z", 32)))
 	keys := []token.Key{{ID: "url2", Kind: token.HMAC, Secret: secret}}
@@ -393,12 +393,12 @@
 	s.expect("new key", 200, "", "GET", next.URL)
 	s.expect("old key", 403, "unknown_key", "GET", old)
 	if code, _, _ := s.do("POST", "/-/policy", `{"leeway_ms":-1}`, auth...); code != 400 {
-		t.Error("a negative leeway was taken:", code)
+		t.Error("a negative leeway was accepted:", code)
 	}
 }
 
-// An operator's purge of an object or a group bounds the age of copies that stores are asked for; what names neither, or both,
-// is refused. A gateway that is alone has no members to replace.
+// An operator's purge of an object or a group limits the age of the copies that endpoints may serve. A purge that names neither or
+// both is rejected. A gateway without a replicated store rejects the replacement of a member.
 func TestOperatorPurges(t *testing.T) {
 	s := newSignedGateway(t, nil)
 	auth := []string{"Authorization", "Bearer " + operatorSecret}
@@ -418,7 +418,7 @@
 		}
 	}
 	s.clock.Advance(100)                                                            // the purge was 100 ms ago
-	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // it goes to the core beside the answer
+	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // the core may receive the purge after the response
 		if code, _, _ := s.do("GET", s.url(tile, 600, rand.Text()), ""); code != 200 {
 			t.Fatal(code)
 		}
@@ -427,7 +427,7 @@
 			break
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("copies are asked for with %q", calls[len(calls)-1].Fields["fresh"])
+			t.Fatalf("requested maximum age of copies is %q", calls[len(calls)-1].Fields["fresh"])
 		}
 	}
 	if code, _, text := s.do("POST", "/-/members", `{"lost":"alone","joining":{"id":"b","addr":"127.0.0.1:9"}}`, auth...); code != 400 {
@@ -435,7 +435,7 @@
 	}
 }
 
-// Bytes that are no request, or one that is too large, end the connection with the status that says so.
+// Malformed and too large requests get the matching error status.
 func TestMalformedRequests(t *testing.T) {
 	s := newSignedGateway(t, nil)
 	for raw, want := range map[string]string{
@@ -467,11 +467,11 @@
 		}
 		c.Close()
 	}
-	s.expect("the front goes on", 200, "", "GET", s.url(tile, 60, "n"))
+	s.expect("valid request afterwards", 200, "", "GET", s.url(tile, 60, "n"))
 }
 
-// A store that answers nothing costs a request its time and no more. A ride-end given up for silence is
-// answered 502, at its deadline 504; either way its token stays used, as it may have run.
+// An endpoint that does not respond delays a request until its deadline at most. A ride-end request gets 502 if its attempt is
+// abandoned, and 504 at its deadline; in both cases its token stays used, because the request may have run.
 func TestDeadline(t *testing.T) {
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
 	s := newSignedGateway(t, func(fakestore.Call) (string, string, []byte, bool) {
@@ -492,7 +492,7 @@
 	}()
 	<-arrived
 	var r result
-	for done := false; !done; { // the module looks at its timers when an event comes
+	for done := false; !done; { // the decision module checks its timers when it receives an event
 		s.clock.Advance(50)
 		s.do("GET", s.url("/v1/none/7f3a9c21e0b4d655/0", 60, "n"), "")
 		select {
@@ -510,7 +510,7 @@
 	}
 }
 
-// Requests on one connection are answered in their order, and the connection is kept.
+// Pipelined requests on one connection are answered in order, and the connection stays open.
 func TestPipelining(t *testing.T) {
 	s := newSignedGateway(t, nil)
 	c, err := net.Dial("tcp", s.addr)
@@ -530,12 +530,12 @@
 		}
 		b, _ := io.ReadAll(resp.Body)
 		if want := fmt.Sprintf("piece %d", i); string(b) != want {
-			t.Errorf("answer %d is %q", i, b)
+			t.Errorf("response %d is %q", i, b)
 		}
 	}
 }
 
-// answering is a core that serves all it is asked and counts.
+// answeringCore returns a fake core that serves all requests and counts them.
 func answeringCore(runs *atomic.Int64) func(core.Event) {
 	return func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
@@ -545,8 +545,8 @@
 	}
 }
 
-// A ride-end token is used up at every member, also while one is lost and after all have restarted; a
-// member without a majority sends nothing.
+// A ride-end token that was used at one member is used up at all members, also after all of them have restarted. A member without
+// a majority sends nothing.
 func TestReplayAtAnotherReplica(t *testing.T) {
 	const deadline = 30000
 	c := newGatewayGroup(t, deadline)
@@ -566,7 +566,7 @@
 	if ok.Load() != 1 || c.runs.Load() != 1 {
 		t.Fatalf("served %d, ran %d", ok.Load(), c.runs.Load())
 	}
-	for _, f := range c.frontends { // the end of the one ride is recorded
+	for _, f := range c.frontends { // wait until the outcome of the request is recorded
 		for f.Open() > 0 {
 			time.Sleep(time.Millisecond)
 		}
@@ -595,7 +595,7 @@
 	}
 }
 
-// Links signed for other networks go the same way as the gateway's own, over sockets: served, refused, and used once.
+// Links signed in the dialects of other networks are handled like the gateway's own: served, rejected, and single-use.
 func TestOtherDialects(t *testing.T) {
 	s := newSignedGateway(t, nil)
 	for _, key := range []string{"edge", "KEYPAIR", "cdn", "AKID", "access"} {
@@ -615,7 +615,7 @@
 		good := sign(tile)
 		s.expect(key, 200, "", "GET", good)
 		forged := "bad_signature"
-		if key == "access" { // names its URIs apart from its text
+		if key == "access" { // its token lists the permitted URIs, so the signature stays valid
 			forged = "wrong_uri"
 		}
 		s.expect(key+": another path", 403, forged, "GET", strings.Replace(good, "/v1/firmware/", "/v1/ride-end/", 1))
--- a/storage_test.go
+++ b/storage_test.go
@@ -26,22 +26,22 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// storageFault is a call on a file system that fails, and how; none: nil.
+// storageFault is a failing file system call and its error.
 type storageFault struct {
 	call string
 	err  error
 }
 
-// failingFiles is the system's file system, which fails as long as there is a fault.
+// failingFiles is the system's file system, which fails while a fault is set.
 type failingFiles struct {
 	durable.FileSystem
 	fault atomic.Pointer[storageFault]
-	hang  atomic.Pointer[chan struct{}] // a sync returns once this is closed; nil: it doesn't hang
+	hang  atomic.Pointer[chan struct{}] // a sync blocks until this is closed; nil: it doesn't block
 }
 
 func newFailingFiles() *failingFiles { return &failingFiles{FileSystem: durable.OS} }
 
-// fails gives the error of a call; nil: it works.
+// injectedError returns the error of a call; nil: it succeeds.
 func (f *failingFiles) injectedError(call string) error {
 	if fault := f.fault.Load(); fault != nil && fault.call == call {
 		return &os.PathError{Op: call, Path: "orders", Err: fault.err}
@@ -71,7 +71,7 @@
 	return f.FileSystem.SyncDir(path)
 }
 
-// failingFile is a file of failingFiles. A write that fails leaves a part behind.
+// failingFile is a file of failingFiles. A failed write leaves a part of its data behind.
 type failingFile struct {
 	durable.File
 	files *failingFiles
@@ -95,8 +95,8 @@
 	return f.File.Sync()
 }
 
-// storedGateway is a gateway with a shared folder, which can be ended and started again as after a kill: nothing is written
-// at its end.
+// persistentGateway is a gateway with a shared folder. It can be stopped and started again as after a kill, because it writes
+// nothing when it stops.
 type persistentGateway struct {
 	*testing.T
 	listen, shared string
@@ -127,7 +127,7 @@
 	}
 }
 
-// run starts the gateway, or gives the error with which its start ends.
+// run starts the gateway, or returns the error of its start.
 func (g *persistentGateway) run() error {
 	g.Helper()
 	text := fmt.Sprintf(coldEndpointConfig, 7919, "127.0.0.1:1", 1, int64(0), 0, 1, 1)
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// call gives a call's status and the state that it answers with.
+// call makes an admin call, and returns the status and the state in the response.
 func (g *persistentGateway) call(method, path, body string) (status int, state adminapi.State) {
 	g.Helper()
 	request, err := http.NewRequest(method, g.adminURL+path, strings.NewReader(body))
@@ -182,17 +182,17 @@
 	return state
 }
 
-// await waits for a state.
+// await polls the state until it meets a condition.
 func (g *persistentGateway) await(what string, ok func(adminapi.State) bool) {
 	g.Helper()
 	for limit := time.Now().Add(30 * time.Second); !ok(g.state()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			g.Fatalf("never %s: %+v", what, g.state())
+			g.Fatalf("not within 30 s: %s: %+v", what, g.state())
 		}
 	}
 }
 
-// folder is where the processes of the gateway meet.
+// folder returns the folder that the processes of the gateway share.
 func (g *persistentGateway) folder() string {
 	g.Helper()
 	found, err := filepath.Glob(filepath.Join(g.shared, "turnfork_*"))
@@ -207,21 +207,21 @@
 	disableBody  = `{"id":"` + coldEndpoint + `"}`
 )
 
-// storageFaults are the calls that fail where an order is written.
+// storageFaults are the faults of calls that write overrides.
 var storageFaults = []storageFault{
 	{"create", syscall.ENOSPC}, {"write", syscall.ENOSPC}, {"write", syscall.EIO}, {"fsync", syscall.EIO},
 	{"fsync", syscall.ENOSPC}, {"rename", syscall.ENOSPC}, {"syncdir", syscall.EIO},
 }
 
-// An order that the disk refuses holds, its caller is told that it is not durable, and it is written once the disk works
-// again: a start after a kill finds it.
+// An override that can't be written is in force, and is reported as not durable. It is written once the disk works again, so that
+// it is in force after a kill and restart.
 func TestOverrideIsWrittenAfterDiskRecovers(t *testing.T) {
 	for _, fault := range storageFaults {
 		t.Run(fault.call+" "+fault.err.Error(), func(t *testing.T) {
 			g := newPersistentGateway(t)
 			g.start()
 			if state := g.state(); !state.Durable || len(state.Storage) > 0 {
-				t.Fatalf("before an order: %+v", state)
+				t.Fatalf("before an override: %+v", state)
 			}
 			g.files.fault.Store(&fault)
 			begun := time.Now()
@@ -230,7 +230,7 @@
 				t.Fatalf("%d after %v", status, took)
 			}
 			if state.Durable || len(state.Storage) != 1 || !strings.Contains(state.Storage[0], fault.err.Error()) {
-				t.Errorf("told as durable: %+v", state)
+				t.Errorf("reported as durable: %+v", state)
 			}
 			if !state.Ready || !slices.Equal(state.Disabled, []string{coldEndpoint}) {
 				t.Errorf("%+v", state)
@@ -246,7 +246,7 @@
 	}
 }
 
-// The fault is one of the system's own: a folder stands where the file of orders belongs.
+// The operating system itself returns the error here: a folder has the path of the overrides file.
 func TestOverrideIsWrittenOncePathIsFree(t *testing.T) {
 	g := newPersistentGateway(t)
 	g.start()
@@ -263,7 +263,7 @@
 	limit := time.Now().Add(10 * time.Second)
 	for _, err := os.Stat(blockingFolder); err != nil; _, err = os.Stat(blockingFolder) {
 		if time.Now().After(limit) {
-			t.Fatal("never written")
+			t.Fatal("overrides not written within 10 s")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -274,8 +274,8 @@
 	}
 }
 
-// With another process alive an order that the disk refuses is not done, holds here, and reaches the other process once the
-// disk works. What that process orders meanwhile holds here too, and undoes nothing.
+// While a sibling process is alive, an override that can't be written is in force here, but the call returns 503. The sibling can
+// read the override once the disk works. An override that the sibling writes meanwhile takes effect here too, and undoes nothing.
 func TestUnwrittenOverrideReachesSibling(t *testing.T) {
 	g := newPersistentGateway(t)
 	g.start()
@@ -287,7 +287,7 @@
 	g.await("two processes", func(s adminapi.State) bool { return s.Processes == 2 })
 	g.files.fault.Store(&storageFault{"write", syscall.ENOSPC})
 	if status, _ := g.call("PUT", "/stores/disable", disableBody); status != 503 {
-		t.Errorf("the other process can't know: %d", status)
+		t.Errorf("the sibling can't read the override: %d", status)
 	}
 	if state := g.state(); !slices.Equal(state.Disabled, []string{coldEndpoint}) || state.Durable {
 		t.Errorf("%+v", state)
@@ -295,7 +295,7 @@
 	if _, err := other.Update(t.Context(), handover.Overrides{}, func(s *handover.Overrides) { s.Draining = true }); err != nil {
 		t.Fatal(err)
 	}
-	g.await("drained by the other", func(s adminapi.State) bool { return s.Draining })
+	g.await("drained by the sibling", func(s adminapi.State) bool { return s.Draining })
 	if state := g.state(); !slices.Equal(state.Disabled, []string{coldEndpoint}) || state.Durable {
 		t.Errorf("%+v", state)
 	}
@@ -307,18 +307,18 @@
 	}
 }
 
-// The disk refuses or delays no more than the sync: the other process can read the order, so it is done, and told as not
-// durable within the time for an answer.
+// If only the sync fails or blocks, the sibling process can read the override, so the call succeeds within the time limit and
+// reports that the override is not durable.
 func TestUnsyncedOverrideReachesSibling(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		begin func(*failingFiles) (end func())
 	}{
-		{"refused", func(files *failingFiles) func() {
+		{"sync fails", func(files *failingFiles) func() {
 			files.fault.Store(&storageFault{"fsync", syscall.EIO})
 			return func() { files.fault.Store(nil) }
 		}},
-		{"hangs", func(files *failingFiles) func() {
+		{"sync blocks", func(files *failingFiles) func() {
 			resume := make(chan struct{})
 			files.hang.Store(&resume)
 			return func() { files.hang.Store(nil); close(resume) }
@@ -340,7 +340,7 @@
 				t.Errorf("%d after %v: %+v", status, took, state)
 			}
 			if s, err := other.Read(); err != nil || !slices.Equal(s.Disabled, []uint32{10}) {
-				t.Errorf("the other reads %+v, %v", s, err)
+				t.Errorf("the sibling reads %+v, %v", s, err)
 			}
 			end()
 			g.await("durable", func(s adminapi.State) bool { return s.Durable })
@@ -348,7 +348,7 @@
 	}
 }
 
-// Orders that are given while the disk refuses all of them are written as they stand in the end.
+// Of several overrides that can't be written, the latest of each kind is written once the disk works.
 func TestLatestUnwrittenOverridesAreWritten(t *testing.T) {
 	g := newPersistentGateway(t)
 	g.start()
@@ -366,7 +366,8 @@
 	}
 }
 
-// The folder can't be entered at the start: what was ordered before holds, and orders are written once it can be.
+// The shared folder is unavailable at the start of a process. Overrides given meanwhile are in force, and once the folder is
+// available they are written together with those stored before.
 func TestStartWhileSharedFolderIsUnavailable(t *testing.T) {
 	g := newPersistentGateway(t)
 	g.start()
@@ -393,7 +394,7 @@
 	}
 }
 
-// failingLogs is a voter's log, which refuses writes as long as there is a fault.
+// failingLogs is a voter's log, whose writes fail while a fault is set.
 type failingLogs struct {
 	replica.LogDatabase
 	fault *atomic.Pointer[storageFault]
@@ -424,8 +425,8 @@
 	return f.write(func() error { return f.LogDatabase.SetUint64(key, value) })
 }
 
-// The disk of a gateway that votes fails while the group needs it for a majority: it goes on serving what needs no disk, stays
-// ready and says what is wrong, and refuses single-use work with advice. It takes that up again once the disk works.
+// The disk of a voting gateway fails while the group needs it for a majority. The gateway must keep serving requests that need no
+// disk, stay ready, report the fault, and reject single-use requests with Retry-After. It accepts them again once the disk works.
 func TestVoterDiskFails(t *testing.T) {
 	for _, fault := range []storageFault{{"write", syscall.ENOSPC}, {"fsync", syscall.EIO}} {
 		t.Run(fault.err.Error(), func(t *testing.T) {
@@ -436,7 +437,7 @@
 			})
 			s.await("fresh", func() bool { return s.subscription().Fresh })
 			if status := s.postRideEnd("before"); status != http.StatusOK {
-				t.Fatalf("before: a ride's end has %d", status)
+				t.Fatalf("ride-end before the fault: %d", status)
 			}
 			failing.Store(&fault)
 			s.stores[0].Close()
@@ -447,29 +448,29 @@
 			}
 			answer.Body.Close()
 			if answer.StatusCode != http.StatusServiceUnavailable || answer.Header.Get("Retry-After") == "" {
-				t.Errorf("a ride's end has %d, %v", answer.StatusCode, answer.Header)
+				t.Errorf("ride-end during the fault: %d, %v", answer.StatusCode, answer.Header)
 			}
 			if len(s.store.Calls("GET")) != sent {
-				t.Error("it was sent on")
+				t.Error("the rejected ride-end was sent to the endpoint")
 			}
-			s.await("trouble", func() bool { return len(s.state().Storage) == 1 })
+			s.await("storage error reported", func() bool { return len(s.state().Storage) == 1 })
 			state := s.state()
 			if !state.Ready || !strings.HasPrefix(state.Storage[0], "replica: ") || !strings.Contains(state.Storage[0], fault.err.Error()) {
 				t.Errorf("%+v", state)
 			}
 			if status, _ := s.get(s.keys, "url", "firmware", 1); status != http.StatusOK {
-				t.Errorf("a read has %d", status)
+				t.Errorf("read during the fault: %d", status)
 			}
 			failing.Store(nil)
 			s.await("fresh again", func() bool { return s.subscription().Fresh && len(s.state().Storage) == 0 })
-			s.await("single-use work", func() bool { return s.postRideEnd(fmt.Sprint("after", time.Now().UnixNano())) == http.StatusOK })
+			s.await("single-use requests served", func() bool { return s.postRideEnd(fmt.Sprint("after", time.Now().UnixNano())) == http.StatusOK })
 			s.openMember(0, nil, 3000)
 		})
 	}
 }
 
-// One copy of the orders is cut at each sector, overwritten in its last page, or lost: the other is gone by, and both are
-// written again. With both damaged the start ends with an error that names the file.
+// One copy of the overrides is truncated at a sector boundary, zeroed from there on, or lost. The other copy is used, and both
+// are written again. If both are damaged, the start fails with an error that names the file.
 func TestDamagedOverrideFiles(t *testing.T) {
 	const sector = 512
 	g := newPersistentGateway(t)
@@ -514,7 +515,7 @@
 			write(name, content)
 			s, incomplete, err := handover.New(folder, durable.OS).Load()
 			if err != nil || incomplete == nil || !strings.Contains(incomplete.Error(), name) || !slices.Equal(s.Disabled, stored.Disabled) {
-				t.Errorf("%s, damage %d: %v, %v, %d stores out", name, i, incomplete, err, len(s.Disabled))
+				t.Errorf("%s, damage %d: %v, %v, %d endpoints disabled", name, i, incomplete, err, len(s.Disabled))
 			}
 		}
 		if err := os.Remove(filepath.Join(folder, name)); err != nil {
@@ -523,7 +524,7 @@
 		g.start()
 		g.await("durable", func(s adminapi.State) bool { return s.Durable })
 		if state := g.state(); len(state.Disabled) != len(stored.Disabled) {
-			t.Errorf("without %s: %d stores out", name, len(state.Disabled))
+			t.Errorf("without %s: %d endpoints disabled", name, len(state.Disabled))
 		}
 		g.end()
 		for _, name := range names {
--- a/subscribe_test.go
+++ b/subscribe_test.go
@@ -29,7 +29,8 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// sharingText is the operator's file of a gateway that shares the replicated state of a trio, but for its part in that.
+// replicatedGatewayConfig returns the operator's file of a gateway that uses a group's replicated state, up to the settings of its
+// role in the group.
 func replicatedGatewayConfig(store string) string {
 	return anyPortConfig + `
 console = "127.0.0.1:0"
@@ -43,29 +44,29 @@
 `
 }
 
-// shortLease are time limits that keep the test short, and are long enough for a loaded machine to renew the lease many
-// times over; the purge deadline stays as it is.
+// shortLease contains time limits that keep the tests short, and yet allow a loaded machine to renew the lease many times before
+// it ends. The purge deadline keeps its default.
 var shortLease = distribution.Timing{
 	HeartbeatInterval: 100 * time.Millisecond, LeaseTTL: 3 * time.Second, SilenceTimeout: time.Second,
 	BatchDelay: 20 * time.Millisecond,
 }
 
-// sharing is a gateway that shares the replicated state of a trio.
+// replicatedGateway is a gateway that uses the replicated state of a group.
 type replicatedGateway struct {
 	*gatewayGroup
 	store *fakestore.Store
 	addrs Addrs
 }
 
-// newSubscribed starts a gateway that subscribes to a trio's voters.
+// newSubscribingGateway starts a gateway that subscribes to a group's voters.
 func newSubscribingGateway(t *testing.T) *replicatedGateway {
 	return newReplicatedGateway(t, newGatewayGroup(t, 3000), "id = \"phones-9\"\nsubscribe = true\n")
 }
 
-// newVoting starts a gateway that is itself a trio's last member.
+// newVotingGateway starts a gateway that is itself the last member of a group.
 func newVotingGateway(t *testing.T) *replicatedGateway { return newVotingGatewayWithLog(t, nil) }
 
-// newVotingOn starts one whose file of the log is opened in a way of its own.
+// newVotingGatewayWithLog is newVotingGateway with a custom function that opens the log.
 func newVotingGatewayWithLog(t *testing.T, openLogs func(path string) (replica.LogDatabase, error)) *replicatedGateway {
 	c := newGatewayGroup(t, 3000)
 	c.openLogs = openLogs
@@ -114,7 +115,8 @@
 	return s
 }
 
-// writeCertificates writes a member's certificate and its authority's as the operator's file names them.
+// writeCertificates writes a member's certificate and key and the authority's certificate to the files named in the operator's
+// file.
 func (s *replicatedGateway) writeCertificates(dir string) {
 	conf, err := s.cert()
 	if err != nil {
@@ -139,7 +141,7 @@
 	s.Helper()
 	state := s.state()
 	if state.Subscription == nil {
-		s.Fatalf("the console tells of no subscription: %+v", state)
+		s.Fatalf("the admin API reports no subscription: %+v", state)
 	}
 	return state.Subscription
 }
@@ -161,12 +163,13 @@
 	s.Helper()
 	for limit := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
-			s.Fatalf("never: %s; %+v", what, s.subscription())
+			s.Fatalf("not within 30 s: %s; %+v", what, s.subscription())
 		}
 	}
 }
 
-// get asks for an object with a key, and gives the status and the age in ms that the store was asked for (-1: none).
+// get requests an object with a key, and returns the status and the maximum age of copies in ms that was requested from the
+// endpoint (-1: none).
 func (s *replicatedGateway) get(keys *ring.Ring, key, class string, object uint64) (status, fresh int) {
 	s.Helper()
 	path := fmt.Sprintf("/v1/%s/%016x/0", class, object)
@@ -196,7 +199,7 @@
 	return resp.StatusCode, fresh
 }
 
-// end ends a ride, and gives the status.
+// postRideEnd sends a ride-end request, and returns the status.
 func (s *replicatedGateway) postRideEnd(nonce string) int {
 	s.Helper()
 	resp, err := http.Post("http://"+s.addrs.Signed.String()+s.url(nonce), "", nil)
@@ -208,9 +211,9 @@
 	return resp.StatusCode
 }
 
-// A gateway that does not vote serves by what the voters tell it: keys and purges come into force, and its claims are agreed
-// on. Without voters it knows that it is stale: it serves on, asks for no copy that a missing purge could make void, and
-// begins no single-use work. It becomes fresh once they are back, with the change that was made meanwhile.
+// A non-voting gateway applies the keys and purges that it receives from the voters, and claims tokens through them. Without voters
+// it knows that it is stale: it keeps serving, but limits the age of copies so that no missed purge matters, and starts no
+// single-use request. It becomes fresh again once the voters are back.
 func TestSubscribingGateway(t *testing.T) {
 	s := newSubscribingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
@@ -218,19 +221,19 @@
 		t.Errorf("fresh: status %d, copies of %d ms", status, fresh)
 	}
 	if status := s.postRideEnd("fresh"); status != http.StatusOK {
-		t.Errorf("fresh: a ride's end has %d", status)
+		t.Errorf("fresh: ride-end has status %d", status)
 	}
 
 	purgeCtx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	voter := s.stores[s.leader()]
-	called := s.clock.Unix() // the purge is dated and comes into force at some time from here on
+	called := s.clock.Unix() // the date of the purge is not earlier
 	if err := voter.Purge(purgeCtx, 2, 0); err != nil {
 		t.Fatal(err)
 	}
 	s.await("the purge", func() bool { _, fresh := s.get(s.keys, "url", "firmware", 2); return fresh > 0 })
 	if _, fresh := s.get(s.keys, "url", "firmware", 2); float64(fresh) > s.clock.Unix()-called {
-		t.Errorf("a copy of %d ms will do, %v ms after the call for a purge", fresh, s.clock.Unix()-called)
+		t.Errorf("copies of %d ms are accepted, %v ms after the call for a purge", fresh, s.clock.Unix()-called)
 	}
 	secret := base64.StdEncoding.EncodeToString([]byte(strings.Repeat("n", 32)))
 	next := []token.Key{{ID: "next", Kind: token.HMAC, Secret: secret}, {ID: "url", Kind: token.HMAC, Secret: urlSecret}}
@@ -255,11 +258,11 @@
 		t.Errorf("stale: status %d, copies of %d ms", status, fresh)
 	}
 	if status, fresh := s.get(keys, "next", "app-assets", 5); status != http.StatusOK || fresh != 3000 {
-		t.Errorf("stale, of a class that is fresh for 3 s: status %d, copies of %d ms", status, fresh)
+		t.Errorf("stale, class with a freshness of 3 s: status %d, copies of %d ms", status, fresh)
 	}
 	ends := len(s.store.Calls("GET"))
 	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.store.Calls("GET")) != ends {
-		t.Errorf("stale: a ride's end has %d, or was sent on", status)
+		t.Errorf("stale: ride-end has status %d, or was sent to the endpoint", status)
 	}
 
 	for i := range s.stores {
@@ -270,11 +273,11 @@
 		t.Errorf("fresh again: status %d, copies of %d ms", status, fresh)
 	}
 	if status := s.postRideEnd("again"); status != http.StatusOK {
-		t.Errorf("fresh again: a ride's end has %d", status)
+		t.Errorf("fresh again: ride-end has status %d", status)
 	}
 }
 
-// operate calls an operator's endpoint, and gives the status and the body.
+// callOperatorAPI calls the operators' API of the signed frontend, and returns the status and the body.
 func (s *replicatedGateway) callOperatorAPI(path, body string) (int, string) {
 	s.Helper()
 	req, err := http.NewRequest("POST", "http://"+s.addrs.Signed.String()+path, strings.NewReader(body))
@@ -294,8 +297,8 @@
 	return resp.StatusCode, string(answer)
 }
 
-// An operator has a lost voter replaced by way of a gateway that does not vote. The group then bears the loss of another one,
-// and the gateway stays fresh by the voters that are left.
+// An operator replaces a lost voter through a non-voting gateway. The group then tolerates the loss of another voter, and the
+// gateway stays fresh with the remaining voters.
 func TestOperatorReplacesMember(t *testing.T) {
 	s := newSubscribingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
@@ -320,7 +323,7 @@
 	}
 	t.Cleanup(func() { joined.Close() })
 	if code, text := s.callOperatorAPI("/-/members", fmt.Sprintf(`{"lost":"nobody","joining":{"id":"new","addr":%q}}`, joining.Addr)); code != 400 {
-		t.Errorf("a name that nobody has: %d %s", code, text)
+		t.Errorf("unknown member name: %d %s", code, text)
 	}
 	var text string
 	s.await("replaced", func() bool {
@@ -334,14 +337,14 @@
 	s.await("the new voter complete", joined.Fresh)
 	s.stores[1].Close()
 	if code, text := s.callOperatorAPI("/-/policy", `{"leeway_ms":2000}`); code != http.StatusOK {
-		t.Errorf("with one former voter and the new one: %d %s", code, text)
+		t.Errorf("with one of the former voters and the new one: %d %s", code, text)
 	}
-	s.await("fresh by those that are left", func() bool { got := s.subscription(); return got.Fresh && got.AgeMS < 2000 })
+	s.await("fresh with the remaining voters", func() bool { got := s.subscription(); return got.Fresh && got.AgeMS < 2000 })
 }
 
-// A gateway that votes itself holds to the same lease: without a majority it knows that it is stale. It serves on, asks for no
-// copy that a missing purge could make void, and begins no single-use work. It is fresh again with the purge that was made
-// while it was cut off.
+// The same lease applies to a voting gateway: without a majority it knows that it is stale. It keeps serving, but limits the age
+// of copies so that no missed purge matters, and starts no single-use request. It becomes fresh again once the other voters are
+// back.
 func TestVotingGateway(t *testing.T) {
 	s := newVotingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
@@ -352,7 +355,7 @@
 		t.Errorf("fresh: status %d, copies of %d ms", status, fresh)
 	}
 	if status := s.postRideEnd("fresh"); status != http.StatusOK {
-		t.Errorf("fresh: a ride's end has %d", status)
+		t.Errorf("fresh: ride-end has status %d", status)
 	}
 
 	for _, other := range []int{0, 1} {
@@ -368,7 +371,7 @@
 	}
 	sent := len(s.store.Calls("GET"))
 	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.store.Calls("GET")) != sent {
-		t.Errorf("stale: a ride's end has %d, or was sent on", status)
+		t.Errorf("stale: ride-end has status %d, or was sent to the endpoint", status)
 	}
 
 	for _, other := range []int{0, 1} {
@@ -379,6 +382,6 @@
 		t.Errorf("fresh again: status %d, copies of %d ms", status, fresh)
 	}
 	if status := s.postRideEnd("again"); status != http.StatusOK {
-		t.Errorf("fresh again: a ride's end has %d", status)
+		t.Errorf("fresh again: ride-end has status %d", status)
 	}
 }
