--- a/flood_test.go
+++ b/flood_test.go
@@ -116,15 +116,15 @@
 // BenchmarkFlood measures the request rate of legitimate clients alone and beside 64 connections that send forged links from
 // another address, and the number of log lines written meanwhile.
 func BenchmarkFlood(b *testing.B) {
-	store, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	endpoint, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
 		return "ACK", "tag=00000000000000aa,why=local,minted=1799999990000", []byte("piece"), true
 	})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer store.Close()
+	defer endpoint.Close()
 	log, clk := &lineCounter{}, clock.System()
-	addr, keys, stop := startGatewayWithKeys(b, store, zerolog.New(log), clk, "")
+	addr, keys, stop := startGatewayWithKeys(b, endpoint, zerolog.New(log), clk, "")
 	defer stop()
 	got, err := keys.Issue("url", token.Terms{URI: tile, Until: math.Floor(clk.Unix()/1000) + 600, ID: "n"})
 	if err != nil {
@@ -133,22 +133,22 @@
 	good, forged := got.URL, strings.Replace(got.URL, "signature=", "signature=A", 1)
 	const length = 3 * time.Second
 	for b.Loop() {
-		var alone, beside, refused, none, denied, warm atomic.Int64
+		var alone, duringFlood, goodRejected, forgedServed, forgedRejected, warmup atomic.Int64
 		var wg sync.WaitGroup
-		startClients(b, &wg, addr, "127.0.0.1", good, 1, time.Now().Add(time.Second), &warm, &warm)
+		startClients(b, &wg, addr, "127.0.0.1", good, 1, time.Now().Add(time.Second), &warmup, &warmup)
 		wg.Wait()
-		startClients(b, &wg, addr, "127.0.0.1", good, 16, time.Now().Add(length), &alone, &refused)
+		startClients(b, &wg, addr, "127.0.0.1", good, 16, time.Now().Add(length), &alone, &goodRejected)
 		wg.Wait()
 		before := log.n.Load()
-		startClients(b, &wg, addr, "127.0.0.2", forged, 64, time.Now().Add(length), &none, &denied)
-		startClients(b, &wg, addr, "127.0.0.1", good, 16, time.Now().Add(length), &beside, &refused)
+		startClients(b, &wg, addr, "127.0.0.2", forged, 64, time.Now().Add(length), &forgedServed, &forgedRejected)
+		startClients(b, &wg, addr, "127.0.0.1", good, 16, time.Now().Add(length), &duringFlood, &goodRejected)
 		wg.Wait()
 		b.ReportMetric(float64(alone.Load())/length.Seconds(), "alone/s")
-		b.ReportMetric(float64(beside.Load())/float64(alone.Load()), "share")
-		b.ReportMetric(float64(refused.Load()), "good-refused")
-		b.ReportMetric(float64(denied.Load())/length.Seconds(), "forged/s")
+		b.ReportMetric(float64(duringFlood.Load())/float64(alone.Load()), "share")
+		b.ReportMetric(float64(goodRejected.Load()), "good-refused")
+		b.ReportMetric(float64(forgedRejected.Load())/length.Seconds(), "forged/s")
 		b.ReportMetric(float64(log.n.Load()-before)/length.Seconds(), "lines/s")
-		if none.Load() > 0 {
+		if forgedServed.Load() > 0 {
 			b.Error("a forged link was served")
 		}
 	}
@@ -156,8 +156,8 @@
 
 // startGatewayWithKeys runs a gateway with one endpoint and the two keys "url" and "other". more is appended to its operator's
 // file.
-func startGatewayWithKeys(t testing.TB, store *fakestore.Store, log zerolog.Logger, clk *clock.Clock, more string) (addr string, keys *ring.Ring, stop func()) {
-	text := anyPortConfig + classConfig("firmware", "deadline_ms = 5000") + endpointsConfig(store.Addr()) +
+func startGatewayWithKeys(t testing.TB, endpoint *fakestore.Store, log zerolog.Logger, clk *clock.Clock, more string) (addr string, keys *ring.Ring, stop func()) {
+	text := anyPortConfig + classConfig("firmware", "deadline_ms = 5000") + endpointsConfig(endpoint.Addr()) +
 		hmacKeyConfig("url", "a2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=") +
 		hmacKeyConfig("other", "b2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=") + more
 	o, err := config.ParseOperator(text, t.TempDir())
@@ -206,7 +206,7 @@
 // in flight. Clients, keys and grants below their limits are served.
 func TestFrontendLimits(t *testing.T) {
 	release := make(chan struct{})
-	store, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	endpoint, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
 		if c.Fields["piece"] == "9" {
 			<-release
 		}
@@ -215,9 +215,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer store.Close()
+	defer endpoint.Close()
 	clk := clock.Manual(start)
-	addr, keys, stop := startGatewayWithKeys(t, store, zerolog.Nop(), clk, `
+	addr, keys, stop := startGatewayWithKeys(t, endpoint, zerolog.Nop(), clk, `
 [limit]
 client_v4_bits = 32
 [limit.grant]
@@ -258,7 +258,7 @@
 			}
 		})
 	}
-	for len(store.Calls("GET")) < 9 {
+	for len(endpoint.Calls("GET")) < 9 {
 		time.Sleep(time.Millisecond)
 	}
 	if code, text := get("127.0.0.2", "url", "d", "0"); code != 429 || !strings.Contains(text, "this key") {
--- a/graceful_shutdown_test.go
+++ b/graceful_shutdown_test.go
@@ -61,13 +61,13 @@
 const stoppingGatewayDeadline = 1800 * time.Millisecond // of the only class in coldEndpointConfig
 
 func newStoppingGateway(t *testing.T, handle func(fakestore.Call) (string, string, []byte, bool)) *stoppingGateway {
-	store, err := fakestore.Listen("127.0.0.1:0", handle)
+	endpoint, err := fakestore.Listen("127.0.0.1:0", handle)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { store.Close() })
+	t.Cleanup(func() { endpoint.Close() })
 	const weight = 1000
-	text := fmt.Sprintf(coldEndpointConfig, 7919, store.Addr(), weight, 0, 0, 1, 1)
+	text := fmt.Sprintf(coldEndpointConfig, 7919, endpoint.Addr(), weight, 0, 0, 1, 1)
 	node, err := config.Parse([]byte(text), "", "")
 	if err != nil {
 		t.Fatal(err)
--- a/production_rig_test.go
+++ b/production_rig_test.go
@@ -135,12 +135,12 @@
 }
 
 // setBehavior makes every endpoint respond to all further attempts with this behavior.
-func (r *productionRig) setBehavior(how fakestore.Behavior) {
-	r.setBehaviorFunc(func(fakestore.Call, int) fakestore.Behavior { return how })
+func (r *productionRig) setBehavior(behavior fakestore.Behavior) {
+	r.setBehaviorFunc(func(fakestore.Call, int) fakestore.Behavior { return behavior })
 }
 
-func (r *productionRig) setBehaviorFunc(how func(c fakestore.Call, n int) fakestore.Behavior) {
-	r.behavior.Store(&how)
+func (r *productionRig) setBehaviorFunc(behavior func(c fakestore.Call, n int) fakestore.Behavior) {
+	r.behavior.Store(&behavior)
 }
 
 // waitFor polls a condition that must become true. Only a hung program exceeds its time limit.
@@ -407,10 +407,10 @@
 }
 
 // setWriter sets the function that writes frames, for new watches and the next frames of existing ones.
-func (d *fakeDiscovery) setWriter(how func(c net.Conn, frames []byte)) {
+func (d *fakeDiscovery) setWriter(write func(c net.Conn, frames []byte)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.writeFrames = how
+	d.writeFrames = write
 }
 
 func (d *fakeDiscovery) serve(c net.Conn) {
--- a/signed_test.go
+++ b/signed_test.go
@@ -31,13 +31,13 @@
 
 // signedGateway is a gateway with the signed frontend and a fake endpoint on loopback, and with a clock that the test advances.
 type signedGateway struct {
-	t     testing.TB
-	clock *clock.Clock
-	store *fakestore.Store
-	ring  *ring.Ring
-	addr  string
-	runs  atomic.Int64 // number of ride-end requests that the endpoint received
-	stop  func()
+	t        testing.TB
+	clock    *clock.Clock
+	endpoint *fakestore.Store
+	ring     *ring.Ring
+	addr     string
+	runs     atomic.Int64 // number of ride-end requests that the endpoint received
+	stop     func()
 }
 
 const start = 1.8e12 // Unix ms
@@ -48,7 +48,7 @@
 	t.Helper()
 	s := &signedGateway{t: t, clock: clock.Manual(start)}
 	var err error
-	s.store, err = fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	s.endpoint, err = fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
 		if c.Fields["lane"] == "ride-end" {
 			s.runs.Add(1)
 		}
@@ -68,7 +68,7 @@
 max_age_s = 600
 `, operatorSecret) + classConfig("app-assets", "deadline_ms = 2500", "fresh_s = 12") +
 		classConfig("firmware", "aim_ms = 600", "deadline_ms = 5000") + classConfig("ride-end", "deadline_ms = 3000", "write = true") +
-		endpointsConfig(s.store.Addr()) + hmacKeyConfig("url", urlSecret) + fmt.Sprintf(`
+		endpointsConfig(s.endpoint.Addr()) + hmacKeyConfig("url", urlSecret) + fmt.Sprintf(`
 [[key]]
 id = "KEYPAIR"
 kind = "cloudfront"
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	addr, stop := runGateway(t, o, zerolog.Nop(), s.clock)
-	s.addr, s.stop = addr, sync.OnceFunc(func() { stop(); s.store.Close() })
+	s.addr, s.stop = addr, sync.OnceFunc(func() { stop(); s.endpoint.Close() })
 	t.Cleanup(s.stop)
 	return s
 }
@@ -253,7 +253,7 @@
 func TestUnconfirmedRideEndStaysClaimed(t *testing.T) {
 	var s *signedGateway
 	s = newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
-		s.store.Cut()
+		s.endpoint.Cut()
 		return "", "", nil, false
 	})
 	u := s.url(rideEnd, 60, "doubt")
@@ -329,7 +329,7 @@
 		t.Errorf("the response of an attempt in flight was lost: %+v", got)
 	}
 	b := request(s.url("/v1/firmware/7f3a9c21e0b4d655/4", -5, "b"))
-	before := len(s.store.Calls("GET"))
+	before := len(s.endpoint.Calls("GET"))
 	s.clock.Advance(2500 + 2600)
 	statuses <- "NOENT"
 	if got := <-b; got.code == 200 {
@@ -342,7 +342,7 @@
 	if got := <-d; got.code != 403 || got.err != "expired" {
 		t.Errorf("a miss after expiry: %+v", got)
 	}
-	if n := len(s.store.Calls("GET")); n != before {
+	if n := len(s.endpoint.Calls("GET")); n != before {
 		t.Errorf("%d attempts started after expiry", n-before)
 	}
 }
@@ -422,7 +422,7 @@
 		if code, _, _ := s.do("GET", s.url(tile, 600, rand.Text()), ""); code != 200 {
 			t.Fatal(code)
 		}
-		calls := s.store.Calls("GET")
+		calls := s.endpoint.Calls("GET")
 		if age, _ := strconv.Atoi(calls[len(calls)-1].Fields["fresh"]); age > 0 && age <= 100 {
 			break
 		}
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -77,20 +77,20 @@
 // the number that the settings allow.
 func TestManyGatewaysStartOnAColdEndpoint(t *testing.T) {
 	const gateways, weight, requestsEach, idleTime, window = 30, 1, 8, 12000, 1900
-	store, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
+	endpoint, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,why=local,minted=1", []byte("part"), true
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer store.Close()
+	defer endpoint.Close()
 	clk := clock.Manual(1.8e12)
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	defer func() { stop(); running.Wait() }()
-	var fronts []Addrs
+	var gatewayAddrs []Addrs
 	for i := range gateways {
-		text := fmt.Sprintf(coldEndpointConfig, i*7919+1, store.Addr(), weight, int64(clk.Now()), i, gateways, gateways)
+		text := fmt.Sprintf(coldEndpointConfig, i*7919+1, endpoint.Addr(), weight, int64(clk.Now()), i, gateways, gateways)
 		node, err := config.Parse([]byte(text), "", "")
 		if err != nil {
 			t.Fatal(err)
@@ -102,16 +102,16 @@
 				t.Error(err)
 			}
 		})
-		fronts = append(fronts, <-ready)
+		gatewayAddrs = append(gatewayAddrs, <-ready)
 	}
 	// requestParts requests this number of parts from every gateway on a new connection, advances the clock by ms meanwhile, and
 	// returns the number of calls that the endpoint received until all requests were answered.
 	requestCount := uint64(0)
 	requestParts := func(parts int, ms float64) int {
-		before := len(store.Calls("GET"))
+		before := len(endpoint.Calls("GET"))
 		answered := make(chan error, gateways)
 		var ended atomic.Int64
-		for _, f := range fronts {
+		for _, f := range gatewayAddrs {
 			c, err := net.Dial("tcp", f.FastCGI.String())
 			if err != nil {
 				t.Fatal(err)
@@ -125,7 +125,7 @@
 		}
 		for received := 0; received < parts*gateways; time.Sleep(time.Millisecond) { // before the clock advances
 			received = int(ended.Load())
-			for _, f := range fronts {
+			for _, f := range gatewayAddrs {
 				received += f.Fronts.Open()
 			}
 		}
@@ -144,7 +144,7 @@
 				}
 			}
 		}
-		return len(store.Calls("GET")) - before
+		return len(endpoint.Calls("GET")) - before
 	}
 	requestParts(1, window) // the gateways know the endpoint, and its budget accumulates from here on
 	clk.Advance(idleTime)
--- a/subscribe_test.go
+++ b/subscribe_test.go
@@ -54,8 +54,8 @@
 // replicatedGateway is a gateway that uses the replicated state of a group.
 type replicatedGateway struct {
 	*gatewayGroup
-	store *fakestore.Store
-	addrs Addrs
+	endpoint *fakestore.Store
+	addrs    Addrs
 }
 
 // newSubscribingGateway starts a gateway that subscribes to a group's voters.
@@ -81,16 +81,16 @@
 func newReplicatedGateway(t *testing.T, c *gatewayGroup, part string) *replicatedGateway {
 	s := &replicatedGateway{gatewayGroup: c}
 	var err error
-	s.store, err = fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
+	s.endpoint, err = fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,why=local,minted=1", []byte("piece"), true
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.store.Close() })
+	t.Cleanup(func() { s.endpoint.Close() })
 	dir := t.TempDir()
 	s.writeCertificates(dir)
-	file := replicatedGatewayConfig(s.store.Addr()) + part
+	file := replicatedGatewayConfig(s.endpoint.Addr()) + part
 	for _, m := range s.members {
 		file += fmt.Sprintf("[[replica.member]]\nid = %q\naddr = %q\n", m.ID, m.Addr)
 	}
@@ -177,14 +177,14 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	before := len(s.store.Calls("GET"))
+	before := len(s.endpoint.Calls("GET"))
 	resp, err := http.Get("http://" + s.addrs.Signed.String() + issued.URL)
 	if err != nil {
 		s.Fatal(err)
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
-	calls := s.store.Calls("GET")
+	calls := s.endpoint.Calls("GET")
 	if len(calls) == before {
 		return resp.StatusCode, -1
 	}
@@ -260,8 +260,8 @@
 	if status, fresh := s.get(keys, "next", "app-assets", 5); status != http.StatusOK || fresh != 3000 {
 		t.Errorf("stale, class with a freshness of 3 s: status %d, copies of %d ms", status, fresh)
 	}
-	ends := len(s.store.Calls("GET"))
-	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.store.Calls("GET")) != ends {
+	ends := len(s.endpoint.Calls("GET"))
+	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Calls("GET")) != ends {
 		t.Errorf("stale: ride-end has status %d, or was sent to the endpoint", status)
 	}
 
@@ -369,8 +369,8 @@
 	if status, fresh := s.get(s.keys, "url", "firmware", 2); status != http.StatusOK || fresh != bound {
 		t.Errorf("stale: status %d, copies of %d ms", status, fresh)
 	}
-	sent := len(s.store.Calls("GET"))
-	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.store.Calls("GET")) != sent {
+	sent := len(s.endpoint.Calls("GET"))
+	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Calls("GET")) != sent {
 		t.Errorf("stale: ride-end has status %d, or was sent to the endpoint", status)
 	}
 
