--- a/frontends.go
+++ b/frontends.go
@@ -31,7 +31,7 @@
 	SetProcessShare(processes, conns int)
 }
 
-// stoppable is the server of a listener that can be stopped at once.
+// stoppableServer is the server of a listener, which can be stopped gracefully.
 type stoppableServer interface {
 	// Stop closes each connection once the requests that were read from it are answered.
 	Stop()
