--- a/admin.go
+++ b/admin.go
@@ -59,10 +59,10 @@
 func (a *adminState) State() adminapi.State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	reasons := a.readiness.reasons(a.overrides.Draining)
+	notReady := a.readiness.reasons(a.overrides.Draining)
 	s := adminapi.State{
-		Ready:     len(reasons) == 0,
-		Why:       reasons,
+		Ready:     len(notReady) == 0,
+		Why:       notReady,
 		Draining:  a.overrides.Draining,
 		Disabled:  []string{},
 		Open:      a.openRequests(),
