--- a/claims_test.go
+++ b/claims_test.go
@@ -23,52 +23,52 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// trio is three gateways, each with its member of the replicated store on disk, in mutual TLS.
-type trio struct {
+// gatewayGroup is a group of three gateways, each with its own member of the replicated store on disk, connected by mutual TLS.
+type gatewayGroup struct {
 	*testing.T
-	members []replica.Member
-	dirs    []string
-	stores  [3]*replica.Store
-	fronts  [3]*signed.Front
-	clock   *clock.Clock
-	keys    *ring.Ring
-	cert    func() (*tls.Config, error)
-	runs    atomic.Int64
-	fault   atomic.Pointer[fault]
-	killed  chan struct{}
-	victim  int // the member that was killed, once killed is closed
+	members   []replica.Member
+	dirs      []string
+	stores    [3]*replica.Store
+	frontends [3]*signed.Front
+	clock     *clock.Clock
+	keys      *ring.Ring
+	cert      func() (*tls.Config, error)
+	runs      atomic.Int64
+	fault     atomic.Pointer[leaderFault]
+	killed    chan struct{}
+	victim    int // the killed member, valid once killed is closed
 
-	openLogs func(path string) (replica.LogDatabase, error) // of a gateway that is a member; nil: the system's
+	openLogs func(path string) (replica.LogDatabase, error) // opens the log of a gateway that is a member; nil: the default
 }
 
-// fault kills the leader at one step of a claim, before it is proposed or once it is agreed on; then the answer to the
-// step is lost too.
-type fault struct {
+// leaderFault kills the leader at one step of a claim: before the step is proposed, or after it is committed, in which case the
+// response to the step is lost too.
+type leaderFault struct {
 	op    claims.Op
 	after bool
 }
 
-// faulty is a member that meets the trio's fault.
-type faulty struct {
+// faultyMember is a member that triggers the group's fault.
+type faultyMember struct {
 	*replica.Store
-	trio *trio
+	group *gatewayGroup
 }
 
-func (f faulty) Step(ctx context.Context, name string, s claims.Step) (claims.Record, bool, error) {
-	fault := f.trio.fault.Load()
-	if fault == nil || fault.op != s.Op || !f.trio.fault.CompareAndSwap(fault, nil) {
+func (f faultyMember) Step(ctx context.Context, name string, s claims.Step) (claims.Record, bool, error) {
+	fault := f.group.fault.Load()
+	if fault == nil || fault.op != s.Op || !f.group.fault.CompareAndSwap(fault, nil) {
 		return f.Store.Step(ctx, name, s)
 	}
 	if !fault.after {
-		f.trio.kill(f.trio.leader())
+		f.group.kill(f.group.leader())
 		return f.Store.Step(ctx, name, s)
 	}
 	f.Store.Step(ctx, name, s)
-	f.trio.kill(f.trio.leader())
-	return claims.Record{}, false, errors.New("the leader is gone")
+	f.group.kill(f.group.leader())
+	return claims.Record{}, false, errors.New("leader killed")
 }
 
-func (c *trio) leader() int {
+func (c *gatewayGroup) leader() int {
 	for {
 		for i, s := range c.stores {
 			if s.Leads() {
@@ -79,14 +79,14 @@
 	}
 }
 
-func (c *trio) kill(i int) {
+func (c *gatewayGroup) kill(i int) {
 	c.stores[i].Close()
 	c.victim = i
 	close(c.killed)
 }
 
-// awaitKill waits for the fault to be met, and gives the member that was killed.
-func (c *trio) awaitKill() (victim int) {
+// awaitKill waits until the fault is triggered, and returns the killed member.
+func (c *gatewayGroup) awaitKill() (victim int) {
 	c.Helper()
 	select {
 	case <-c.killed:
@@ -96,8 +96,8 @@
 	return c.victim
 }
 
-// isDead tells whether a member was killed.
-func (c *trio) isDead(member int) bool {
+// isDead reports whether a member was killed.
+func (c *gatewayGroup) isDead(member int) bool {
 	select {
 	case <-c.killed:
 		return c.victim == member
@@ -106,18 +106,18 @@
 	}
 }
 
-// trios counts the trios of this process.
-var trios atomic.Int32
+// groupCount counts the groups of this process.
+var groupCount atomic.Int32
 
-// newTrio starts three members; deadline, in ms, is ride-end's.
-func newTrio(t *testing.T, deadline float64) *trio {
-	c := &trio{T: t, clock: clock.System(), killed: make(chan struct{}), dirs: []string{t.TempDir(), t.TempDir(), t.TempDir()}}
+// newGatewayGroup starts three members. deadline is that of the class ride-end, in ms.
+func newGatewayGroup(t *testing.T, deadline float64) *gatewayGroup {
+	c := &gatewayGroup{T: t, clock: clock.System(), killed: make(chan struct{}), dirs: []string{t.TempDir(), t.TempDir(), t.TempDir()}}
 	var err error
 	if c.keys, err = ring.New([]token.Key{{ID: "url", Kind: token.HMAC, Secret: urlSecret}}); err != nil {
 		t.Fatal(err)
 	}
-	// Addresses of their own: while a member is down, no connection that leaves from 127.0.0.1 has its port.
-	n := byte(trios.Add(1))
+	// Each member has its own address, so that no outgoing connection from 127.0.0.1 takes its port while it is down.
+	n := byte(groupCount.Add(1))
 	at := func(i int) net.IP { return net.IPv4(127, 77, n, byte(i+1)) }
 	if c.cert, err = fakestore.Authority(at(0), at(1), at(2)); err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 		c.members = append(c.members, replica.Member{ID: fmt.Sprint("m", i), Addr: listeners[i].Addr().String()})
 	}
 	for i, l := range listeners {
-		c.open(i, l, deadline)
+		c.openMember(i, l, deadline)
 	}
 	t.Cleanup(func() {
 		for _, s := range c.stores {
@@ -138,9 +138,9 @@
 	return c
 }
 
-func (c *trio) listen(addr string) net.Listener {
+func (c *gatewayGroup) listen(addr string) net.Listener {
 	c.Helper()
-	// The port of a member that has ended may be lent to another connection of this machine for a while.
+	// Another connection of this machine may use the port of a stopped member for a while.
 	l, err := net.Listen("tcp", addr)
 	for limit := time.Now().Add(20 * time.Second); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(limit); {
 		time.Sleep(10 * time.Millisecond)
@@ -152,8 +152,8 @@
 	return l
 }
 
-// open starts a member and its gateway: on a listener, or with nil where it listened before.
-func (c *trio) open(i int, l net.Listener, deadline float64) {
+// openMember starts a member and its gateway, on a listener or, if l is nil, on the member's former address.
+func (c *gatewayGroup) openMember(i int, l net.Listener, deadline float64) {
 	c.Helper()
 	if l == nil {
 		l = c.listen(c.members[i].Addr)
@@ -168,19 +168,19 @@
 	}); err != nil {
 		c.Fatal(err)
 	}
-	c.fronts[i] = c.front(faulty{c.stores[i], c}, deadline, 20000)
+	c.frontends[i] = c.newFrontend(faultyMember{c.stores[i], c}, deadline, 20000)
 }
 
-// front is a gateway on a member; a claim may take claimMost ms.
-func (c *trio) front(member signed.Claims, deadline, claimMost float64) *signed.Front {
+// newFrontend returns a frontend that claims tokens at a member. A claim may take up to claimMost ms.
+func (c *gatewayGroup) newFrontend(member signed.Claims, deadline, claimMost float64) *signed.Front {
 	return signed.New(signed.Options{
-		Post: answering(&c.runs), Clock: c.clock, Log: zerolog.Nop(), Ring: c.keys, Claims: member, Leeway: 10000,
+		Post: answeringCore(&c.runs), Clock: c.clock, Log: zerolog.Nop(), Ring: c.keys, Claims: member, Leeway: 10000,
 		Classes: []signed.Class{{Name: "ride-end", Deadline: deadline, Write: true}}, ClaimMost: claimMost,
 	})
 }
 
-// url signs a ride's end.
-func (c *trio) url(nonce string) string {
+// url returns a signed URL of a ride-end request.
+func (c *gatewayGroup) url(nonce string) string {
 	c.Helper()
 	u, err := c.keys.Issue("url", token.Terms{URI: rideEnd, Until: c.clock.Unix()/1000 + 600, ID: nonce})
 	if err != nil {
@@ -189,22 +189,23 @@
 	return u.URL
 }
 
-// ride ends a ride at a gateway, over a pipe: the status and what its claim is said to be.
-func (c *trio) ride(f *signed.Front, url string) (int, string) {
+// endRide sends a ride-end request to a frontend over a pipe, and returns the status and the reported state of the claim.
+func (c *gatewayGroup) endRide(f *signed.Front, url string) (int, string) {
 	c.Helper()
-	near, far := net.Pipe()
-	go f.Handle(far)
-	defer near.Close()
-	fmt.Fprintf(near, "POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", url)
-	resp, err := http.ReadResponse(bufio.NewReader(near), nil)
+	client, server := net.Pipe()
+	go f.Handle(server)
+	defer client.Close()
+	fmt.Fprintf(client, "POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", url)
+	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
 		c.Fatal(err)
 	}
 	return resp.StatusCode, resp.Header.Get("X-Claim")
 }
 
-// The leader is killed at each step of a claim, before and after it is agreed on, under a client that retries at the
-// members in turn: one final answer that is the truth, one ride at most, and all members say the same once it is back.
+// The leader is killed at each step of a claim, before and after the step is committed, while a client retries at the members in
+// turn. The client must get one correct final response, the request must run at most once, and all members must report the same
+// state once the killed member is back.
 func TestLeaderKilledAtEachStep(t *testing.T) {
 	for _, op := range []claims.Op{claims.Hold, claims.Send, claims.Settle} {
 		for _, after := range []bool{false, true} {
@@ -212,50 +213,50 @@
 				t.Run(fmt.Sprintf("%s after=%v own=%v", op, after, atLeader), func(t *testing.T) {
 					t.Parallel()
 					const deadline = 1000
-					c := newTrio(t, deadline)
-					lead := c.leader()
+					c := newGatewayGroup(t, deadline)
+					leader := c.leader()
 					url := c.url("n")
-					c.fault.Store(&fault{op, after})
-					first := lead
+					c.fault.Store(&leaderFault{op, after})
+					first := leader
 					if !atLeader {
-						first = (lead + 1) % 3
+						first = (leader + 1) % 3
 					}
-					code, claim := c.ride(c.fronts[first], url)
+					code, claim := c.endRide(c.frontends[first], url)
 					for at, limit := first, time.Now().Add(40*time.Second); code == 503 && time.Now().Before(limit); {
 						if at = (at + 1) % 3; !c.isDead(at) {
-							code, claim = c.ride(c.fronts[at], url)
+							code, claim = c.endRide(c.frontends[at], url)
 						}
 						time.Sleep(20 * time.Millisecond)
 					}
-					victim := c.awaitKill() // also where the end is recorded after the answer
-					// Whoever leads at the step is killed, which need not be who led as the test began.
-					own := victim == first
-					// A gateway whose own member dies with the step to sent can't tell anybody that it did not send.
-					lost := own && op == claims.Send && after
-					if !lost && (code != 200 || c.runs.Load() != 1) || lost && (code != 403 || claim != "sent" || c.runs.Load() != 0) {
+					victim := c.awaitKill() // the outcome may be recorded after the response
+					// The killed member is the leader at the step, which may differ from the leader at the start of the test.
+					ownMemberKilled := victim == first
+					// A gateway whose own member dies at the Send step can't record that the request was not sent.
+					sendOutcomeLost := ownMemberKilled && op == claims.Send && after
+					if !sendOutcomeLost && (code != 200 || c.runs.Load() != 1) || sendOutcomeLost && (code != 403 || claim != "sent" || c.runs.Load() != 0) {
 						t.Fatalf("%d %q, ran %d times", code, claim, c.runs.Load())
 					}
-					c.open(victim, nil, deadline)
+					c.openMember(victim, nil, deadline)
 					c.leader()
-					said := map[string]int{}
-					for limit := time.Now().Add(20 * time.Second); len(said) != 1 || said["sent"] > 0; {
-						clear(said)
+					claimCounts := map[string]int{}
+					for waitUntil := time.Now().Add(20 * time.Second); len(claimCounts) != 1 || claimCounts["sent"] > 0; {
+						clear(claimCounts)
 						for i := range 3 {
-							code, claim := c.ride(c.fronts[i], url)
+							code, claim := c.endRide(c.frontends[i], url)
 							if code == 503 {
 								continue
 							}
-							if said[claim]++; code != 403 {
+							if claimCounts[claim]++; code != 403 {
 								t.Fatalf("replay at %d: %d", i, code)
 							}
 						}
-						// Its own member died before the end was agreed on: then it stays sent.
-						if (lost || own && op == claims.Settle && !after) && said["sent"] == 3 || time.Now().After(limit) {
+						// If the gateway's own member died before the outcome was committed, the claim stays in the state "sent".
+						if (sendOutcomeLost || ownMemberKilled && op == claims.Settle && !after) && claimCounts["sent"] == 3 || time.Now().After(waitUntil) {
 							break
 						}
 					}
-					if c.runs.Load() > 1 || len(said) != 1 {
-						t.Errorf("ran %d times, members say %v", c.runs.Load(), said)
+					if c.runs.Load() > 1 || len(claimCounts) != 1 {
+						t.Errorf("ran %d times, members report %v", c.runs.Load(), claimCounts)
 					}
 				})
 			}
--- a/gateway.go
+++ b/gateway.go
@@ -23,7 +23,7 @@
 	connsPerHTTPEndpoint = 16
 )
 
-// gateway is what Run puts together: first all parts, which do nothing yet, then the goroutines.
+// gateway holds the parts that Run assembles. newGateway creates all of them; run then starts their goroutines.
 type gateway struct {
 	Config
 	node   config.Node
@@ -38,16 +38,16 @@
 	frontends      []frontend
 	listeners      []net.Listener // of the frontends, in the same order
 	addrs          Addrs
-	acceptHandover func(*net.UnixConn)          // takes a connection over from another process; nil: none are taken over
-	adminListener  net.Listener                 // nil: there is no admin API
+	acceptHandover func(*net.UnixConn)          // receives the connections that another process hands over; nil: unsupported
+	adminListener  net.Listener                 // nil: no admin API
 	server         *adminapi.Server             // serves adminListener
-	addressChanges chan discovery.AddressChange // of the endpoint list, from reloads to its watcher
+	addressChanges chan discovery.AddressChange // new addresses of the endpoint list, from reloads to its watcher
 
 	closers []func() // in the order in which the parts were opened
 }
 
-// newGateway makes a gateway whose core does not run yet; ctx is of its listeners. What it opened is closed again where it
-// fails.
+// newGateway creates a gateway whose core does not run yet. Its listeners are opened under ctx. If a part fails to open, the
+// parts that were opened before it are closed again.
 func newGateway(ctx context.Context, cfg Config) (*gateway, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System()
@@ -63,7 +63,7 @@
 	}
 	gw.logSettings()
 	for _, open := range []func(context.Context) error{
-		gw.openCore, gw.openProcesses, gw.openPlane, gw.openFastCGI, gw.openSigned, gw.openProcessLimits, gw.openAdminAPI,
+		gw.openCore, gw.openSharedState, gw.openPlane, gw.openFastCGI, gw.openSigned, gw.openProcessLimits, gw.openAdminAPI,
 	} {
 		if err := open(ctx); err != nil {
 			gw.close()
@@ -83,20 +83,21 @@
 		Msg("settings loaded")
 }
 
-// close closes what was opened, the last first.
+// close closes the opened parts in reverse order.
 func (gw *gateway) close() {
 	for i := len(gw.closers) - 1; i >= 0; i-- {
 		gw.closers[i]()
 	}
 }
 
-func (gw *gateway) closeLater(closer func()) { gw.closers = append(gw.closers, closer) }
+// addCloser registers a function for close.
+func (gw *gateway) addCloser(closer func()) { gw.closers = append(gw.closers, closer) }
 
-// upstreamSlot stands for the core's upstream until that is made: the core sends by it and it posts to the core, so that the
-// core is made first.
+// upstreamSlot is a placeholder for the core's upstream. The core and the upstream refer to each other: the core is created
+// first, and the upstream, which posts to the core, is filled in afterwards.
 type upstreamSlot struct{ core.Upstream }
 
-// openCore makes the core and its upstreams.
+// openCore creates the core and its upstreams.
 func (gw *gateway) openCore(context.Context) (err error) {
 	gw.plane = controlplane.New(gw.Operator, gw.Clock, gw.Log)
 	gw.plane.Timing = gw.Distribution
@@ -111,12 +112,12 @@
 		upstream.Upstream = gw.pool
 		return nil
 	}
-	byEndpoint := &mux.Upstream{}
-	post := byEndpoint.TrackResults(gw.core.Post)
+	router := &mux.Upstream{}
+	post := router.TrackResults(gw.core.Post)
 	gw.openPool(post)
-	byEndpoint.Primary = gw.openHTTPStores(post)
-	byEndpoint.Fallback = gw.pool
-	upstream.Upstream = byEndpoint
+	router.Primary = gw.openHTTPEndpoints(post)
+	router.Fallback = gw.pool
+	upstream.Upstream = router
 	return nil
 }
 
@@ -151,12 +152,12 @@
 		Clock:        gw.Clock,
 		Log:          gw.Log,
 	}, post)
-	gw.closeLater(func() { gw.pool.Close() })
+	gw.addCloser(func() { gw.pool.Close() })
 }
 
-// openHTTPStores opens the upstream of the HTTP endpoints.
-func (gw *gateway) openHTTPStores(post func(core.Event)) *httpstore.Upstream {
-	stores := httpstore.New(httpstore.Options{
+// openHTTPEndpoints opens the upstream for HTTP endpoints.
+func (gw *gateway) openHTTPEndpoints(post func(core.Event)) *httpstore.Upstream {
+	httpUpstream := httpstore.New(httpstore.Options{
 		Stores:      gw.Operator.HTTPStores(),
 		DialTimeout: gw.node.DialTimeout,
 		IdleClose:   gw.node.IdleClose,
@@ -164,24 +165,24 @@
 		Clock:       gw.Clock,
 		Log:         gw.Log,
 	}, post)
-	gw.closeLater(func() { stores.Close() })
-	return stores
+	gw.addCloser(func() { httpUpstream.Close() })
+	return httpUpstream
 }
 
-// openProcesses enters this process among those of its gateway, puts the stored overrides in force, and gives the core the
-// events that are known at the start.
-func (gw *gateway) openProcesses(context.Context) error {
+// openSharedState registers this process with its siblings, applies the stored overrides, and passes the events of the
+// configuration to the core.
+func (gw *gateway) openSharedState(context.Context) error {
 	suffix := ""
 	if gw.Operator != nil {
 		suffix = "_" + gw.Operator.Listen
 	}
 	gw.registry = openRegistry(gw.SharedDir, gw.files, gw.node, suffix, gw.Log)
-	gw.closeLater(func() { gw.registry.Close() })
+	gw.addCloser(func() { gw.registry.Close() })
 	gw.admin = newAdminState(gw.core, gw.registry, gw.Log)
 	if gw.node.Changelog != "" {
 		gw.admin.markNotReady(endpointsUnsynced)
 	}
-	if err := gw.admin.loadOverrides(); err != nil { // before anything is sent
+	if err := gw.admin.loadOverrides(); err != nil { // before any request is sent
 		return err
 	}
 	for _, event := range gw.node.Known {
@@ -190,18 +191,18 @@
 	return nil
 }
 
-// openPlane opens the replicated state.
+// openPlane opens the control plane, which holds the replicated state.
 func (gw *gateway) openPlane(context.Context) error {
 	if err := gw.plane.Open(gw.core.Post); err != nil {
 		return err
 	}
-	gw.closeLater(func() { gw.plane.Close() })
+	gw.addCloser(func() { gw.plane.Close() })
 	gw.admin.subscription = gw.plane.Subscription
 	gw.admin.replicaStorage = gw.plane.StorageError
 	return nil
 }
 
-// openProcessLimits divides what the gateway may use among its processes, now and whenever their number changes.
+// openProcessLimits divides the gateway's limits among its processes, now and whenever their number changes.
 func (gw *gateway) openProcessLimits(context.Context) error {
 	gw.addrs.Fronts.Open = gw.openRequests
 	gw.admin.frontends = gw.frontends
@@ -212,7 +213,7 @@
 	return nil
 }
 
-// setProcessCount limits this process to its part of a gateway of so many processes.
+// setProcessCount limits this process to its share of the gateway's limits, given the number of processes.
 func (gw *gateway) setProcessCount(processes int) {
 	setHeapLimit(gw.node, processes)
 	limits := newConnectionLimits(gw.node.Sockets / processes)
@@ -223,7 +224,7 @@
 	go gw.core.Post(core.ProcessCount{Processes: processes})
 }
 
-// openAdminAPI listens for admin calls, where there is an address for them.
+// openAdminAPI listens for admin calls if an address is configured.
 func (gw *gateway) openAdminAPI(ctx context.Context) (err error) {
 	if gw.node.Console == "" {
 		return nil
@@ -232,12 +233,12 @@
 	if err != nil {
 		return fmt.Errorf("console: %w", err)
 	}
-	gw.closeLater(func() { gw.adminListener.Close() })
+	gw.addCloser(func() { gw.adminListener.Close() })
 	gw.addrs.Admin = gw.adminListener.Addr()
 	return nil
 }
 
-// run serves until ctx ends; end ends it once a shutdown is done.
+// run serves until ctx ends. It calls end, which is to cancel ctx, once a shutdown has completed.
 func (gw *gateway) run(ctx context.Context, end func()) error {
 	group, ctx := errgroup.WithContext(ctx)
 	if gw.adminListener != nil {
@@ -270,7 +271,7 @@
 	return group.Wait()
 }
 
-// awaitStop shuts the process down once it is asked to stop, and then calls end.
+// awaitStop waits for Stop, shuts the process down, and then calls end.
 func (gw *gateway) awaitStop(ctx context.Context, end func()) {
 	select {
 	case <-ctx.Done():
--- a/handover_test.go
+++ b/handover_test.go
@@ -11,14 +11,14 @@
 	"turnfork.dev/turnfork/internal/faultnet"
 )
 
-// faultyHandovers fails with each of errs in turn before it takes a connection.
-type faultyHandovers struct {
+// failingHandoverListener fails with each of errs in turn before it accepts a connection.
+type failingHandoverListener struct {
 	*net.UnixListener
 	errs   []syscall.Errno
 	failed atomic.Int64
 }
 
-func (l *faultyHandovers) AcceptUnix() (*net.UnixConn, error) {
+func (l *failingHandoverListener) AcceptUnix() (*net.UnixConn, error) {
 	if n := int(l.failed.Load()); n < len(l.errs) {
 		l.failed.Add(1)
 		return nil, faultnet.Error("accept", l.errs[n])
@@ -26,21 +26,21 @@
 	return l.UnixListener.AcceptUnix()
 }
 
-// No error of accept ends the taking over of connections.
-func TestAcceptErrorsEndNoHandover(t *testing.T) {
+// After any accept error the process keeps accepting handover connections.
+func TestAcceptErrorsDoNotStopHandover(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	faulty := &faultyHandovers{UnixListener: listener, errs: []syscall.Errno{
+	failing := &failingHandoverListener{UnixListener: listener, errs: []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EINTR,
 	}}
 	ctx, cancel := context.WithCancel(context.Background())
 	adopted, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		acceptHandovers(ctx, faulty, func(c *net.UnixConn) {
+		acceptHandovers(ctx, failing, func(c *net.UnixConn) {
 			c.Close()
 			close(adopted)
 		})
@@ -51,7 +51,7 @@
 	}
 	defer conn.Close()
 	<-adopted
-	if n := faulty.failed.Load(); n != int64(len(faulty.errs)) {
+	if n := failing.failed.Load(); n != int64(len(failing.errs)) {
 		t.Errorf("accept failed %d times", n)
 	}
 	cancel()
--- a/production_rig_test.go
+++ b/production_rig_test.go
@@ -24,8 +24,8 @@
 	"turnfork.dev/turnfork/internal/fakestore"
 )
 
-// productionSettings is a gateway before three caches, a parent and the origin, less the address of discovery and the list
-// of endpoints that it knows at its start.
+// productionSettings configures a gateway with three caches, a parent and the origin. Its arguments are the address of discovery
+// and the list of endpoints known at the start.
 const productionSettings = `{"name":"n","listen":"127.0.0.1:0","limits":{"cores":1,"memory_mb":64,"sockets":400},"seed":"1",
 "changelog":%q,"known":{"seq":1,"results":[{"seq":1,"fleet":{"version":1,"full":true,"servers":[%s]}}]},
 "settings":{"me":0,"az":1,"balancers":1,"zones":["hub","edge"],"kinds":["box","parent","origin"],"quantum":0.002,
@@ -38,19 +38,20 @@
 "family-info":{"origin-kind":2,"shield-kind":1,"client-kb-per-s":1000,"seats-by-zone":[0,1],"zone-hub":[0,0],"says":"all",
 "straight":true,"goes-through":[false,true,true]}}}`
 
-// Classes of productionSettings by the effect that a repeat has.
+// Classes of productionSettings, by whether a request may be repeated.
 const (
 	safeClass   = "firmware"
 	unsafeClass = "ride-end"
 	keyedClass  = "mark"
 )
 
-const maxAttempts = 8 // as productionSettings allow
+const maxAttempts = 8 // max-attempts of productionSettings
 
-// endpointKinds are the endpoints of the rig: three caches, a parent and the origin.
+// endpointKinds lists the kinds of the rig's endpoints: three caches, a parent and the origin.
 var endpointKinds = []string{"box", "box", "box", "parent", "origin"}
 
-// productionRig is a whole gateway over connections: its endpoints, discovery and clients, and a clock that a test moves.
+// productionRig is a complete gateway on real connections, with its endpoints, discovery and clients, and a clock that the test
+// advances.
 type productionRig struct {
 	*testing.T
 	clock     *clock.Clock
@@ -59,29 +60,29 @@
 	gateway   *gateway
 	stop      chan struct{}
 	reloads   chan config.Node
-	ended     chan struct{} // closed once the gateway has
+	ended     chan struct{} // closed once the gateway has stopped
 
-	behavior atomic.Pointer[func(c fakestore.Call, n int) fakestore.Behavior]
-	mu       sync.Mutex
-	runs     map[string]int // attempts by request ID that a store may have run
-	requests []*clientRequest
-	asked    int
+	behavior  atomic.Pointer[func(c fakestore.Call, n int) fakestore.Behavior]
+	mu        sync.Mutex
+	runs      map[string]int // number of attempts that an endpoint may have run, by request ID
+	requests  []*clientRequest
+	sentCount int
 }
 
 // clientRequest is one request of a client.
 type clientRequest struct {
 	id, class string
-	due       float64     // clock ms at which its client's time ends
-	answered  chan string // its status, once
-	status    string      // as it was answered; "": not yet
+	deadline  float64     // clock time in ms
+	answered  chan string // receives the status, once
+	status    string      // status of the response; "": not answered yet
 }
 
-// newProductionRig starts a gateway whose endpoints all answer, and which knows them without discovery.
+// newProductionRig starts a gateway whose endpoints all respond, and which knows them from its configuration.
 func newProductionRig(t *testing.T) *productionRig {
 	r := &productionRig{
 		T: t, clock: clock.Manual(1.8e12), stop: make(chan struct{}), reloads: make(chan config.Node), ended: make(chan struct{}), runs: map[string]int{},
 	}
-	r.behave(fakestore.Good)
+	r.setBehavior(fakestore.Good)
 	var err error
 	r.endpoints, err = fakestore.NewSlowStore(len(endpointKinds), func(c fakestore.Call, n int) fakestore.Behavior {
 		how := (*r.behavior.Load())(c, n)
@@ -111,11 +112,11 @@
 		}
 	}()
 	t.Cleanup(func() { end(); <-r.ended; r.gateway.close() })
-	r.until("discovery is followed", func() bool { return r.discovery.watches.Load() > 0 })
+	r.waitFor("gateway watches discovery", func() bool { return r.discovery.watches.Load() > 0 })
 	return r
 }
 
-// settings is the gateway's configuration at present.
+// settings returns the gateway's configuration with the current addresses.
 func (r *productionRig) settings() config.Node {
 	var list []string
 	for i, kind := range endpointKinds {
@@ -133,29 +134,29 @@
 	return node
 }
 
-// behave has every endpoint end all attempts in one way from now on.
-func (r *productionRig) behave(how fakestore.Behavior) {
-	r.behaveBy(func(fakestore.Call, int) fakestore.Behavior { return how })
+// setBehavior makes every endpoint respond to all further attempts with this behavior.
+func (r *productionRig) setBehavior(behavior fakestore.Behavior) {
+	r.setBehaviorFunc(func(fakestore.Call, int) fakestore.Behavior { return behavior })
 }
 
-func (r *productionRig) behaveBy(how func(c fakestore.Call, n int) fakestore.Behavior) {
-	r.behavior.Store(&how)
+func (r *productionRig) setBehaviorFunc(behavior func(c fakestore.Call, n int) fakestore.Behavior) {
+	r.behavior.Store(&behavior)
 }
 
-// until waits for what must come; only a hung program meets its limit.
-func (r *productionRig) until(what string, ok func() bool) {
+// waitFor polls a condition that must become true. Only a hung program exceeds its time limit.
+func (r *productionRig) waitFor(what string, ok func() bool) {
 	r.Helper()
 	for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			r.Fatalf("never: %s; %+v", what, r.stats())
+			r.Fatalf("not within 20 s: %s; %+v", what, r.stats())
 		}
 	}
 }
 
-// stats asks the core, which has looked at its timers before it answers.
+// stats queries the core. The core has processed its due timers before it replies.
 func (r *productionRig) stats() core.Stats {
 	var got core.Stats
-	for range 2 { // the core may have been past its timers when the first question came
+	for range 2 { // the core may already have passed its timers when it receives the first query
 		reply := make(chan core.Stats, 1)
 		r.gateway.core.Post(core.GetStats{Reply: reply})
 		select {
@@ -166,7 +167,7 @@
 	return got
 }
 
-// advance moves the clock on in steps, each of which the core takes note of.
+// advance advances the clock in steps, and lets the core process each step.
 func (r *productionRig) advance(ms float64) {
 	const step = 20.0
 	for ; ms > 0; ms -= step {
@@ -175,7 +176,7 @@
 	}
 }
 
-// connect opens a client's connection.
+// connect opens a client connection.
 func (r *productionRig) connect() *productionClient {
 	c, err := net.Dial("tcp", r.gateway.addrs.FastCGI.String())
 	if err != nil {
@@ -187,7 +188,7 @@
 	return p
 }
 
-// productionClient is a client's connection.
+// productionClient is a client connection.
 type productionClient struct {
 	rig  *productionRig
 	conn net.Conn
@@ -196,20 +197,20 @@
 	open map[uint16]*clientRequest
 }
 
-// ask sends so many requests of a class, each with ttl ms left, and gives them.
-func (p *productionClient) ask(class string, count int, ttl float64) (sent []*clientRequest) {
+// send sends this number of requests of a class, each with ttl ms until its deadline, and returns them.
+func (p *productionClient) send(class string, count int, ttl float64) (sent []*clientRequest) {
 	for range count {
-		p.rig.asked++
-		sent = append(sent, p.askAs(fmt.Sprintf("%016x", p.rig.asked), class, ttl))
+		p.rig.sentCount++
+		sent = append(sent, p.sendWithID(fmt.Sprintf("%016x", p.rig.sentCount), class, ttl))
 	}
 	p.rig.requests = append(p.rig.requests, sent...)
 	return sent
 }
 
-// askAs sends a request under an ID that may be in use.
-func (p *productionClient) askAs(id, class string, ttl float64) *clientRequest {
+// sendWithID sends a request with the given ID, which may be in use.
+func (p *productionClient) sendWithID(id, class string, ttl float64) *clientRequest {
 	p.last++
-	q := &clientRequest{id: id, class: class, due: p.rig.clock.Now() + ttl, answered: make(chan string, 1)}
+	q := &clientRequest{id: id, class: class, deadline: p.rig.clock.Now() + ttl, answered: make(chan string, 1)}
 	p.mu.Lock()
 	p.open[p.last] = q
 	p.mu.Unlock()
@@ -217,32 +218,32 @@
 	return q
 }
 
-// askAll sends so many requests of each class, and waits until the core has them.
-func (r *productionRig) askAll(each int, ttl float64) (sent []*clientRequest) {
+// sendAll sends this number of requests of each class, and waits until the core has received them.
+func (r *productionRig) sendAll(each int, ttl float64) (sent []*clientRequest) {
 	r.Helper()
 	before := r.stats().Received
 	for _, class := range []string{safeClass, unsafeClass, keyedClass} {
-		sent = append(sent, r.connect().ask(class, each, ttl)...)
+		sent = append(sent, r.connect().send(class, each, ttl)...)
 	}
-	r.until("requests are taken", func() bool { return r.stats().Received >= before+len(sent) })
+	r.waitFor("requests are received", func() bool { return r.stats().Received >= before+len(sent) })
 	return sent
 }
 
-// productionRequest words a request for an object of its own.
+// productionRequest encodes a request. Requests with different IDs are for different objects.
 func productionRequest(id uint16, txn, class string, ttl float64) []byte {
 	var params []byte
 	for _, field := range [][2]string{
 		{"SCRIPT_NAME", "/v1/" + class}, {"HTTP_X_TXN", txn}, {"HTTP_X_TTL_MS", strconv.FormatFloat(ttl, 'f', -1, 64)}, {"HTTP_X_ROW", txn},
 		{"HTTP_X_BLOCK", "0"}, {"HTTP_X_FAMILY", "1"}, {"HTTP_X_WORKING_SET_KB", "1"}, {"HTTP_X_TXN_KEY", "key-" + txn},
 	} {
-		params = append(params, pair(field[0], field[1])...)
+		params = append(params, fastcgiParam(field[0], field[1])...)
 	}
-	b := record(1, id, []byte{0, 1, 1, 0, 0, 0, 0, 0})
-	b = append(b, record(4, id, params)...)
-	return append(append(b, record(4, id, nil)...), record(5, id, nil)...)
+	b := fastcgiRecord(1, id, []byte{0, 1, 1, 0, 0, 0, 0, 0})
+	b = append(b, fastcgiRecord(4, id, params)...)
+	return append(append(b, fastcgiRecord(4, id, nil)...), fastcgiRecord(5, id, nil)...)
 }
 
-// read takes the answers, and tells the requests that are open at the connection's end that none comes.
+// read receives the responses. When the connection ends, it reports noResponse to the requests that are still open.
 func (p *productionClient) read() {
 	text := map[uint16]string{}
 	in := bufio.NewReader(p.conn)
@@ -264,7 +265,7 @@
 		delete(p.open, id)
 		p.mu.Unlock()
 		if q == nil {
-			p.rig.Errorf("a second answer to request %d: %.40q", id, text[id])
+			p.rig.Errorf("second response to request %d: %.40q", id, text[id])
 			continue
 		}
 		q.answered <- strings.TrimPrefix(text[id], "Status: ")[:3]
@@ -272,24 +273,24 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, q := range p.open {
-		q.answered <- noAnswer
+		q.answered <- noResponse
 	}
 }
 
-// finish moves the clock on, to the end of each client's time and no further, until all requests are answered, and gives
-// their statuses. The clock is faster than the machine's here, so what is served in time is not told by it.
-func (r *productionRig) finish(requests []*clientRequest) (statuses []string) {
+// awaitWithClock advances the clock, at most to each request's deadline, until all requests are answered, and returns their
+// statuses. The test clock runs faster than real time here, so a status does not show whether a request could be served in time.
+func (r *productionRig) awaitWithClock(requests []*clientRequest) (statuses []string) {
 	r.Helper()
-	return r.await(requests, func(q *clientRequest) { r.advance(min(20, q.due-r.clock.Now())) })
+	return r.await(requests, func(q *clientRequest) { r.advance(min(20, q.deadline-r.clock.Now())) })
 }
 
-// serve gives the statuses of requests that need no time: the clock stands.
-func (r *productionRig) serve(requests []*clientRequest) (statuses []string) {
+// awaitWithoutClock waits until all requests are answered without advancing the clock, and returns their statuses.
+func (r *productionRig) awaitWithoutClock(requests []*clientRequest) (statuses []string) {
 	r.Helper()
 	return r.await(requests, func(*clientRequest) {})
 }
 
-// await waits for the answers to requests, and calls while again and again meanwhile. Only a hung program meets its limit.
+// await waits for the responses to requests, and calls while repeatedly meanwhile. Only a hung program exceeds its time limit.
 func (r *productionRig) await(requests []*clientRequest, while func(q *clientRequest)) (statuses []string) {
 	r.Helper()
 	hung := time.After(20 * time.Second)
@@ -297,9 +298,9 @@
 		for q.status == "" {
 			select {
 			case q.status = <-q.answered:
-				r.checkAnswer(q)
+				r.checkResponse(q)
 			case <-hung:
-				r.Fatalf("request %s (%s) has no answer; %+v", q.id, q.class, r.stats())
+				r.Fatalf("request %s (%s) got no response within 20 s; %+v", q.id, q.class, r.stats())
 			case <-time.After(2 * time.Millisecond):
 				while(q)
 			}
@@ -309,25 +310,26 @@
 	return statuses
 }
 
-// noAnswer is the status of a request whose connection ended before.
-const noAnswer = "none"
+// noResponse is the status of a request whose connection ended before its response.
+const noResponse = "none"
 
-// checkAnswer holds a final answer against what may have run.
-func (r *productionRig) checkAnswer(q *clientRequest) {
+// checkResponse checks a final response against the attempts that may have run.
+func (r *productionRig) checkResponse(q *clientRequest) {
 	r.Helper()
-	if q.status == noAnswer {
-		r.Errorf("request %s (%s): its connection ended without an answer", q.id, q.class)
+	if q.status == noResponse {
+		r.Errorf("request %s (%s): connection ended without a response", q.id, q.class)
 	}
-	if q.status == "503" && q.class == unsafeClass && r.ran(q) {
-		r.Errorf("request %s (%s) was refused as harmless to repeat, and may have run", q.id, q.class)
+	if q.status == "503" && q.class == unsafeClass && r.mayHaveRun(q) {
+		r.Errorf("request %s (%s) was rejected as safe to repeat, but may have run", q.id, q.class)
 	}
 }
 
-// checkRules holds what the endpoints saw against the rules of attempts. That no two of a request are out at once is held by
-// the tests of core: here the clock by which an end settles is faster than the connections by which endpoints hear of it.
+// checkRules checks the attempts that the endpoints received against the limits on attempts. That no two attempts of a request
+// are in flight at once is checked by the tests of core: here the test clock, by which an attempt's end counts as confirmed, runs
+// faster than the connections that notify the endpoints.
 func (r *productionRig) checkRules() {
 	r.Helper()
-	r.mu.Lock() // not beside the endpoints' own lock, under which they take this one
+	r.mu.Lock() // must not be held while taking the endpoints' lock, because they lock in the opposite order
 	requests, runs := slices.Clone(r.requests), maps.Clone(r.runs)
 	r.mu.Unlock()
 	for _, q := range requests {
@@ -340,38 +342,38 @@
 	}
 }
 
-// ran tells whether a store may have run a request.
-func (r *productionRig) ran(q *clientRequest) bool {
+// mayHaveRun reports whether an endpoint may have run a request.
+func (r *productionRig) mayHaveRun(q *clientRequest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[q.id] > 0
 }
 
-// fakeDiscovery tells of endpoints over connections, with what goes wrong on its side.
+// fakeDiscovery is a discovery server that publishes endpoints over connections, with injected faults.
 type fakeDiscovery struct {
 	*testing.T
 	addr    string
-	watches atomic.Int64 // connections on which a gateway has asked
+	watches atomic.Int64 // number of watch requests received
 
-	mu     sync.Mutex
-	l      net.Listener
-	conns  map[net.Conn]struct{}
-	events [][]byte      // from number 2 on: the gateway knows number 1 at its start
-	kept   uint64        // the events of lower numbers are told no more
-	news   chan struct{} // closed with each new event
-	answer func(c net.Conn, frames []byte)
+	mu          sync.Mutex
+	l           net.Listener
+	conns       map[net.Conn]struct{}
+	events      [][]byte      // from sequence number 2 on, as the gateway knows number 1 at its start
+	firstKept   uint64        // events with lower sequence numbers are no longer sent
+	changed     chan struct{} // closed with each new event
+	writeFrames func(c net.Conn, frames []byte)
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
-	d := &fakeDiscovery{T: t, addr: "127.0.0.1:0", conns: map[net.Conn]struct{}{}, kept: 1, news: make(chan struct{})}
-	d.answer = func(c net.Conn, frames []byte) { c.Write(frames) }
-	d.up()
-	t.Cleanup(d.down)
+	d := &fakeDiscovery{T: t, addr: "127.0.0.1:0", conns: map[net.Conn]struct{}{}, firstKept: 1, changed: make(chan struct{})}
+	d.writeFrames = func(c net.Conn, frames []byte) { c.Write(frames) }
+	d.start()
+	t.Cleanup(d.stop)
 	return d
 }
 
-// up has discovery listen, at its former address where it had one.
-func (d *fakeDiscovery) up() {
+// start makes discovery listen, on its former address if it had one.
+func (d *fakeDiscovery) start() {
 	l, err := net.Listen("tcp", d.addr)
 	if err != nil {
 		d.Fatal(err)
@@ -393,8 +395,8 @@
 	}()
 }
 
-// down ends discovery's listener and its watches.
-func (d *fakeDiscovery) down() {
+// stop closes discovery's listener and its watch connections.
+func (d *fakeDiscovery) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.l.Close()
@@ -404,11 +406,11 @@
 	clear(d.conns)
 }
 
-// answering sets how frames are written to gateways that ask from now on.
-func (d *fakeDiscovery) answering(how func(c net.Conn, frames []byte)) {
+// setWriter sets the function that writes frames, for new watches and the next frames of existing ones.
+func (d *fakeDiscovery) setWriter(write func(c net.Conn, frames []byte)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.answer = how
+	d.writeFrames = write
 }
 
 func (d *fakeDiscovery) serve(c net.Conn) {
@@ -418,21 +420,21 @@
 		return
 	}
 	d.watches.Add(1)
-	told := binary.BigEndian.Uint64(question[:])
+	lastSent := binary.BigEndian.Uint64(question[:])
 	for {
 		d.mu.Lock()
 		var frames []byte
 		last := uint64(len(d.events) + 1)
-		told = max(told, d.kept-1)
-		for ; told < last; told++ {
-			frames = append(frames, d.events[told-1]...)
+		lastSent = max(lastSent, d.firstKept-1)
+		for ; lastSent < last; lastSent++ {
+			frames = append(frames, d.events[lastSent-1]...)
 		}
-		news, answer := d.news, d.answer
+		changed, writeFrames := d.changed, d.writeFrames
 		d.mu.Unlock()
-		answer(c, append(frames, discoveryFrame(last, 0, nil)...))
+		writeFrames(c, append(frames, discoveryFrame(last, 0, nil)...))
 		select {
-		case <-news:
-		case <-time.After(500 * time.Millisecond): // a watch says something each second
+		case <-changed:
+		case <-time.After(500 * time.Millisecond): // a watch sends a frame at least once a second
 		}
 		if _, err := c.Write(nil); errors.Is(err, net.ErrClosed) {
 			return
@@ -445,18 +447,18 @@
 	return append(append(binary.BigEndian.AppendUint64(b, number), kind), payload...)
 }
 
-// States of an endpoint in a record of discovery, and kinds of its frames.
+// States of an endpoint in a discovery record, and kinds of frames.
 const (
 	endpointReady    = 0
 	endpointDraining = 1
 	endpointGone     = 2
 
-	frameWhole   = 1
-	frameChanges = 2
+	frameSnapshot = 1
+	frameChanges  = 2
 )
 
-// entry words an endpoint of the rig for discovery.
-func (r *productionRig) entry(index int, state byte, startedMs float64, weight float64) []byte {
+// endpointRecord encodes an endpoint of the rig as a discovery record.
+func (r *productionRig) endpointRecord(index int, state byte, startedMs float64, weight float64) []byte {
 	at, err := net.ResolveTCPAddr("tcp", r.endpoints.Addrs[index])
 	if err != nil {
 		r.Fatal(err)
@@ -472,31 +474,32 @@
 	return binary.BigEndian.AppendUint64(b, uint64(startedMs))
 }
 
-// firstMarker is the first ID of the endpoints that are never there, by which a test sees how far a list was taken.
+// firstMarker is the first ID of the marker endpoints. A marker endpoint is always listed as gone, and shows a test how far the
+// gateway has processed the list.
 const firstMarker = 1000
 
-// publish has discovery tell of endpoints, beside a marker.
+// publish makes discovery send a frame with these endpoint records and a marker, which it returns.
 func (r *productionRig) publish(kind byte, entries ...[]byte) (marker uint32) {
 	d := r.discovery
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	number := uint64(len(d.events) + 2)
 	marker = firstMarker + uint32(number)
-	payload := r.entry(0, endpointGone, 0, 1)
+	payload := r.endpointRecord(0, endpointGone, 0, 1)
 	binary.BigEndian.PutUint32(payload, marker)
 	for _, e := range entries {
 		payload = append(payload, e...)
 	}
 	d.events = append(d.events, discoveryFrame(number, kind, payload))
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 	return marker
 }
 
-// listed waits until the core has taken the list with a marker.
-func (r *productionRig) listed(marker uint32) {
+// awaitMarker waits until the core has processed the list with this marker.
+func (r *productionRig) awaitMarker(marker uint32) {
 	r.Helper()
-	r.until("the list is taken", func() bool {
+	r.waitFor("the list is processed", func() bool {
 		reply := make(chan error, 1)
 		r.gateway.core.Post(core.Exclude{Endpoint: marker, Reply: reply})
 		select {
--- a/signed_test.go
+++ b/signed_test.go
@@ -29,26 +29,26 @@
 
 const operatorSecret = "a secret for the operator"
 
-// site is a gateway with the second front before a stand-in store, on loopback, with a clock that the
-// test sets.
-type site struct {
-	t     testing.TB
-	clock *clock.Clock
-	store *fakestore.Store
-	ring  *ring.Ring
-	addr  string
-	runs  atomic.Int64 // of ride-end
-	stop  func()
+// signedGateway is a gateway with the signed frontend and a fake endpoint on loopback, and with a clock that the test advances.
+type signedGateway struct {
+	t        testing.TB
+	clock    *clock.Clock
+	endpoint *fakestore.Store
+	ring     *ring.Ring
+	addr     string
+	runs     atomic.Int64 // number of ride-end requests that the endpoint received
+	stop     func()
 }
 
 const start = 1.8e12 // Unix ms
 
-// hold lets a test keep a GET unanswered; a nil handler answers at once.
-func newSite(t testing.TB, handle func(fakestore.Call) (string, string, []byte, bool)) *site {
+// newSignedGateway starts a gateway. handle responds to the calls of the endpoint, and may block to keep a request in flight; nil:
+// the endpoint responds at once.
+func newSignedGateway(t testing.TB, handle func(fakestore.Call) (string, string, []byte, bool)) *signedGateway {
 	t.Helper()
-	s := &site{t: t, clock: clock.Manual(start)}
+	s := &signedGateway{t: t, clock: clock.Manual(start)}
 	var err error
-	s.store, err = fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	s.endpoint, err = fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
 		if c.Fields["lane"] == "ride-end" {
 			s.runs.Add(1)
 		}
@@ -60,15 +60,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := anyAddress + fmt.Sprintf(`
+	text := anyPortConfig + fmt.Sprintf(`
 operator_secret = %q
 [cors]
 origins = ["https://app.example", "https://help.example"]
 headers = ["range", "if-range"]
 max_age_s = 600
-`, operatorSecret) + classText("app-assets", "deadline_ms = 2500", "fresh_s = 12") +
-		classText("firmware", "aim_ms = 600", "deadline_ms = 5000") + classText("ride-end", "deadline_ms = 3000", "write = true") +
-		storesText(s.store.Addr()) + hmacKeyText("url", urlSecret) + fmt.Sprintf(`
+`, operatorSecret) + classConfig("app-assets", "deadline_ms = 2500", "fresh_s = 12") +
+		classConfig("firmware", "aim_ms = 600", "deadline_ms = 5000") + classConfig("ride-end", "deadline_ms = 3000", "write = true") +
+		endpointsConfig(s.endpoint.Addr()) + hmacKeyConfig("url", urlSecret) + fmt.Sprintf(`
 [[key]]
 id = "KEYPAIR"
 kind = "cloudfront"
@@ -108,13 +108,13 @@
 		t.Fatal(err)
 	}
 	addr, stop := runGateway(t, o, zerolog.Nop(), s.clock)
-	s.addr, s.stop = addr, sync.OnceFunc(func() { stop(); s.store.Close() })
+	s.addr, s.stop = addr, sync.OnceFunc(func() { stop(); s.endpoint.Close() })
 	t.Cleanup(s.stop)
 	return s
 }
 
-// do asks with a method and gives the status, the error's code and the body.
-func (s *site) do(method, url string, body string, head ...string) (int, string, string) {
+// do sends a request and returns the status, the error code and the body.
+func (s *signedGateway) do(method, url string, body string, head ...string) (int, string, string) {
 	s.t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.addr+url, strings.NewReader(body))
 	if err != nil {
@@ -134,7 +134,7 @@
 	return resp.StatusCode, e.Error, string(b)
 }
 
-func (s *site) url(path string, seconds float64, nonce string) string {
+func (s *signedGateway) url(path string, seconds float64, nonce string) string {
 	s.t.Helper()
 	u, err := s.ring.Issue("url", token.Terms{URI: path, Until: s.clock.Unix()/1000 + seconds, ID: nonce})
 	if err != nil {
@@ -143,7 +143,7 @@
 	return u.URL
 }
 
-func (s *site) pack(path string, change func(*jws.Claims)) string {
+func (s *signedGateway) packageURL(path string, change func(*jws.Claims)) string {
 	s.t.Helper()
 	exp := s.clock.Unix()/1000 + 60
 	c := jws.Claims{Expires: &exp, Container: jws.HashContainer("http://" + s.addr + path)}
@@ -157,9 +157,9 @@
 	return path + "?" + jws.Param + "=" + p
 }
 
-// replayed expects a write to be refused as used. As long as what became of the first use is not recorded, the answer is
-// to come back.
-func (s *site) replayed(what, url string) {
+// expectReplayed expects a write to be rejected because its token is used. Until the outcome of the first use is recorded, the
+// response is 503.
+func (s *signedGateway) expectReplayed(what, url string) {
 	s.t.Helper()
 	code, why := 503, ""
 	for limit := time.Now().Add(20 * time.Second); code == 503 && time.Now().Before(limit); time.Sleep(time.Millisecond) {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (s *site) expect(what string, status int, code string, method, url string, head ...string) {
+func (s *signedGateway) expect(what string, status int, code string, method, url string, head ...string) {
 	s.t.Helper()
 	if got, gotCode, _ := s.do(method, url, "", head...); got != status || gotCode != code {
 		s.t.Errorf("%s: %d %q, want %d %q", what, got, gotCode, status, code)
@@ -180,46 +180,46 @@
 const tile = "/v1/firmware/7f3a9c21e0b4d655/3"
 const rideEnd = "/v1/ride-end/00000000000000e1/0"
 
-func TestTokensAtTheFront(t *testing.T) {
-	s := newSite(t, nil)
+func TestTokenChecks(t *testing.T) {
+	s := newSignedGateway(t, nil)
 	if code, _, body := s.do("GET", s.url(tile, 60, "n1"), ""); code != 200 || body != "piece 3" {
 		t.Fatalf("signed URL: %d %q", code, body)
 	}
-	good := s.pack(tile, nil)
+	good := s.packageURL(tile, nil)
 	s.expect("package", 200, "", "GET", good)
-	s.expect("again: no single use", 200, "", "GET", good)
+	s.expect("package used again: not single-use", 200, "", "GET", good)
 	s.expect("no token", 401, "missing", "GET", tile)
 	s.expect("another path", 403, "bad_signature", "GET", strings.Replace(s.url(tile, 60, "n"), "/3?", "/4?", 1))
 	s.expect("another URI", 403, "wrong_uri", "GET", strings.Replace(good, "/3?", "/4?", 1))
-	s.expect("cut signature", 403, "bad_signature", "GET", strings.TrimRight(s.url(tile, 60, "n"), "=")[:len(s.url(tile, 60, "n"))-1])
+	s.expect("truncated signature", 403, "bad_signature", "GET", strings.TrimRight(s.url(tile, 60, "n"), "=")[:len(s.url(tile, 60, "n"))-1])
 	s.expect("forged package", 403, "bad_signature", "GET", good[:len(good)-6]+"AAAAAA")
-	s.expect("no package at all", 400, "malformed", "GET", tile+"?"+jws.Param+"=abc")
+	s.expect("malformed package", 400, "malformed", "GET", tile+"?"+jws.Param+"=abc")
 	none := base64.RawURLEncoding.EncodeToString([]byte(`{"alg":"none","kid":"pack"}`))
 	s.expect("alg none", 400, "malformed", "GET", tile+"?"+jws.Param+"="+none+".e30.")
 	s.expect("two tokens", 400, "malformed", "GET", good+"&"+strings.SplitN(s.url(tile, 60, "n"), "?", 2)[1])
 	s.expect("path not canonical", 400, "malformed", "GET", strings.Replace(s.url(tile, 60, "n"), "/v1/", "/v1/x/../", 1))
 	s.expect("unknown class", 404, "unknown_class", "GET", s.url("/v1/helppages/7f3a9c21e0b4d655/0", 60, "n"))
-	s.expect("another audience", 403, "bad_claim", "GET", s.pack(tile, func(c *jws.Claims) { c.Audience = []string{"x"} }))
-	s.expect("unknown version", 403, "bad_claim", "GET", s.pack(tile, func(c *jws.Claims) { v := 2; c.Version = &v }))
-	s.expect("critical claim", 403, "bad_claim", "GET", s.pack(tile, func(c *jws.Claims) { c.Critical = []string{"cdninew"} }))
-	s.expect("regex", 200, "", "GET", s.pack(tile, func(c *jws.Claims) { c.Container = "regex:http://[^/]+/v1/firmware/.*" }))
-	s.expect("regex of a part", 403, "wrong_uri", "GET", s.pack(tile, func(c *jws.Claims) { c.Container = "regex:/v1/" }))
+	s.expect("another audience", 403, "bad_claim", "GET", s.packageURL(tile, func(c *jws.Claims) { c.Audience = []string{"x"} }))
+	s.expect("unknown version", 403, "bad_claim", "GET", s.packageURL(tile, func(c *jws.Claims) { v := 2; c.Version = &v }))
+	s.expect("critical claim", 403, "bad_claim", "GET", s.packageURL(tile, func(c *jws.Claims) { c.Critical = []string{"cdninew"} }))
+	s.expect("regex", 200, "", "GET", s.packageURL(tile, func(c *jws.Claims) { c.Container = "regex:http://[^/]+/v1/firmware/.*" }))
+	s.expect("regex of a part", 403, "wrong_uri", "GET", s.packageURL(tile, func(c *jws.Claims) { c.Container = "regex:/v1/" }))
 
-	// Clocks differ: ten seconds of leeway both ways.
+	// Clocks may differ: the leeway is 10 s in both directions.
 	u := s.url(tile, 5, "n2")
-	early := s.pack(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 + 9; c.NotBefore = &v })
-	s.expect("from a clock 9 s ahead", 200, "", "GET", early)
-	s.expect("from one 11 s ahead", 403, "not_yet_valid", "GET",
-		s.pack(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 + 11; c.IssuedAt = &v }))
+	early := s.packageURL(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 + 9; c.NotBefore = &v })
+	s.expect("issued by a clock 9 s ahead", 200, "", "GET", early)
+	s.expect("issued by a clock 11 s ahead", 403, "not_yet_valid", "GET",
+		s.packageURL(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 + 11; c.IssuedAt = &v }))
 	s.clock.Advance(14000)
 	s.expect("9 s past expiry", 200, "", "GET", u)
 	s.clock.Advance(2000)
 	s.expect("11 s past expiry", 403, "expired", "GET", u)
-	s.expect("an expired package", 403, "expired", "GET", s.pack(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 - 11; c.Expires = &v }))
+	s.expect("an expired package", 403, "expired", "GET", s.packageURL(tile, func(c *jws.Claims) { v := s.clock.Unix()/1000 - 11; c.Expires = &v }))
 }
 
 func TestRideEndRunsOnce(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	u := s.url(rideEnd, 60, "once")
 	s.expect("GET of a write", 405, "method", "GET", u)
 	var wg sync.WaitGroup
@@ -231,44 +231,44 @@
 			switch code, _, _ := s.do("POST", u, "ride"); code {
 			case 200:
 				served.Add(1)
-			case 403, 503: // the second, as long as the first is under way
+			case 403, 503: // 503 while the first request is in flight
 				replayed.Add(1)
 			}
 		}()
 	}
 	wg.Wait()
-	s.replayed("later", u)
+	s.expectReplayed("later", u)
 	s.clock.Advance(69000)
-	s.replayed("within the leeway", u)
+	s.expectReplayed("within the leeway", u)
 	s.clock.Advance(20000)
-	s.expect("after it", 403, "expired", "POST", u)
-	s.expect("a package without jti", 403, "bad_claim", "POST", s.pack(rideEnd, nil))
+	s.expect("after the leeway", 403, "expired", "POST", u)
+	s.expect("a package without jti", 403, "bad_claim", "POST", s.packageURL(rideEnd, nil))
 	if served.Load() != 1 || replayed.Load() != 7 || s.runs.Load() != 1 {
 		t.Errorf("served %d, replayed %d, ran %d times", served.Load(), replayed.Load(), s.runs.Load())
 	}
 }
 
-// A store that dies with ride-end in hand leaves its outcome in doubt: it is not sent again, the client
-// hears 502 and the token stays used.
-func TestRideEndInDoubtStaysClaimed(t *testing.T) {
-	var s *site
-	s = newSite(t, func(c fakestore.Call) (string, string, []byte, bool) {
-		s.store.Cut()
+// If the endpoint dies while a ride-end request is in flight, its outcome is unconfirmed: it is not sent again, the client gets 502
+// and the token stays used.
+func TestUnconfirmedRideEndStaysClaimed(t *testing.T) {
+	var s *signedGateway
+	s = newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
+		s.endpoint.Cut()
 		return "", "", nil, false
 	})
 	u := s.url(rideEnd, 60, "doubt")
 	s.expect("first", 502, "upstream_failed", "POST", u)
-	s.replayed("again", u)
+	s.expectReplayed("again", u)
 	if s.runs.Load() != 1 {
 		t.Errorf("ran %d times", s.runs.Load())
 	}
 }
 
-// A refusal promises that nothing ran, so the token serves again.
-func TestRefusedRideEndMayComeAgain(t *testing.T) {
+// A 503 promises that the request did not run, so its token can be used again.
+func TestRejectedRideEndMayBeRetried(t *testing.T) {
 	var full atomic.Bool
 	full.Store(true)
-	s := newSite(t, func(c fakestore.Call) (string, string, []byte, bool) {
+	s := newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
 		if full.Load() {
 			return "AGAIN", "-", nil, true
 		}
@@ -276,7 +276,7 @@
 	})
 	u := s.url(rideEnd, 600, "later")
 	done := make(chan struct{})
-	go func() { // the module waits a little between tries; time has to pass for it
+	go func() { // the decision module waits between attempts, so the clock has to advance
 		for {
 			select {
 			case <-done:
@@ -288,32 +288,32 @@
 		}
 	}()
 	if code, _, _ := s.do("POST", u, ""); code != 503 && code != 504 {
-		t.Errorf("full store: %d", code)
+		t.Errorf("busy endpoint: %d", code)
 	}
 	full.Store(false)
 	code := 403
-	for i := 0; i < 2000 && code == 403; i++ { // the claim is given back just after the answer
+	for i := 0; i < 2000 && code == 403; i++ { // the claim is released after the response
 		code, _, _ = s.do("POST", u, "")
 		time.Sleep(time.Millisecond)
 	}
 	close(done)
 	if code != 200 && code != 503 {
-		t.Errorf("after the refusal: %d", code)
+		t.Errorf("after the rejection: %d", code)
 	}
 }
 
-// A token that expires in the middle of a request: what is under way finishes, and no new attempt starts.
-func TestExpiryMidRequest(t *testing.T) {
-	arrived, let := make(chan struct{}, 8), make(chan string, 8)
-	s := newSite(t, func(c fakestore.Call) (string, string, []byte, bool) {
+// When a token expires during a request, the attempt in flight completes and no new attempt starts.
+func TestTokenExpiryDuringRequest(t *testing.T) {
+	arrived, statuses := make(chan struct{}, 8), make(chan string, 8)
+	s := newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
 		arrived <- struct{}{}
-		return <-let, "tag=0a,why=local,minted=1", []byte("late"), true
+		return <-statuses, "tag=0a,why=local,minted=1", []byte("late"), true
 	})
 	type result struct {
 		code int
 		err  string
 	}
-	ask := func(u string) chan result {
+	request := func(u string) chan result {
 		out := make(chan result, 1)
 		go func() {
 			code, e, _ := s.do("GET", u, "")
@@ -322,33 +322,33 @@
 		<-arrived
 		return out
 	}
-	a := ask(s.url(tile, -8, "a")) // within the leeway for two seconds more
+	a := request(s.url(tile, -8, "a")) // stays within the leeway for 2 s
 	s.clock.Advance(2500)
-	let <- "ACK"
+	statuses <- "ACK"
 	if got := <-a; got.code != 200 {
-		t.Errorf("an answer under way was lost: %+v", got)
+		t.Errorf("the response of an attempt in flight was lost: %+v", got)
 	}
-	b := ask(s.url("/v1/firmware/7f3a9c21e0b4d655/4", -5, "b"))
-	before := len(s.store.Calls("GET"))
+	b := request(s.url("/v1/firmware/7f3a9c21e0b4d655/4", -5, "b"))
+	before := len(s.endpoint.Calls("GET"))
 	s.clock.Advance(2500 + 2600)
-	let <- "NOENT"
+	statuses <- "NOENT"
 	if got := <-b; got.code == 200 {
 		t.Errorf("after expiry: %+v", got)
 	}
-	d := ask(s.url("/v1/firmware/7f3a9c21e0b4d655/5", -8, "d"))
+	d := request(s.url("/v1/firmware/7f3a9c21e0b4d655/5", -8, "d"))
 	before++
 	s.clock.Advance(2500)
-	let <- "NOENT" // the module fills a miss at once; here it may not
+	statuses <- "NOENT" // a miss normally starts a fill at once, but not after expiry
 	if got := <-d; got.code != 403 || got.err != "expired" {
 		t.Errorf("a miss after expiry: %+v", got)
 	}
-	if n := len(s.store.Calls("GET")); n != before {
+	if n := len(s.endpoint.Calls("GET")); n != before {
 		t.Errorf("%d attempts started after expiry", n-before)
 	}
 }
 
 func TestOperatorEndpoints(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	auth := []string{"Authorization", "Bearer " + operatorSecret}
 	s.expect("no secret", 401, "missing", "POST", "/-/tokens")
 	s.expect("a wrong one", 401, "missing", "POST", "/-/tokens", "Authorization", "Bearer x")
@@ -365,9 +365,9 @@
 	}
 	s.expect("revoked", 403, "revoked", "GET", u)
 
-	// Renewal by cookie, but for no longer than a token may last.
+	// Renewal by cookie, limited to the longest lifetime of a token.
 	for seconds, want := range map[int]bool{60: true, 2 * signed.DefaultTokenSeconds: false} {
-		resp, err := http.Get("http://" + s.addr + s.pack(tile, func(c *jws.Claims) { c.Transport, c.Renew = 1, seconds }))
+		resp, err := http.Get("http://" + s.addr + s.packageURL(tile, func(c *jws.Claims) { c.Transport, c.Renew = 1, seconds }))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -377,7 +377,7 @@
 		}
 	}
 
-	// Rotation: a new key comes, the old one is taken away.
+	// Rotation: a new key replaces the old one.
 	old := s.url(tile, 60, "o")
 	secret := base64.StdEncoding.EncodeToString([]byte(strings.Repeat("z", 32)))
 	keys := []token.Key{{ID: "url2", Kind: token.HMAC, Secret: secret}}
@@ -393,14 +393,14 @@
 	s.expect("new key", 200, "", "GET", next.URL)
 	s.expect("old key", 403, "unknown_key", "GET", old)
 	if code, _, _ := s.do("POST", "/-/policy", `{"leeway_ms":-1}`, auth...); code != 400 {
-		t.Error("a negative leeway was taken:", code)
+		t.Error("a negative leeway was accepted:", code)
 	}
 }
 
-// An operator's purge of an object or a group bounds the age of copies that stores are asked for; what names neither, or both,
-// is refused. A gateway that is alone has no members to replace.
+// An operator's purge of an object or a group limits the age of the copies that endpoints may serve. A purge that names neither or
+// both is rejected. A gateway without a replicated store rejects the replacement of a member.
 func TestOperatorPurges(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	auth := []string{"Authorization", "Bearer " + operatorSecret}
 	object := strings.Split(tile, "/")[3]
 	for body, want := range map[string]int{
@@ -418,16 +418,16 @@
 		}
 	}
 	s.clock.Advance(100)                                                            // the purge was 100 ms ago
-	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // it goes to the core beside the answer
+	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // the core may receive the purge after the response
 		if code, _, _ := s.do("GET", s.url(tile, 600, rand.Text()), ""); code != 200 {
 			t.Fatal(code)
 		}
-		calls := s.store.Calls("GET")
+		calls := s.endpoint.Calls("GET")
 		if age, _ := strconv.Atoi(calls[len(calls)-1].Fields["fresh"]); age > 0 && age <= 100 {
 			break
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("copies are asked for with %q", calls[len(calls)-1].Fields["fresh"])
+			t.Fatalf("requested maximum age of copies is %q", calls[len(calls)-1].Fields["fresh"])
 		}
 	}
 	if code, _, text := s.do("POST", "/-/members", `{"lost":"alone","joining":{"id":"b","addr":"127.0.0.1:9"}}`, auth...); code != 400 {
@@ -435,9 +435,9 @@
 	}
 }
 
-// Bytes that are no request, or one that is too large, end the connection with the status that says so.
+// Malformed and too large requests get the matching error status.
 func TestMalformedRequests(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	for raw, want := range map[string]string{
 		"\x16\x03\x01\r\n\r\n":                                                                   "400",
 		"GET /\r\n\r\n":                                                                          "400",
@@ -467,19 +467,19 @@
 		}
 		c.Close()
 	}
-	s.expect("the front goes on", 200, "", "GET", s.url(tile, 60, "n"))
+	s.expect("valid request afterwards", 200, "", "GET", s.url(tile, 60, "n"))
 }
 
-// A store that answers nothing costs a request its time and no more. A ride-end given up for silence is
-// answered 502, at its deadline 504; either way its token stays used, as it may have run.
+// An endpoint that does not respond delays a request until its deadline at most. A ride-end request gets 502 if its attempt is
+// abandoned, and 504 at its deadline; in both cases its token stays used, because the request may have run.
 func TestDeadline(t *testing.T) {
-	arrived, let := make(chan struct{}, 8), make(chan struct{})
-	s := newSite(t, func(fakestore.Call) (string, string, []byte, bool) {
+	arrived, release := make(chan struct{}, 8), make(chan struct{})
+	s := newSignedGateway(t, func(fakestore.Call) (string, string, []byte, bool) {
 		arrived <- struct{}{}
-		<-let
+		<-release
 		return "", "", nil, false
 	})
-	defer close(let)
+	defer close(release)
 	ride := s.url(rideEnd, 60, "slow")
 	type result struct {
 		code int
@@ -492,7 +492,7 @@
 	}()
 	<-arrived
 	var r result
-	for done := false; !done; { // the module looks at its timers when an event comes
+	for done := false; !done; { // the decision module checks its timers when it receives an event
 		s.clock.Advance(50)
 		s.do("GET", s.url("/v1/none/7f3a9c21e0b4d655/0", 60, "n"), "")
 		select {
@@ -504,15 +504,15 @@
 	if r.code != 504 && r.code != 502 {
 		t.Errorf("%+v", r)
 	}
-	s.replayed("again", ride)
+	s.expectReplayed("again", ride)
 	if s.runs.Load() != 1 {
 		t.Errorf("ran %d times", s.runs.Load())
 	}
 }
 
-// Requests on one connection are answered in their order, and the connection is kept.
+// Pipelined requests on one connection are answered in order, and the connection stays open.
 func TestPipelining(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -530,13 +530,13 @@
 		}
 		b, _ := io.ReadAll(resp.Body)
 		if want := fmt.Sprintf("piece %d", i); string(b) != want {
-			t.Errorf("answer %d is %q", i, b)
+			t.Errorf("response %d is %q", i, b)
 		}
 	}
 }
 
-// answering is a core that serves all it is asked and counts.
-func answering(runs *atomic.Int64) func(core.Event) {
+// answeringCore returns a fake core that serves all requests and counts them.
+func answeringCore(runs *atomic.Int64) func(core.Event) {
 	return func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
 			runs.Add(1)
@@ -545,11 +545,11 @@
 	}
 }
 
-// A ride-end token is used up at every member, also while one is lost and after all have restarted; a
-// member without a majority sends nothing.
+// A ride-end token that was used at one member is used up at all members, also after all of them have restarted. A member without
+// a majority sends nothing.
 func TestReplayAtAnotherReplica(t *testing.T) {
 	const deadline = 30000
-	c := newTrio(t, deadline)
+	c := newGatewayGroup(t, deadline)
 	one := c.url("one")
 	var wg sync.WaitGroup
 	var ok atomic.Int64
@@ -557,7 +557,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if code, _ := c.ride(c.fronts[i], one); code == 200 {
+			if code, _ := c.endRide(c.frontends[i], one); code == 200 {
 				ok.Add(1)
 			}
 		}()
@@ -566,7 +566,7 @@
 	if ok.Load() != 1 || c.runs.Load() != 1 {
 		t.Fatalf("served %d, ran %d", ok.Load(), c.runs.Load())
 	}
-	for _, f := range c.fronts { // the end of the one ride is recorded
+	for _, f := range c.frontends { // wait until the outcome of the request is recorded
 		for f.Open() > 0 {
 			time.Sleep(time.Millisecond)
 		}
@@ -577,17 +577,17 @@
 		}
 	}
 	for i := range 3 {
-		c.open(i, nil, deadline)
+		c.openMember(i, nil, deadline)
 	}
 	for i := range 3 {
-		if got, _ := c.ride(c.fronts[i], one); got != 403 {
+		if got, _ := c.endRide(c.frontends[i], one); got != 403 {
 			t.Errorf("after the restart, member %d: %d", i, got)
 		}
 	}
 	c.stores[0].Close()
 	c.stores[1].Close()
-	lonely := c.front(c.stores[2], deadline, 300)
-	if got, _ := c.ride(lonely, c.url("two")); got != 503 {
+	minority := c.newFrontend(c.stores[2], deadline, 300)
+	if got, _ := c.endRide(minority, c.url("two")); got != 503 {
 		t.Errorf("without a majority: %d", got)
 	}
 	if c.runs.Load() != 1 {
@@ -595,9 +595,9 @@
 	}
 }
 
-// Links signed for other networks go the same way as the gateway's own, over sockets: served, refused, and used once.
+// Links signed in the dialects of other networks are handled like the gateway's own: served, rejected, and single-use.
 func TestOtherDialects(t *testing.T) {
-	s := newSite(t, nil)
+	s := newSignedGateway(t, nil)
 	for _, key := range []string{"edge", "KEYPAIR", "cdn", "AKID", "access"} {
 		sign := func(path string) string {
 			method, now := "GET", s.clock.Unix()/1000
@@ -615,14 +615,14 @@
 		good := sign(tile)
 		s.expect(key, 200, "", "GET", good)
 		forged := "bad_signature"
-		if key == "access" { // names its URIs apart from its text
+		if key == "access" { // its token lists the permitted URIs, so the signature stays valid
 			forged = "wrong_uri"
 		}
 		s.expect(key+": another path", 403, forged, "GET", strings.Replace(good, "/v1/firmware/", "/v1/ride-end/", 1))
 		s.expect(key+": beside another token", 400, "malformed", "GET", good+"&"+jws.Param+"=a.b.c")
 		before, ride := s.runs.Load(), sign(rideEnd)
 		s.expect(key+": a ride", 200, "", "POST", ride)
-		s.replayed(key+": the ride again", ride)
+		s.expectReplayed(key+": the ride again", ride)
 		if n := s.runs.Load() - before; n != 1 {
 			t.Errorf("%s: the ride ran %d times", key, n)
 		}
--- a/storage_test.go
+++ b/storage_test.go
@@ -26,23 +26,23 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// storageFault is a call on a file system that fails, and how; none: nil.
+// storageFault is a failing file system call and its error.
 type storageFault struct {
 	call string
 	err  error
 }
 
-// failingFiles is the system's file system, which fails as long as there is a fault.
+// failingFiles is the system's file system, which fails while a fault is set.
 type failingFiles struct {
 	durable.FileSystem
 	fault atomic.Pointer[storageFault]
-	hang  atomic.Pointer[chan struct{}] // a sync returns once this is closed; nil: it doesn't hang
+	hang  atomic.Pointer[chan struct{}] // a sync blocks until this is closed; nil: it doesn't block
 }
 
 func newFailingFiles() *failingFiles { return &failingFiles{FileSystem: durable.OS} }
 
-// fails gives the error of a call; nil: it works.
-func (f *failingFiles) fails(call string) error {
+// injectedError returns the error of a call; nil: it succeeds.
+func (f *failingFiles) injectedError(call string) error {
 	if fault := f.fault.Load(); fault != nil && fault.call == call {
 		return &os.PathError{Op: call, Path: "orders", Err: fault.err}
 	}
@@ -50,7 +50,7 @@
 }
 
 func (f *failingFiles) Create(path string, mode os.FileMode) (durable.File, error) {
-	if err := f.fails("create"); err != nil {
+	if err := f.injectedError("create"); err != nil {
 		return nil, err
 	}
 	file, err := f.FileSystem.Create(path, mode)
@@ -58,27 +58,27 @@
 }
 
 func (f *failingFiles) Rename(from, to string) error {
-	if err := f.fails("rename"); err != nil {
+	if err := f.injectedError("rename"); err != nil {
 		return err
 	}
 	return f.FileSystem.Rename(from, to)
 }
 
 func (f *failingFiles) SyncDir(path string) error {
-	if err := f.fails("syncdir"); err != nil {
+	if err := f.injectedError("syncdir"); err != nil {
 		return err
 	}
 	return f.FileSystem.SyncDir(path)
 }
 
-// failingFile is a file of failingFiles. A write that fails leaves a part behind.
+// failingFile is a file of failingFiles. A failed write leaves a part of its data behind.
 type failingFile struct {
 	durable.File
 	files *failingFiles
 }
 
 func (f *failingFile) Write(b []byte) (int, error) {
-	if err := f.files.fails("write"); err != nil {
+	if err := f.files.injectedError("write"); err != nil {
 		n, _ := f.File.Write(b[:len(b)/2])
 		return n, err
 	}
@@ -86,32 +86,32 @@
 }
 
 func (f *failingFile) Sync() error {
-	if held := f.files.hang.Load(); held != nil {
-		<-*held
+	if resume := f.files.hang.Load(); resume != nil {
+		<-*resume
 	}
-	if err := f.files.fails("fsync"); err != nil {
+	if err := f.files.injectedError("fsync"); err != nil {
 		return err
 	}
 	return f.File.Sync()
 }
 
-// storedGateway is a gateway with a shared folder, which can be ended and started again as after a kill: nothing is written
-// at its end.
-type storedGateway struct {
+// persistentGateway is a gateway with a shared folder. It can be stopped and started again as after a kill, because it writes
+// nothing when it stops.
+type persistentGateway struct {
 	*testing.T
 	listen, shared string
 	files          *failingFiles
-	console        string
+	adminURL       string
 	end            func()
 }
 
-func newStoredGateway(t *testing.T) *storedGateway {
+func newPersistentGateway(t *testing.T) *persistentGateway {
 	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	reserved.Close()
-	g := &storedGateway{T: t, listen: reserved.Addr().String(), shared: t.TempDir(), files: newFailingFiles()}
+	g := &persistentGateway{T: t, listen: reserved.Addr().String(), shared: t.TempDir(), files: newFailingFiles()}
 	t.Cleanup(func() {
 		if g.end != nil {
 			g.end()
@@ -120,17 +120,17 @@
 	return g
 }
 
-func (g *storedGateway) start() {
+func (g *persistentGateway) start() {
 	g.Helper()
 	if err := g.run(); err != nil {
 		g.Fatal(err)
 	}
 }
 
-// run starts the gateway, or gives the error with which its start ends.
-func (g *storedGateway) run() error {
+// run starts the gateway, or returns the error of its start.
+func (g *persistentGateway) run() error {
 	g.Helper()
-	text := fmt.Sprintf(coldFleet, 7919, "127.0.0.1:1", 1, int64(0), 0, 1, 1)
+	text := fmt.Sprintf(coldEndpointConfig, 7919, "127.0.0.1:1", 1, int64(0), 0, 1, 1)
 	node, err := config.Parse([]byte(strings.Replace(text, "127.0.0.1:0", g.listen, 1)), "", "")
 	if err != nil {
 		return err
@@ -145,7 +145,7 @@
 	}()
 	select {
 	case addrs := <-ready:
-		g.console = "http://" + addrs.Admin.String()
+		g.adminURL = "http://" + addrs.Admin.String()
 	case err := <-ended:
 		stop()
 		return err
@@ -154,10 +154,10 @@
 	return nil
 }
 
-// call gives a call's status and the state that it answers with.
-func (g *storedGateway) call(method, path, body string) (status int, state adminapi.State) {
+// call makes an admin call, and returns the status and the state in the response.
+func (g *persistentGateway) call(method, path, body string) (status int, state adminapi.State) {
 	g.Helper()
-	request, err := http.NewRequest(method, g.console+path, strings.NewReader(body))
+	request, err := http.NewRequest(method, g.adminURL+path, strings.NewReader(body))
 	if err != nil {
 		g.Fatal(err)
 	}
@@ -176,24 +176,24 @@
 	return answer.StatusCode, state
 }
 
-func (g *storedGateway) state() adminapi.State {
+func (g *persistentGateway) state() adminapi.State {
 	g.Helper()
 	_, state := g.call("GET", "/ready", "")
 	return state
 }
 
-// await waits for a state.
-func (g *storedGateway) await(what string, ok func(adminapi.State) bool) {
+// await polls the state until it meets a condition.
+func (g *persistentGateway) await(what string, ok func(adminapi.State) bool) {
 	g.Helper()
 	for limit := time.Now().Add(30 * time.Second); !ok(g.state()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			g.Fatalf("never %s: %+v", what, g.state())
+			g.Fatalf("not within 30 s: %s: %+v", what, g.state())
 		}
 	}
 }
 
-// folder is where the processes of the gateway meet.
-func (g *storedGateway) folder() string {
+// folder returns the folder that the processes of the gateway share.
+func (g *persistentGateway) folder() string {
 	g.Helper()
 	found, err := filepath.Glob(filepath.Join(g.shared, "turnfork_*"))
 	if err != nil || len(found) != 1 {
@@ -203,81 +203,81 @@
 }
 
 const (
-	coldStore    = "s-0000000a"
-	disableStore = `{"id":"` + coldStore + `"}`
+	coldEndpoint = "s-0000000a"
+	disableBody  = `{"id":"` + coldEndpoint + `"}`
 )
 
-// storageFaults are the calls that fail where an order is written.
+// storageFaults are the faults of calls that write overrides.
 var storageFaults = []storageFault{
 	{"create", syscall.ENOSPC}, {"write", syscall.ENOSPC}, {"write", syscall.EIO}, {"fsync", syscall.EIO},
 	{"fsync", syscall.ENOSPC}, {"rename", syscall.ENOSPC}, {"syncdir", syscall.EIO},
 }
 
-// An order that the disk refuses holds, its caller is told that it is not durable, and it is written once the disk works
-// again: a start after a kill finds it.
-func TestRefusedOrderIsWrittenLater(t *testing.T) {
+// An override that can't be written is in force, and is reported as not durable. It is written once the disk works again, so that
+// it is in force after a kill and restart.
+func TestOverrideIsWrittenAfterDiskRecovers(t *testing.T) {
 	for _, fault := range storageFaults {
 		t.Run(fault.call+" "+fault.err.Error(), func(t *testing.T) {
-			g := newStoredGateway(t)
+			g := newPersistentGateway(t)
 			g.start()
 			if state := g.state(); !state.Durable || len(state.Storage) > 0 {
-				t.Fatalf("before an order: %+v", state)
+				t.Fatalf("before an override: %+v", state)
 			}
 			g.files.fault.Store(&fault)
 			begun := time.Now()
-			status, state := g.call("PUT", "/stores/disable", disableStore)
+			status, state := g.call("PUT", "/stores/disable", disableBody)
 			if took := time.Since(begun); status != 200 || took > time.Second {
 				t.Fatalf("%d after %v", status, took)
 			}
 			if state.Durable || len(state.Storage) != 1 || !strings.Contains(state.Storage[0], fault.err.Error()) {
-				t.Errorf("told as durable: %+v", state)
+				t.Errorf("reported as durable: %+v", state)
 			}
-			if !state.Ready || !slices.Equal(state.Disabled, []string{coldStore}) {
+			if !state.Ready || !slices.Equal(state.Disabled, []string{coldEndpoint}) {
 				t.Errorf("%+v", state)
 			}
 			g.files.fault.Store(nil)
 			g.await("durable", func(s adminapi.State) bool { return s.Durable && len(s.Storage) == 0 })
 			g.end()
 			g.start()
-			if state := g.state(); !slices.Equal(state.Disabled, []string{coldStore}) || !state.Durable {
+			if state := g.state(); !slices.Equal(state.Disabled, []string{coldEndpoint}) || !state.Durable {
 				t.Errorf("after a restart: %+v", state)
 			}
 		})
 	}
 }
 
-// The fault is one of the system's own: a folder stands where the file of orders belongs.
-func TestOrderIsWrittenOnceItsPlaceIsFree(t *testing.T) {
-	g := newStoredGateway(t)
+// The operating system itself returns the error here: a folder has the path of the overrides file.
+func TestOverrideIsWrittenOncePathIsFree(t *testing.T) {
+	g := newPersistentGateway(t)
 	g.start()
-	inTheWay := filepath.Join(g.folder(), "orders.json")
-	if err := os.MkdirAll(filepath.Join(inTheWay, "more"), 0o700); err != nil {
+	blockingFolder := filepath.Join(g.folder(), "orders.json")
+	if err := os.MkdirAll(filepath.Join(blockingFolder, "more"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := g.call("PUT", "/stores/disable", disableStore); status != 200 {
+	if status, _ := g.call("PUT", "/stores/disable", disableBody); status != 200 {
 		t.Fatal(status)
 	}
-	if err := os.RemoveAll(inTheWay); err != nil {
+	if err := os.RemoveAll(blockingFolder); err != nil {
 		t.Fatal(err)
 	}
 	limit := time.Now().Add(10 * time.Second)
-	for _, err := os.Stat(inTheWay); err != nil; _, err = os.Stat(inTheWay) {
+	for _, err := os.Stat(blockingFolder); err != nil; _, err = os.Stat(blockingFolder) {
 		if time.Now().After(limit) {
-			t.Fatal("never written")
+			t.Fatal("overrides not written within 10 s")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	g.end()
 	g.start()
-	if state := g.state(); !slices.Equal(state.Disabled, []string{coldStore}) {
+	if state := g.state(); !slices.Equal(state.Disabled, []string{coldEndpoint}) {
 		t.Errorf("after a restart: %+v", state)
 	}
 }
 
-// With another process alive an order that the disk refuses is not done, holds here, and reaches the other process once the
-// disk works. What that process orders meanwhile holds here too, and undoes nothing.
-func TestRefusedOrderReachesTheOtherProcess(t *testing.T) {
-	g := newStoredGateway(t)
+// While a sibling process is alive, an override that can't be written is in force here, but the call returns 503. The sibling can
+// read the override once the disk works. An override that the sibling writes meanwhile takes effect here too, and undoes nothing.
+func TestUnwrittenOverrideReachesSibling(t *testing.T) {
+	g := newPersistentGateway(t)
 	g.start()
 	other, err := handover.Open(g.folder())
 	if err != nil {
@@ -286,17 +286,17 @@
 	defer other.Close()
 	g.await("two processes", func(s adminapi.State) bool { return s.Processes == 2 })
 	g.files.fault.Store(&storageFault{"write", syscall.ENOSPC})
-	if status, _ := g.call("PUT", "/stores/disable", disableStore); status != 503 {
-		t.Errorf("the other process can't know: %d", status)
+	if status, _ := g.call("PUT", "/stores/disable", disableBody); status != 503 {
+		t.Errorf("the sibling can't read the override: %d", status)
 	}
-	if state := g.state(); !slices.Equal(state.Disabled, []string{coldStore}) || state.Durable {
+	if state := g.state(); !slices.Equal(state.Disabled, []string{coldEndpoint}) || state.Durable {
 		t.Errorf("%+v", state)
 	}
 	if _, err := other.Update(t.Context(), handover.Overrides{}, func(s *handover.Overrides) { s.Draining = true }); err != nil {
 		t.Fatal(err)
 	}
-	g.await("drained by the other", func(s adminapi.State) bool { return s.Draining })
-	if state := g.state(); !slices.Equal(state.Disabled, []string{coldStore}) || state.Durable {
+	g.await("drained by the sibling", func(s adminapi.State) bool { return s.Draining })
+	if state := g.state(); !slices.Equal(state.Disabled, []string{coldEndpoint}) || state.Durable {
 		t.Errorf("%+v", state)
 	}
 	g.files.fault.Store(nil)
@@ -307,25 +307,25 @@
 	}
 }
 
-// The disk refuses or delays no more than the sync: the other process can read the order, so it is done, and told as not
-// durable within the time for an answer.
-func TestUnsyncedOrderReachesTheOtherProcess(t *testing.T) {
+// If only the sync fails or blocks, the sibling process can read the override, so the call succeeds within the time limit and
+// reports that the override is not durable.
+func TestUnsyncedOverrideReachesSibling(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		begin func(*failingFiles) (end func())
 	}{
-		{"refused", func(files *failingFiles) func() {
+		{"sync fails", func(files *failingFiles) func() {
 			files.fault.Store(&storageFault{"fsync", syscall.EIO})
 			return func() { files.fault.Store(nil) }
 		}},
-		{"hangs", func(files *failingFiles) func() {
-			held := make(chan struct{})
-			files.hang.Store(&held)
-			return func() { files.hang.Store(nil); close(held) }
+		{"sync blocks", func(files *failingFiles) func() {
+			resume := make(chan struct{})
+			files.hang.Store(&resume)
+			return func() { files.hang.Store(nil); close(resume) }
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			g := newStoredGateway(t)
+			g := newPersistentGateway(t)
 			g.start()
 			other, err := handover.Open(g.folder())
 			if err != nil {
@@ -335,12 +335,12 @@
 			g.await("two processes", func(s adminapi.State) bool { return s.Processes == 2 })
 			end := test.begin(g.files)
 			begun := time.Now()
-			status, state := g.call("PUT", "/stores/disable", disableStore)
+			status, state := g.call("PUT", "/stores/disable", disableBody)
 			if took := time.Since(begun); status != 200 || took > time.Second || state.Durable {
 				t.Errorf("%d after %v: %+v", status, took, state)
 			}
 			if s, err := other.Read(); err != nil || !slices.Equal(s.Disabled, []uint32{10}) {
-				t.Errorf("the other reads %+v, %v", s, err)
+				t.Errorf("the sibling reads %+v, %v", s, err)
 			}
 			end()
 			g.await("durable", func(s adminapi.State) bool { return s.Durable })
@@ -348,13 +348,13 @@
 	}
 }
 
-// Orders that are given while the disk refuses all of them are written as they stand in the end.
-func TestLastOfRefusedOrdersCounts(t *testing.T) {
-	g := newStoredGateway(t)
+// Of several overrides that can't be written, the latest of each kind is written once the disk works.
+func TestLatestUnwrittenOverridesAreWritten(t *testing.T) {
+	g := newPersistentGateway(t)
 	g.start()
 	g.files.fault.Store(&storageFault{"fsync", syscall.EIO})
 	for _, path := range []string{"/stores/disable", "/drain", "/stores/enable", "/undrain", "/stores/disable", "/drain"} {
-		if status, state := g.call("PUT", path, disableStore); status != 200 || state.Durable {
+		if status, state := g.call("PUT", path, disableBody); status != 200 || state.Durable {
 			t.Errorf("%s: %d %+v", path, status, state)
 		}
 	}
@@ -366,11 +366,12 @@
 	}
 }
 
-// The folder can't be entered at the start: what was ordered before holds, and orders are written once it can be.
-func TestStartWhileTheFolderIsRefused(t *testing.T) {
-	g := newStoredGateway(t)
+// The shared folder is unavailable at the start of a process. Overrides given meanwhile are in force, and once the folder is
+// available they are written together with those stored before.
+func TestStartWhileSharedFolderIsUnavailable(t *testing.T) {
+	g := newPersistentGateway(t)
 	g.start()
-	if status, state := g.call("PUT", "/stores/disable", disableStore); status != 200 || !state.Durable {
+	if status, state := g.call("PUT", "/stores/disable", disableBody); status != 200 || !state.Durable {
 		t.Fatalf("%d %+v", status, state)
 	}
 	folder := g.folder()
@@ -393,7 +394,7 @@
 	}
 }
 
-// failingLogs is a voter's log, which refuses writes as long as there is a fault.
+// failingLogs is a voter's log, whose writes fail while a fault is set.
 type failingLogs struct {
 	replica.LogDatabase
 	fault *atomic.Pointer[storageFault]
@@ -424,57 +425,57 @@
 	return f.write(func() error { return f.LogDatabase.SetUint64(key, value) })
 }
 
-// The disk of a gateway that votes fails while the group needs it for a majority: it goes on serving what needs no disk, stays
-// ready and says what is wrong, and refuses single-use work with advice. It takes that up again once the disk works.
-func TestVotersDiskFails(t *testing.T) {
+// The disk of a voting gateway fails while the group needs it for a majority. The gateway must keep serving requests that need no
+// disk, stay ready, report the fault, and reject single-use requests with Retry-After. It accepts them again once the disk works.
+func TestVoterDiskFails(t *testing.T) {
 	for _, fault := range []storageFault{{"write", syscall.ENOSPC}, {"fsync", syscall.EIO}} {
 		t.Run(fault.err.Error(), func(t *testing.T) {
 			failing := &atomic.Pointer[storageFault]{}
-			s := newVotingOn(t, func(path string) (replica.LogDatabase, error) {
+			s := newVotingGatewayWithLog(t, func(path string) (replica.LogDatabase, error) {
 				database, err := replica.OpenLogDatabase(path)
 				return failingLogs{database, failing}, err
 			})
 			s.await("fresh", func() bool { return s.subscription().Fresh })
-			if status := s.end("before"); status != http.StatusOK {
-				t.Fatalf("before: a ride's end has %d", status)
+			if status := s.postRideEnd("before"); status != http.StatusOK {
+				t.Fatalf("ride-end before the fault: %d", status)
 			}
 			failing.Store(&fault)
 			s.stores[0].Close()
-			sent := len(s.store.Calls("GET"))
+			sent := len(s.endpoint.Calls("GET"))
 			answer, err := http.Post("http://"+s.addrs.Signed.String()+s.url("refused"), "", nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			answer.Body.Close()
 			if answer.StatusCode != http.StatusServiceUnavailable || answer.Header.Get("Retry-After") == "" {
-				t.Errorf("a ride's end has %d, %v", answer.StatusCode, answer.Header)
+				t.Errorf("ride-end during the fault: %d, %v", answer.StatusCode, answer.Header)
 			}
-			if len(s.store.Calls("GET")) != sent {
-				t.Error("it was sent on")
+			if len(s.endpoint.Calls("GET")) != sent {
+				t.Error("the rejected ride-end was sent to the endpoint")
 			}
-			s.await("trouble", func() bool { return len(s.state().Storage) == 1 })
+			s.await("storage error reported", func() bool { return len(s.state().Storage) == 1 })
 			state := s.state()
 			if !state.Ready || !strings.HasPrefix(state.Storage[0], "replica: ") || !strings.Contains(state.Storage[0], fault.err.Error()) {
 				t.Errorf("%+v", state)
 			}
 			if status, _ := s.get(s.keys, "url", "firmware", 1); status != http.StatusOK {
-				t.Errorf("a read has %d", status)
+				t.Errorf("read during the fault: %d", status)
 			}
 			failing.Store(nil)
 			s.await("fresh again", func() bool { return s.subscription().Fresh && len(s.state().Storage) == 0 })
-			s.await("single-use work", func() bool { return s.end(fmt.Sprint("after", time.Now().UnixNano())) == http.StatusOK })
-			s.open(0, nil, 3000)
+			s.await("single-use requests served", func() bool { return s.postRideEnd(fmt.Sprint("after", time.Now().UnixNano())) == http.StatusOK })
+			s.openMember(0, nil, 3000)
 		})
 	}
 }
 
-// One copy of the orders is cut at each sector, overwritten in its last page, or lost: the other is gone by, and both are
-// written again. With both damaged the start ends with an error that names the file.
-func TestDamagedOrders(t *testing.T) {
+// One copy of the overrides is truncated at a sector boundary, zeroed from there on, or lost. The other copy is used, and both
+// are written again. If both are damaged, the start fails with an error that names the file.
+func TestDamagedOverrideFiles(t *testing.T) {
 	const sector = 512
-	g := newStoredGateway(t)
+	g := newPersistentGateway(t)
 	g.start()
-	if status, state := g.call("PUT", "/stores/disable", disableStore); status != 200 || !state.Durable {
+	if status, state := g.call("PUT", "/stores/disable", disableBody); status != 200 || !state.Durable {
 		t.Fatalf("%d %+v", status, state)
 	}
 	folder := g.folder()
@@ -482,7 +483,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held, err := other.Update(t.Context(), handover.Overrides{}, func(s *handover.Overrides) {
+	stored, err := other.Update(t.Context(), handover.Overrides{}, func(s *handover.Overrides) {
 		for id := range uint32(400) {
 			s.Disabled = append(s.Disabled, 1000+id)
 		}
@@ -492,7 +493,7 @@
 	}
 	g.end()
 	names := []string{"orders.json", "orders.backup.json"}
-	whole, err := os.ReadFile(filepath.Join(folder, names[0]))
+	original, err := os.ReadFile(filepath.Join(folder, names[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -502,19 +503,19 @@
 		}
 	}
 	var damaged [][]byte
-	for from := 0; from < len(whole); from += sector {
-		torn := slices.Clone(whole)
-		clear(torn[from:])
-		damaged = append(damaged, whole[:from], torn)
+	for from := 0; from < len(original); from += sector {
+		zeroed := slices.Clone(original)
+		clear(zeroed[from:])
+		damaged = append(damaged, original[:from], zeroed)
 	}
 	for _, name := range names {
 		for i, content := range damaged {
-			write(names[0], whole)
-			write(names[1], whole)
+			write(names[0], original)
+			write(names[1], original)
 			write(name, content)
 			s, incomplete, err := handover.New(folder, durable.OS).Load()
-			if err != nil || incomplete == nil || !strings.Contains(incomplete.Error(), name) || !slices.Equal(s.Disabled, held.Disabled) {
-				t.Errorf("%s, damage %d: %v, %v, %d stores out", name, i, incomplete, err, len(s.Disabled))
+			if err != nil || incomplete == nil || !strings.Contains(incomplete.Error(), name) || !slices.Equal(s.Disabled, stored.Disabled) {
+				t.Errorf("%s, damage %d: %v, %v, %d endpoints disabled", name, i, incomplete, err, len(s.Disabled))
 			}
 		}
 		if err := os.Remove(filepath.Join(folder, name)); err != nil {
@@ -522,8 +523,8 @@
 		}
 		g.start()
 		g.await("durable", func(s adminapi.State) bool { return s.Durable })
-		if state := g.state(); len(state.Disabled) != len(held.Disabled) {
-			t.Errorf("without %s: %d stores out", name, len(state.Disabled))
+		if state := g.state(); len(state.Disabled) != len(stored.Disabled) {
+			t.Errorf("without %s: %d endpoints disabled", name, len(state.Disabled))
 		}
 		g.end()
 		for _, name := range names {
@@ -532,8 +533,8 @@
 			}
 		}
 	}
-	write(names[0], whole[:sector])
-	write(names[1], whole[:sector])
+	write(names[0], original[:sector])
+	write(names[1], original[:sector])
 	if err := g.run(); err == nil || !strings.Contains(err.Error(), filepath.Join(folder, names[0])) {
 		t.Errorf("with both damaged: %v", err)
 	}
--- a/subscribe_test.go
+++ b/subscribe_test.go
@@ -29,13 +29,14 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-// sharingText is the operator's file of a gateway that shares the replicated state of a trio, but for its part in that.
-func sharingText(store string) string {
-	return anyAddress + `
+// replicatedGatewayConfig returns the operator's file of a gateway that uses a group's replicated state, up to the settings of its
+// role in the group.
+func replicatedGatewayConfig(store string) string {
+	return anyPortConfig + `
 console = "127.0.0.1:0"
 operator_secret = "a secret for this test alone"
-` + classText("app-assets", "deadline_ms = 2500", "fresh_s = 3") + classText("firmware", "deadline_ms = 5000") +
-		classText("ride-end", "deadline_ms = 3000", "write = true") + storesText(store) + hmacKeyText("url", urlSecret) + `
+` + classConfig("app-assets", "deadline_ms = 2500", "fresh_s = 3") + classConfig("firmware", "deadline_ms = 5000") +
+		classConfig("ride-end", "deadline_ms = 3000", "write = true") + endpointsConfig(store) + hmacKeyConfig("url", urlSecret) + `
 [replica]
 ca_file = "ca.pem"
 cert_file = "cert.pem"
@@ -43,53 +44,53 @@
 `
 }
 
-// shortLease are time limits that keep the test short, and are long enough for a loaded machine to renew the lease many
-// times over; the purge deadline stays as it is.
+// shortLease contains time limits that keep the tests short, and yet allow a loaded machine to renew the lease many times before
+// it ends. The purge deadline keeps its default.
 var shortLease = distribution.Timing{
 	HeartbeatInterval: 100 * time.Millisecond, LeaseTTL: 3 * time.Second, SilenceTimeout: time.Second,
 	BatchDelay: 20 * time.Millisecond,
 }
 
-// sharing is a gateway that shares the replicated state of a trio.
-type sharing struct {
-	*trio
-	store *fakestore.Store
-	addrs Addrs
+// replicatedGateway is a gateway that uses the replicated state of a group.
+type replicatedGateway struct {
+	*gatewayGroup
+	endpoint *fakestore.Store
+	addrs    Addrs
 }
 
-// newSubscribed starts a gateway that subscribes to a trio's voters.
-func newSubscribed(t *testing.T) *sharing {
-	return newSharing(t, newTrio(t, 3000), "id = \"phones-9\"\nsubscribe = true\n")
+// newSubscribingGateway starts a gateway that subscribes to a group's voters.
+func newSubscribingGateway(t *testing.T) *replicatedGateway {
+	return newReplicatedGateway(t, newGatewayGroup(t, 3000), "id = \"phones-9\"\nsubscribe = true\n")
 }
 
-// newVoting starts a gateway that is itself a trio's last member.
-func newVoting(t *testing.T) *sharing { return newVotingOn(t, nil) }
+// newVotingGateway starts a gateway that is itself the last member of a group.
+func newVotingGateway(t *testing.T) *replicatedGateway { return newVotingGatewayWithLog(t, nil) }
 
-// newVotingOn starts one whose file of the log is opened in a way of its own.
-func newVotingOn(t *testing.T, openLogs func(path string) (replica.LogDatabase, error)) *sharing {
-	c := newTrio(t, 3000)
+// newVotingGatewayWithLog is newVotingGateway with a custom function that opens the log.
+func newVotingGatewayWithLog(t *testing.T, openLogs func(path string) (replica.LogDatabase, error)) *replicatedGateway {
+	c := newGatewayGroup(t, 3000)
 	c.openLogs = openLogs
 	const member = 2
 	if err := c.stores[member].Close(); err != nil {
 		t.Fatal(err)
 	}
 	m := c.members[member]
-	return newSharing(t, c, fmt.Sprintf("id = %q\nlisten = %q\ndir = %q\n", m.ID, m.Addr, c.dirs[member]))
+	return newReplicatedGateway(t, c, fmt.Sprintf("id = %q\nlisten = %q\ndir = %q\n", m.ID, m.Addr, c.dirs[member]))
 }
 
-func newSharing(t *testing.T, c *trio, part string) *sharing {
-	s := &sharing{trio: c}
+func newReplicatedGateway(t *testing.T, c *gatewayGroup, part string) *replicatedGateway {
+	s := &replicatedGateway{gatewayGroup: c}
 	var err error
-	s.store, err = fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
+	s.endpoint, err = fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,why=local,minted=1", []byte("piece"), true
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.store.Close() })
+	t.Cleanup(func() { s.endpoint.Close() })
 	dir := t.TempDir()
 	s.writeCertificates(dir)
-	file := sharingText(s.store.Addr()) + part
+	file := replicatedGatewayConfig(s.endpoint.Addr()) + part
 	for _, m := range s.members {
 		file += fmt.Sprintf("[[replica.member]]\nid = %q\naddr = %q\n", m.ID, m.Addr)
 	}
@@ -114,8 +115,9 @@
 	return s
 }
 
-// writeCertificates writes a member's certificate and its authority's as the operator's file names them.
-func (s *sharing) writeCertificates(dir string) {
+// writeCertificates writes a member's certificate and key and the authority's certificate to the files named in the operator's
+// file.
+func (s *replicatedGateway) writeCertificates(dir string) {
 	conf, err := s.cert()
 	if err != nil {
 		s.Fatal(err)
@@ -135,16 +137,16 @@
 	}
 }
 
-func (s *sharing) subscription() *adminapi.Subscription {
+func (s *replicatedGateway) subscription() *adminapi.Subscription {
 	s.Helper()
 	state := s.state()
 	if state.Subscription == nil {
-		s.Fatalf("the console tells of no subscription: %+v", state)
+		s.Fatalf("the admin API reports no subscription: %+v", state)
 	}
 	return state.Subscription
 }
 
-func (s *sharing) state() (state adminapi.State) {
+func (s *replicatedGateway) state() (state adminapi.State) {
 	s.Helper()
 	resp, err := http.Get("http://" + s.addrs.Admin.String() + "/ready")
 	if err != nil {
@@ -157,31 +159,32 @@
 	return state
 }
 
-func (s *sharing) await(what string, ok func() bool) {
+func (s *replicatedGateway) await(what string, ok func() bool) {
 	s.Helper()
 	for limit := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
-			s.Fatalf("never: %s; %+v", what, s.subscription())
+			s.Fatalf("not within 30 s: %s; %+v", what, s.subscription())
 		}
 	}
 }
 
-// get asks for an object with a key, and gives the status and the age in ms that the store was asked for (-1: none).
-func (s *sharing) get(keys *ring.Ring, key, class string, object uint64) (status, fresh int) {
+// get requests an object with a key, and returns the status and the maximum age of copies in ms that was requested from the
+// endpoint (-1: none).
+func (s *replicatedGateway) get(keys *ring.Ring, key, class string, object uint64) (status, fresh int) {
 	s.Helper()
 	path := fmt.Sprintf("/v1/%s/%016x/0", class, object)
 	issued, err := keys.Issue(key, token.Terms{URI: path, Until: s.clock.Unix()/1000 + 600, ID: fmt.Sprint("n", object)})
 	if err != nil {
 		s.Fatal(err)
 	}
-	before := len(s.store.Calls("GET"))
+	before := len(s.endpoint.Calls("GET"))
 	resp, err := http.Get("http://" + s.addrs.Signed.String() + issued.URL)
 	if err != nil {
 		s.Fatal(err)
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
-	calls := s.store.Calls("GET")
+	calls := s.endpoint.Calls("GET")
 	if len(calls) == before {
 		return resp.StatusCode, -1
 	}
@@ -196,8 +199,8 @@
 	return resp.StatusCode, fresh
 }
 
-// end ends a ride, and gives the status.
-func (s *sharing) end(nonce string) int {
+// postRideEnd sends a ride-end request, and returns the status.
+func (s *replicatedGateway) postRideEnd(nonce string) int {
 	s.Helper()
 	resp, err := http.Post("http://"+s.addrs.Signed.String()+s.url(nonce), "", nil)
 	if err != nil {
@@ -208,29 +211,29 @@
 	return resp.StatusCode
 }
 
-// A gateway that does not vote serves by what the voters tell it: keys and purges come into force, and its claims are agreed
-// on. Without voters it knows that it is stale: it serves on, asks for no copy that a missing purge could make void, and
-// begins no single-use work. It becomes fresh once they are back, with the change that was made meanwhile.
-func TestGatewayThatSubscribes(t *testing.T) {
-	s := newSubscribed(t)
+// A non-voting gateway applies the keys and purges that it receives from the voters, and claims tokens through them. Without voters
+// it knows that it is stale: it keeps serving, but limits the age of copies so that no missed purge matters, and starts no
+// single-use request. It becomes fresh again once the voters are back.
+func TestSubscribingGateway(t *testing.T) {
+	s := newSubscribingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
 	if status, fresh := s.get(s.keys, "url", "firmware", 1); status != http.StatusOK || fresh != -1 {
 		t.Errorf("fresh: status %d, copies of %d ms", status, fresh)
 	}
-	if status := s.end("fresh"); status != http.StatusOK {
-		t.Errorf("fresh: a ride's end has %d", status)
+	if status := s.postRideEnd("fresh"); status != http.StatusOK {
+		t.Errorf("fresh: ride-end has status %d", status)
 	}
 
-	patient, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+	purgeCtx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	voter := s.stores[s.leader()]
-	called := s.clock.Unix() // the purge is dated and comes into force at some time from here on
-	if err := voter.Purge(patient, 2, 0); err != nil {
+	called := s.clock.Unix() // the date of the purge is not earlier
+	if err := voter.Purge(purgeCtx, 2, 0); err != nil {
 		t.Fatal(err)
 	}
 	s.await("the purge", func() bool { _, fresh := s.get(s.keys, "url", "firmware", 2); return fresh > 0 })
 	if _, fresh := s.get(s.keys, "url", "firmware", 2); float64(fresh) > s.clock.Unix()-called {
-		t.Errorf("a copy of %d ms will do, %v ms after the call for a purge", fresh, s.clock.Unix()-called)
+		t.Errorf("copies of %d ms are accepted, %v ms after the call for a purge", fresh, s.clock.Unix()-called)
 	}
 	secret := base64.StdEncoding.EncodeToString([]byte(strings.Repeat("n", 32)))
 	next := []token.Key{{ID: "next", Kind: token.HMAC, Secret: secret}, {ID: "url", Kind: token.HMAC, Secret: urlSecret}}
@@ -238,7 +241,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := voter.Put(patient, signed.ConfigKeys, next); err != nil {
+	if err := voter.Put(purgeCtx, signed.ConfigKeys, next); err != nil {
 		t.Fatal(err)
 	}
 	s.await("the new key", func() bool { status, _ := s.get(keys, "next", "firmware", 3); return status == http.StatusOK })
@@ -255,27 +258,27 @@
 		t.Errorf("stale: status %d, copies of %d ms", status, fresh)
 	}
 	if status, fresh := s.get(keys, "next", "app-assets", 5); status != http.StatusOK || fresh != 3000 {
-		t.Errorf("stale, of a class that is fresh for 3 s: status %d, copies of %d ms", status, fresh)
+		t.Errorf("stale, class with a freshness of 3 s: status %d, copies of %d ms", status, fresh)
 	}
-	ends := len(s.store.Calls("GET"))
-	if status := s.end("stale"); status != http.StatusServiceUnavailable || len(s.store.Calls("GET")) != ends {
-		t.Errorf("stale: a ride's end has %d, or was sent on", status)
+	ends := len(s.endpoint.Calls("GET"))
+	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Calls("GET")) != ends {
+		t.Errorf("stale: ride-end has status %d, or was sent to the endpoint", status)
 	}
 
 	for i := range s.stores {
-		s.open(i, nil, 3000)
+		s.openMember(i, nil, 3000)
 	}
 	s.await("fresh again", func() bool { return s.subscription().Fresh })
 	if status, fresh := s.get(keys, "next", "firmware", 6); status != http.StatusOK || fresh != -1 {
 		t.Errorf("fresh again: status %d, copies of %d ms", status, fresh)
 	}
-	if status := s.end("again"); status != http.StatusOK {
-		t.Errorf("fresh again: a ride's end has %d", status)
+	if status := s.postRideEnd("again"); status != http.StatusOK {
+		t.Errorf("fresh again: ride-end has status %d", status)
 	}
 }
 
-// operate calls an operator's endpoint, and gives the status and the body.
-func (s *sharing) operate(path, body string) (int, string) {
+// callOperatorAPI calls the operators' API of the signed frontend, and returns the status and the body.
+func (s *replicatedGateway) callOperatorAPI(path, body string) (int, string) {
 	s.Helper()
 	req, err := http.NewRequest("POST", "http://"+s.addrs.Signed.String()+path, strings.NewReader(body))
 	if err != nil {
@@ -294,14 +297,14 @@
 	return resp.StatusCode, string(answer)
 }
 
-// An operator has a lost voter replaced by way of a gateway that does not vote. The group then bears the loss of another one,
-// and the gateway stays fresh by the voters that are left.
+// An operator replaces a lost voter through a non-voting gateway. The group then tolerates the loss of another voter, and the
+// gateway stays fresh with the remaining voters.
 func TestOperatorReplacesMember(t *testing.T) {
-	s := newSubscribed(t)
+	s := newSubscribingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
-	const lost = 2
-	s.stores[lost].Close()
-	host, _, err := net.SplitHostPort(s.members[lost].Addr)
+	const lostMember = 2
+	s.stores[lostMember].Close()
+	host, _, err := net.SplitHostPort(s.members[lostMember].Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -319,31 +322,31 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { joined.Close() })
-	if code, text := s.operate("/-/members", fmt.Sprintf(`{"lost":"nobody","joining":{"id":"new","addr":%q}}`, joining.Addr)); code != 400 {
-		t.Errorf("a name that nobody has: %d %s", code, text)
+	if code, text := s.callOperatorAPI("/-/members", fmt.Sprintf(`{"lost":"nobody","joining":{"id":"new","addr":%q}}`, joining.Addr)); code != 400 {
+		t.Errorf("unknown member name: %d %s", code, text)
 	}
 	var text string
 	s.await("replaced", func() bool {
 		var code int
-		code, text = s.operate("/-/members", fmt.Sprintf(`{"lost":%q,"joining":{"id":"new","addr":%q}}`, s.members[lost].ID, joining.Addr))
+		code, text = s.callOperatorAPI("/-/members", fmt.Sprintf(`{"lost":%q,"joining":{"id":"new","addr":%q}}`, s.members[lostMember].ID, joining.Addr))
 		return code == http.StatusOK
 	})
-	if !strings.Contains(text, joining.Addr) || strings.Contains(text, s.members[lost].Addr) {
+	if !strings.Contains(text, joining.Addr) || strings.Contains(text, s.members[lostMember].Addr) {
 		t.Errorf("the voters are %s", text)
 	}
 	s.await("the new voter complete", joined.Fresh)
 	s.stores[1].Close()
-	if code, text := s.operate("/-/policy", `{"leeway_ms":2000}`); code != http.StatusOK {
-		t.Errorf("with one former voter and the new one: %d %s", code, text)
+	if code, text := s.callOperatorAPI("/-/policy", `{"leeway_ms":2000}`); code != http.StatusOK {
+		t.Errorf("with one of the former voters and the new one: %d %s", code, text)
 	}
-	s.await("fresh by those that are left", func() bool { got := s.subscription(); return got.Fresh && got.AgeMS < 2000 })
+	s.await("fresh with the remaining voters", func() bool { got := s.subscription(); return got.Fresh && got.AgeMS < 2000 })
 }
 
-// A gateway that votes itself holds to the same lease: without a majority it knows that it is stale. It serves on, asks for no
-// copy that a missing purge could make void, and begins no single-use work. It is fresh again with the purge that was made
-// while it was cut off.
-func TestGatewayThatVotes(t *testing.T) {
-	s := newVoting(t)
+// The same lease applies to a voting gateway: without a majority it knows that it is stale. It keeps serving, but limits the age
+// of copies so that no missed purge matters, and starts no single-use request. It becomes fresh again once the other voters are
+// back.
+func TestVotingGateway(t *testing.T) {
+	s := newVotingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
 	if got := s.subscription(); !got.Votes || got.AgeMS < 0 || got.MaxCopyAgeMS != 0 {
 		t.Errorf("fresh: %+v", got)
@@ -351,8 +354,8 @@
 	if status, fresh := s.get(s.keys, "url", "firmware", 1); status != http.StatusOK || fresh != -1 {
 		t.Errorf("fresh: status %d, copies of %d ms", status, fresh)
 	}
-	if status := s.end("fresh"); status != http.StatusOK {
-		t.Errorf("fresh: a ride's end has %d", status)
+	if status := s.postRideEnd("fresh"); status != http.StatusOK {
+		t.Errorf("fresh: ride-end has status %d", status)
 	}
 
 	for _, other := range []int{0, 1} {
@@ -366,19 +369,19 @@
 	if status, fresh := s.get(s.keys, "url", "firmware", 2); status != http.StatusOK || fresh != bound {
 		t.Errorf("stale: status %d, copies of %d ms", status, fresh)
 	}
-	sent := len(s.store.Calls("GET"))
-	if status := s.end("stale"); status != http.StatusServiceUnavailable || len(s.store.Calls("GET")) != sent {
-		t.Errorf("stale: a ride's end has %d, or was sent on", status)
+	sent := len(s.endpoint.Calls("GET"))
+	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Calls("GET")) != sent {
+		t.Errorf("stale: ride-end has status %d, or was sent to the endpoint", status)
 	}
 
 	for _, other := range []int{0, 1} {
-		s.open(other, nil, 3000)
+		s.openMember(other, nil, 3000)
 	}
 	s.await("fresh again", func() bool { return s.subscription().Fresh })
 	if status, fresh := s.get(s.keys, "url", "firmware", 3); status != http.StatusOK || fresh != -1 {
 		t.Errorf("fresh again: status %d, copies of %d ms", status, fresh)
 	}
-	if status := s.end("again"); status != http.StatusOK {
-		t.Errorf("fresh again: a ride's end has %d", status)
+	if status := s.postRideEnd("again"); status != http.StatusOK {
+		t.Errorf("fresh again: ride-end has status %d", status)
 	}
 }
