--- a/token/cat/cat.go
+++ b/token/cat/cat.go
@@ -29,52 +29,52 @@
 
 // COSE's tags, headers and algorithms, and the tags of CWT and of addresses (RFC 9164).
 const (
-	tagMac0  = 17
-	tagSign1 = 18
-	tagCWT   = 61
-	tagIPv4  = 52
-	tagIPv6  = 54
-	headAlg  = 1
-	headKey  = 4
-	algHS256 = 5
-	algES256 = -7
-	algEdDSA = -8
+	tagMac0     = 17
+	tagSign1    = 18
+	tagCWT      = 61
+	tagIPv4     = 52
+	tagIPv6     = 54
+	headerAlg   = 1
+	headerKeyID = 4
+	algHS256    = 5
+	algES256    = -7
+	algEdDSA    = -8
 )
 
 // Claims, by the number that IANA's registry of CWT claims gives them.
 const (
-	claimIss    = 1
-	claimSub    = 2
-	claimAud    = 3
-	claimExp    = 4
-	claimNbf    = 5
-	claimIat    = 6
-	claimCti    = 7
-	claimReplay = 308
-	claimV      = 310
-	claimNip    = 311
-	claimU      = 312
-	claimM      = 313
-	claimH      = 315
-	claimR      = 323
-	claimsFrom  = 308 // those of CTA-5007: one that is not known here may limit the token
-	claimsTo    = 323
+	claimIss       = 1
+	claimSub       = 2
+	claimAud       = 3
+	claimExp       = 4
+	claimNbf       = 5
+	claimIat       = 6
+	claimCti       = 7
+	claimReplay    = 308
+	claimVersion   = 310
+	claimNetworkIP = 311
+	claimURI       = 312
+	claimMethods   = 313
+	claimHeaders   = 315
+	claimRenewal   = 323
+	firstCATClaim  = 308 // those of CTA-5007: one that is not known here may limit the token
+	lastCATClaim   = 323
 )
 
 const (
-	textMost = 8 << 10
-	listMost = 32
+	maxTokenBytes = 8 << 10
+	maxListItems  = 32
 )
 
 var algs = map[string]int64{"HS256": algHS256, "ES256": algES256, "EdDSA": algEdDSA}
 
 var (
-	decoding = must(cbor.DecOptions{
+	decMode = must(cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: 64, MaxMapPairs: 64,
 		IndefLength: cbor.IndefLengthForbidden, IntDec: cbor.IntDecConvertSignedOrFail,
 	}.DecMode())
-	encoding = must(cbor.CoreDetEncOptions().EncMode())
-	text64   = base64.RawURLEncoding.Strict()
+	encMode   = must(cbor.CoreDetEncOptions().EncMode())
+	base64URL = base64.RawURLEncoding.Strict()
 )
 
 func must[T any](v T, err error) T {
@@ -117,71 +117,71 @@
 }
 
 // open takes a token apart: with the tag of CWT or without.
-func open(text string) (tag uint64, m message, err error) {
-	raw, err := text64.DecodeString(text)
+func decode(text string) (tag uint64, m message, err error) {
+	raw, err := base64URL.DecodeString(text)
 	if err != nil {
 		return 0, m, err
 	}
 	var outer cbor.RawTag
-	if err := decoding.Unmarshal(raw, &outer); err != nil {
+	if err := decMode.Unmarshal(raw, &outer); err != nil {
 		return 0, m, err
 	}
 	if outer.Number == tagCWT {
 		inner := outer.Content
 		outer = cbor.RawTag{}
-		if err := decoding.Unmarshal(inner, &outer); err != nil {
+		if err := decMode.Unmarshal(inner, &outer); err != nil {
 			return 0, m, err
 		}
 	}
-	return outer.Number, m, decoding.Unmarshal(outer.Content, &m)
+	return outer.Number, m, decMode.Unmarshal(outer.Content, &m)
 }
 
 // Open authenticates a token.
 func (Dialect) Open(_ *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
-	if len(c.Text) > textMost {
+	if len(c.Text) > maxTokenBytes {
 		return g, token.Reject(token.Malformed, "the token is too long")
 	}
-	tag, m, err := open(c.Text)
+	tag, m, err := decode(c.Text)
 	if err != nil {
 		return g, token.Reject(token.Malformed, "no CWT")
 	}
 	var protected map[int64]any
-	if err := decoding.Unmarshal(m.Protected, &protected); err != nil {
+	if err := decMode.Unmarshal(m.Protected, &protected); err != nil {
 		return g, token.Reject(token.Malformed, "no protected header")
 	}
 	for name := range protected {
-		if name != headKey && name != headAlg {
+		if name != headerKeyID && name != headerAlg {
 			return g, token.Reject(token.BadClaim, "a header that is not understood")
 		}
 	}
 	for name := range m.Unprotected { // nobody vouches for these
-		if name != headKey {
+		if name != headerKeyID {
 			return g, token.Reject(token.BadClaim, "a header that is not understood")
 		}
 	}
-	id, ok := protected[headKey].([]byte)
+	id, ok := protected[headerKeyID].([]byte)
 	if !ok {
-		id, _ = m.Unprotected[headKey].([]byte)
+		id, _ = m.Unprotected[headerKeyID].([]byte)
 	}
 	key, err := keys.Find(string(id))
 	if err != nil {
 		return g, err
 	}
-	want := uint64(tagSign1)
+	wantTag := uint64(tagSign1)
 	if key.Alg == "HS256" {
-		want = tagMac0
+		wantTag = tagMac0
 	}
-	if alg, _ := protected[headAlg].(int64); alg != algs[key.Alg] || tag != want {
+	if alg, _ := protected[headerAlg].(int64); alg != algs[key.Alg] || tag != wantTag {
 		return g, token.Reject(token.BadSignature, "the algorithm is not the key's")
 	}
 	if !verify(key, &m) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
 	var claims map[int64]any
-	if err := decoding.Unmarshal(m.Payload, &claims); err != nil {
+	if err := decMode.Unmarshal(m.Payload, &claims); err != nil {
 		return g, token.Reject(token.Malformed, "the claims can't be read")
 	}
-	r := reader{claims: claims}
+	r := claimReader{claims: claims}
 	g = r.grant(key, c.Params)
 	g.Native = claims
 	if g.ID == "" {
@@ -191,8 +191,8 @@
 }
 
 // toSign is the MAC_structure or Sig_structure (RFC 9052, 4.4 and 6.3).
-func toSign(context string, m *message) []byte {
-	return must(encoding.Marshal([]any{context, m.Protected, []byte{}, m.Payload}))
+func signingInput(context string, m *message) []byte {
+	return must(encMode.Marshal([]any{context, m.Protected, []byte{}, m.Payload}))
 }
 
 func verify(k *token.Ready, m *message) bool {
@@ -201,34 +201,34 @@
 		if len(m.Sum) != 64 {
 			return false
 		}
-		sum := sha256.Sum256(toSign("Signature1", m))
+		sum := sha256.Sum256(signingInput("Signature1", m))
 		return ecdsa.Verify(pub, sum[:], new(big.Int).SetBytes(m.Sum[:32]), new(big.Int).SetBytes(m.Sum[32:]))
 	case ed25519.PublicKey:
-		return ed25519.Verify(pub, toSign("Signature1", m), m.Sum)
+		return ed25519.Verify(pub, signingInput("Signature1", m), m.Sum)
 	}
 	return hmac.Equal(m.Sum, mac(k.Shared, m))
 }
 
 func mac(secret []byte, m *message) []byte {
 	h := hmac.New(sha256.New, secret)
-	h.Write(toSign("MAC0", m))
+	h.Write(signingInput("MAC0", m))
 	return h.Sum(nil)
 }
 
 // sign signs claims with a key.
 func sign(k *token.Ready, claims map[int64]any) (string, error) {
-	payload, err := encoding.Marshal(claims)
+	payload, err := encMode.Marshal(claims)
 	if err != nil {
 		return "", fmt.Errorf("token: %w", err)
 	}
-	protected := must(encoding.Marshal(map[int64]any{headAlg: algs[k.Alg]}))
-	m := message{Protected: protected, Unprotected: map[int64]any{headKey: []byte(k.ID)}, Payload: payload}
+	protected := must(encMode.Marshal(map[int64]any{headerAlg: algs[k.Alg]}))
+	m := message{Protected: protected, Unprotected: map[int64]any{headerKeyID: []byte(k.ID)}, Payload: payload}
 	tag := uint64(tagSign1)
 	switch k.Alg {
 	case "HS256":
 		tag, m.Sum = tagMac0, mac(k.Shared, &m)
 	case "ES256":
-		sum := sha256.Sum256(toSign("Signature1", &m))
+		sum := sha256.Sum256(signingInput("Signature1", &m))
 		der, err := k.Signer.Sign(rand.Reader, sum[:], crypto.SHA256)
 		if err != nil {
 			return "", fmt.Errorf("token: %w", err)
@@ -241,15 +241,15 @@
 		rs.R.FillBytes(m.Sum[:32])
 		rs.S.FillBytes(m.Sum[32:])
 	default:
-		if m.Sum, err = k.Signer.Sign(rand.Reader, toSign("Signature1", &m), crypto.Hash(0)); err != nil {
+		if m.Sum, err = k.Signer.Sign(rand.Reader, signingInput("Signature1", &m), crypto.Hash(0)); err != nil {
 			return "", fmt.Errorf("token: %w", err)
 		}
 	}
-	raw, err := encoding.Marshal(cbor.Tag{Number: tagCWT, Content: cbor.Tag{Number: tag, Content: m}})
+	raw, err := encMode.Marshal(cbor.Tag{Number: tagCWT, Content: cbor.Tag{Number: tag, Content: m}})
 	if err != nil {
 		return "", fmt.Errorf("token: %w", err)
 	}
-	return text64.EncodeToString(raw), nil
+	return base64URL.EncodeToString(raw), nil
 }
 
 // Issue signs a token for one URI, or for the URIs whose path begins with what the terms cover.
@@ -258,11 +258,11 @@
 	if err != nil {
 		return out, err
 	}
-	c := map[int64]any{claimExp: int64(t.Until), claimV: int64(1)}
+	c := map[int64]any{claimExp: int64(t.Until), claimVersion: int64(1)}
 	if t.Cover != "" {
-		c[claimU] = map[int64]any{partPath: map[int64]any{matchPrefix: t.Cover}}
+		c[claimURI] = map[int64]any{partPath: map[int64]any{matchPrefix: t.Cover}}
 	} else {
-		c[claimU] = map[int64]any{
+		c[claimURI] = map[int64]any{
 			partScheme: map[int64]any{matchExact: u.Scheme}, partHost: map[int64]any{matchExact: u.Hostname()},
 			partPath: map[int64]any{matchExact: u.Path}, partQuery: map[int64]any{matchExact: u.RawQuery},
 		}
@@ -280,7 +280,7 @@
 		c[claimNbf] = int64(t.From)
 	}
 	if t.Method != "" {
-		c[claimM] = []any{t.Method}
+		c[claimMethods] = []any{t.Method}
 	}
 	if t.Single {
 		c[claimCti] = []byte(t.ID)
@@ -292,16 +292,16 @@
 		if err != nil {
 			return out, fmt.Errorf("address: %w", err)
 		}
-		c[claimNip] = []any{addressTag(net)}
+		c[claimNetworkIP] = []any{encodeAddress(net)}
 	}
 	if t.Renew > 0 {
-		c[claimR] = map[int64]any{renewType: int64(1), renewAdd: int64(t.Renew), renewCookie: Param}
+		c[claimRenewal] = map[int64]any{renewType: int64(1), renewAdd: int64(t.Renew), renewCookie: Param}
 	}
 	if out.Token, err = sign(k, c); err != nil {
 		return out, err
 	}
 	if out.ID == "" {
-		payload, err := encoding.Marshal(c)
+		payload, err := encMode.Marshal(c)
 		if err != nil {
 			return out, fmt.Errorf("token: %w", err)
 		}
@@ -352,70 +352,70 @@
 	renewHeader = 4
 )
 
-var parts = []token.Part{
+var uriParts = []token.Part{
 	token.OnScheme, token.OnHost, token.OnPort, token.OnPath, token.OnQuery, token.OnParent, token.OnFile, token.OnStem, token.OnExtension,
 }
 
-var forms = map[int64]token.Form{
+var matchForms = map[int64]token.Form{
 	matchExact: token.Exact, matchPrefix: token.Prefix, 2: token.Suffix, 3: token.Contains, matchRegex: token.Posix,
 	-1: token.Sum256, -2: token.Sum512,
 }
 
 // reader words claims as a grant; it keeps the first error.
-type reader struct {
+type claimReader struct {
 	claims map[int64]any
 	err    error
 }
 
-func (r *reader) fail(why token.Why, text string) {
+func (r *claimReader) reject(why token.Why, text string) {
 	if r.err == nil {
 		r.err = token.Reject(why, text)
 	}
 }
 
-func (r *reader) grant(key *token.Ready, params []string) token.Grant {
-	known := []int64{claimReplay, claimV, claimNip, claimU, claimM, claimH, claimR}
+func (r *claimReader) grant(key *token.Ready, params []string) token.Grant {
+	known := []int64{claimReplay, claimVersion, claimNetworkIP, claimURI, claimMethods, claimHeaders, claimRenewal}
 	for n := range r.claims {
-		if n >= claimsFrom && n <= claimsTo && !slices.Contains(known, n) {
-			r.fail(token.BadClaim, "a claim that is not understood")
+		if n >= firstCATClaim && n <= lastCATClaim && !slices.Contains(known, n) {
+			r.reject(token.BadClaim, "a claim that is not understood")
 		}
 	}
-	if v, there := r.claims[claimV]; there && v != int64(1) {
-		r.fail(token.BadClaim, "catv: unknown version")
+	if v, present := r.claims[claimVersion]; present && v != int64(1) {
+		r.reject(token.BadClaim, "catv: unknown version")
 	}
 	g := token.Grant{Key: key.ID, URIs: []token.Pattern{{Form: token.Glob, Text: "*"}}}
 	g.Subject, _ = r.claims[claimSub].(string)
 	iss, _ := r.claims[claimIss].(string)
-	if err := key.Bind(iss, r.texts(claimAud)); err != nil && r.err == nil {
+	if err := key.Bind(iss, r.parseTexts(claimAud)); err != nil && r.err == nil {
 		r.err = err
 	}
-	if id, there := r.claims[claimCti]; there {
+	if id, present := r.claims[claimCti]; present {
 		b, ok := id.([]byte)
 		if g.ID = string(b); !ok || len(b) == 0 || len(b) > token.IDMost {
-			r.fail(token.Malformed, "cti: no id")
+			r.reject(token.Malformed, "cti: no id")
 		}
 	}
-	g.Until, g.From, g.Issued = r.date(claimExp), r.date(claimNbf), r.date(claimIat)
-	switch replay, there := r.claims[claimReplay]; {
-	case !there, replay == int64(0), replay == int64(2): // 2 asks to look out for reuse, not to refuse it
+	g.Until, g.From, g.Issued = r.parseDate(claimExp), r.parseDate(claimNbf), r.parseDate(claimIat)
+	switch replay, present := r.claims[claimReplay]; {
+	case !present, replay == int64(0), replay == int64(2): // 2 asks to look out for reuse, not to refuse it
 	case replay == int64(1):
 		g.Uses = 1
 	default:
-		r.fail(token.BadClaim, "catreplay: unknown")
+		r.reject(token.BadClaim, "catreplay: unknown")
 	}
-	g.Methods = r.texts(claimM)
-	if _, there := r.claims[claimM]; there && len(g.Methods) == 0 {
-		r.fail(token.BadClaim, "catm: no method")
+	g.Methods = r.parseTexts(claimMethods)
+	if _, present := r.claims[claimMethods]; present && len(g.Methods) == 0 {
+		r.reject(token.BadClaim, "catm: no method")
 	}
-	r.nets(&g)
-	r.uris(&g, params)
-	r.headers(&g)
-	r.renewal(&g)
+	r.parseNetworks(&g)
+	r.parseURI(&g, params)
+	r.parseHeaders(&g)
+	r.parseRenewal(&g)
 	return g
 }
 
 // date reads a NumericDate; 0 where there is none.
-func (r *reader) date(claim int64) float64 {
+func (r *claimReader) parseDate(claim int64) float64 {
 	switch v := r.claims[claim].(type) {
 	case nil:
 		return 0
@@ -424,12 +424,12 @@
 	case float64:
 		return v
 	}
-	r.fail(token.Malformed, "a date that is none")
+	r.reject(token.Malformed, "a date that is none")
 	return 0
 }
 
 // texts reads a text or a list of texts.
-func (r *reader) texts(claim int64) (out []string) {
+func (r *claimReader) parseTexts(claim int64) (out []string) {
 	switch v := r.claims[claim].(type) {
 	case nil:
 	case string:
@@ -438,32 +438,32 @@
 		for _, x := range v {
 			s, ok := x.(string)
 			if !ok {
-				r.fail(token.Malformed, "a list with something else than texts")
+				r.reject(token.Malformed, "a list with something else than texts")
 			}
 			out = append(out, s)
 		}
 	default:
-		r.fail(token.Malformed, "no text and no list")
+		r.reject(token.Malformed, "no text and no list")
 	}
 	return out
 }
 
 // nets reads catnip: addresses and prefixes (RFC 9164). A number of an autonomous system can't be judged here.
-func (r *reader) nets(g *token.Grant) {
-	v, there := r.claims[claimNip]
-	if !there {
+func (r *claimReader) parseNetworks(g *token.Grant) {
+	v, present := r.claims[claimNetworkIP]
+	if !present {
 		return
 	}
 	list, ok := v.([]any)
-	if !ok || len(list) == 0 || len(list) > listMost {
-		r.fail(token.Malformed, "catnip: no list")
+	if !ok || len(list) == 0 || len(list) > maxListItems {
+		r.reject(token.Malformed, "catnip: no list")
 		return
 	}
 	for _, x := range list {
 		tag, ok := x.(cbor.Tag)
-		net, good := address(tag)
+		net, good := parseAddress(tag)
 		if !ok || !good {
-			r.fail(token.BadClaim, "catnip: no address")
+			r.reject(token.BadClaim, "catnip: no address")
 			return
 		}
 		g.Nets = append(g.Nets, net)
@@ -471,7 +471,7 @@
 }
 
 // address reads an address, or a prefix as [length, bytes] with the zeros at its end left out.
-func address(t cbor.Tag) (p netip.Prefix, ok bool) {
+func parseAddress(t cbor.Tag) (p netip.Prefix, ok bool) {
 	size := map[uint64]int{tagIPv4: 4, tagIPv6: 16}[t.Number]
 	switch v := t.Content.(type) {
 	case []byte:
@@ -482,18 +482,18 @@
 			return p, false
 		}
 		bits, ok1 := v[0].(int64)
-		head, ok2 := v[1].([]byte)
-		if !ok1 || !ok2 || size == 0 || len(head) > size || bits < 0 || bits > int64(size)*8 {
+		prefixBytes, ok2 := v[1].([]byte)
+		if !ok1 || !ok2 || size == 0 || len(prefixBytes) > size || bits < 0 || bits > int64(size)*8 {
 			return p, false
 		}
-		a, _ := netip.AddrFromSlice(append(slices.Clone(head), make([]byte, size-len(head))...))
+		a, _ := netip.AddrFromSlice(append(slices.Clone(prefixBytes), make([]byte, size-len(prefixBytes))...))
 		p = netip.PrefixFrom(a, int(bits))
 		return p, p == p.Masked()
 	}
 	return p, false
 }
 
-func addressTag(p netip.Prefix) cbor.Tag {
+func encodeAddress(p netip.Prefix) cbor.Tag {
 	tag := uint64(tagIPv4)
 	if p.Addr().Is6() {
 		tag = tagIPv6
@@ -509,64 +509,64 @@
 }
 
 // uris reads catu: all that it says of a URI's parts must hold.
-func (r *reader) uris(g *token.Grant, params []string) {
-	v, there := r.claims[claimU]
-	if !there {
+func (r *claimReader) parseURI(g *token.Grant, params []string) {
+	v, present := r.claims[claimURI]
+	if !present {
 		return
 	}
-	whole, ok := v.(map[any]any)
-	if !ok || len(whole) == 0 {
-		r.fail(token.Malformed, "catu: no map")
+	components, ok := v.(map[any]any)
+	if !ok || len(components) == 0 {
+		r.reject(token.Malformed, "catu: no map")
 		return
 	}
-	for n, m := range whole {
+	for n, m := range components {
 		at, ok := n.(int64)
-		if !ok || at < 0 || int(at) >= len(parts) {
-			r.fail(token.BadClaim, "catu: a part that is not understood")
+		if !ok || at < 0 || int(at) >= len(uriParts) {
+			r.reject(token.BadClaim, "catu: a part that is not understood")
 			return
 		}
-		for _, p := range r.matches(m) {
-			p.On, p.Less = parts[at], params
+		for _, p := range r.parseMatches(m) {
+			p.On, p.Less = uriParts[at], params
 			g.Query = g.Query || p.On == token.OnQuery && p.Form == token.Exact
 			g.Also = append(g.Also, p)
 		}
 	}
 }
 
-func (r *reader) headers(g *token.Grant) {
-	v, there := r.claims[claimH]
-	if !there {
+func (r *claimReader) parseHeaders(g *token.Grant) {
+	v, present := r.claims[claimHeaders]
+	if !present {
 		return
 	}
 	all, ok := v.(map[any]any)
-	if !ok || len(all) > listMost {
-		r.fail(token.Malformed, "cath: no map")
+	if !ok || len(all) > maxListItems {
+		r.reject(token.Malformed, "cath: no map")
 		return
 	}
 	for n, m := range all {
 		name, ok := n.(string)
 		if !ok {
-			r.fail(token.Malformed, "cath: no name")
+			r.reject(token.Malformed, "cath: no name")
 			return
 		}
-		for _, p := range r.matches(m) {
+		for _, p := range r.parseMatches(m) {
 			g.Headers = append(g.Headers, token.HeaderTerm{Name: name, Pattern: p})
 		}
 	}
 }
 
 // matches reads what a text must be like.
-func (r *reader) matches(v any) (out []token.Pattern) {
+func (r *claimReader) parseMatches(v any) (out []token.Pattern) {
 	m, ok := v.(map[any]any)
 	if !ok || len(m) == 0 {
-		r.fail(token.Malformed, "a match that is no map")
+		r.reject(token.Malformed, "a match that is no map")
 		return nil
 	}
 	for n, want := range m {
 		kind, _ := n.(int64)
-		form, known := forms[kind]
+		form, known := matchForms[kind]
 		if _, ok := n.(int64); !ok || !known {
-			r.fail(token.BadClaim, "a match that is not understood")
+			r.reject(token.BadClaim, "a match that is not understood")
 			return nil
 		}
 		p := token.Pattern{Form: form}
@@ -581,10 +581,10 @@
 				p.Text, ok = w[0].(string)
 			}
 			if !ok {
-				r.fail(token.BadClaim, "a match that is not understood")
+				r.reject(token.BadClaim, "a match that is not understood")
 			}
 		default:
-			r.fail(token.Malformed, "a match that can't be read")
+			r.reject(token.Malformed, "a match that can't be read")
 		}
 		if err := p.Compile(); err != nil && r.err == nil {
 			r.err = err
@@ -596,28 +596,28 @@
 
 // renewal reads catr. The next token goes by cookie or header under the usual names; one that must go otherwise is not
 // renewed.
-func (r *reader) renewal(g *token.Grant) {
-	v, there := r.claims[claimR]
-	if !there {
+func (r *claimReader) parseRenewal(g *token.Grant) {
+	v, present := r.claims[claimRenewal]
+	if !present {
 		return
 	}
 	m, ok := v.(map[any]any)
 	if !ok {
-		r.fail(token.Malformed, "catr: no map")
+		r.reject(token.Malformed, "catr: no map")
 		return
 	}
 	number := func(n int64) int64 { i, _ := m[n].(int64); return i }
-	kind, lasts := number(renewType), number(renewAdd)
-	if lasts <= 0 || lasts > 1<<31 {
-		r.fail(token.BadClaim, "catr: expadd missing")
+	renewalType, validity := number(renewType), number(renewAdd)
+	if validity <= 0 || validity > 1<<31 {
+		r.reject(token.BadClaim, "catr: expadd missing")
 		return
 	}
-	g.Renewal = token.Renewal{Seconds: int(lasts), Before: float64(max(0, number(renewBefore)))}
-	other := func(n int64, usual string) bool { s, ok := m[n].(string); return ok && !strings.EqualFold(s, usual) }
+	g.Renewal = token.Renewal{Seconds: int(validity), Before: float64(max(0, number(renewBefore)))}
+	differs := func(n int64, usual string) bool { s, ok := m[n].(string); return ok && !strings.EqualFold(s, usual) }
 	switch {
-	case kind <= 1 && !other(renewCookie, Param):
+	case renewalType <= 1 && !differs(renewCookie, Param):
 		g.Renewal.Cookie = true
-	case kind == 2 && !other(renewHeader, Header):
+	case renewalType == 2 && !differs(renewHeader, Header):
 		g.Renewal.Header = true
 	}
 }
--- a/token/cat/cat_test.go
+++ b/token/cat/cat_test.go
@@ -10,7 +10,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-func key(t testing.TB) (*token.Ready, token.Keys) {
+func testKey(t testing.TB) (*token.Ready, token.Keys) {
 	k := token.Key{ID: "k", Kind: token.CAT, Alg: "HS256", Secret: base64.StdEncoding.EncodeToString([]byte(strings.Repeat("s", 32))), Issuer: "dala"}
 	m, err := (Dialect{}).Ready(k)
 	if err != nil {
@@ -33,8 +33,8 @@
 
 // Each claim, what it allows and what it refuses.
 func TestClaims(t *testing.T) {
-	k, keys := key(t)
-	base := func(more m) m {
+	k, keys := testKey(t)
+	withClaims := func(more m) m {
 		c := m{claimExp: int64(2000), claimIss: "dala"}
 		for n, v := range more {
 			c[n] = v
@@ -45,49 +45,49 @@
 		claims m
 		want   token.Why
 	}{
-		"plain":                 {base(nil), ""},
+		"plain":                 {withClaims(nil), ""},
 		"no end":                {m{claimIss: "dala"}, token.BadClaim},
-		"end as a text":         {base(m{claimExp: "soon"}), token.Malformed},
-		"expired":               {base(m{claimExp: int64(1499)}), token.Expired},
-		"end as a float":        {base(m{claimExp: 1500.5}), ""},
-		"not yet":               {base(m{claimNbf: int64(1501)}), token.TooEarly},
-		"issued later":          {base(m{claimIat: int64(1501)}), token.TooEarly},
-		"another issuer":        {base(m{claimIss: "x"}), token.BadClaim},
-		"an audience":           {base(m{claimAud: []any{"x"}}), token.BadClaim},
-		"version 1":             {base(m{claimV: int64(1)}), ""},
-		"version 2":             {base(m{claimV: int64(2)}), token.BadClaim},
-		"unknown CAT claim":     {base(m{316: "KZ"}), token.BadClaim},
-		"unknown other claim":   {base(m{70000: "x"}), ""},
-		"empty id":              {base(m{claimCti: []byte{}}), token.Malformed},
-		"method":                {base(m{claimM: []any{"GET"}}), ""},
-		"another method":        {base(m{claimM: []any{"POST"}}), token.WrongMethod},
-		"no method":             {base(m{claimM: []any{}}), token.BadClaim},
-		"address":               {base(m{claimNip: []any{cbor.Tag{Number: tagIPv4, Content: []byte{192, 0, 2, 7}}}}), ""},
-		"another address":       {base(m{claimNip: []any{cbor.Tag{Number: tagIPv4, Content: []byte{192, 0, 2, 8}}}}), token.WrongAddress},
-		"prefix":                {base(m{claimNip: []any{cbor.Tag{Number: tagIPv4, Content: []any{int64(24), []byte{192, 0, 2}}}}}), ""},
-		"prefix of IPv6":        {base(m{claimNip: []any{cbor.Tag{Number: tagIPv6, Content: []any{int64(32), []byte{0x20, 1, 0xd, 0xb8}}}}}), token.WrongAddress},
-		"prefix too long":       {base(m{claimNip: []any{cbor.Tag{Number: tagIPv4, Content: []any{int64(33), []byte{192, 0, 2}}}}}), token.BadClaim},
-		"autonomous system":     {base(m{claimNip: []any{int64(64500)}}), token.BadClaim},
-		"header":                {base(m{claimH: map[string]any{"X-App": m{matchPrefix: "rider/"}}}), ""},
-		"another header":        {base(m{claimH: map[string]any{"X-App": m{matchExact: "rider/1"}}}), token.WrongURI},
-		"path prefix":           {base(m{claimU: m{partPath: m{matchPrefix: "/v1/firmware/"}}}), ""},
-		"another path":          {base(m{claimU: m{partPath: m{matchPrefix: "/v1/tiles/"}}}), token.WrongURI},
-		"host, port and scheme": {base(m{claimU: m{partHost: m{matchExact: "cdn.example"}, 2: m{matchExact: "8443"}, partScheme: m{matchExact: "https"}}}), ""},
-		"another port":          {base(m{claimU: m{partHost: m{matchExact: "cdn.example"}, 2: m{matchExact: "443"}}}), token.WrongURI},
-		"query":                 {base(m{claimU: m{partQuery: m{matchExact: "kb=5"}}}), ""},
-		"another query":         {base(m{claimU: m{partQuery: m{matchExact: "kb=6"}}}), token.WrongURI},
-		"parent and file":       {base(m{claimU: m{5: m{2: "d655/"}, 6: m{matchExact: "3"}, 7: m{matchExact: "3"}, 8: m{matchExact: ""}}}), ""},
-		"contains":              {base(m{claimU: m{partPath: m{3: "9c21"}}}), ""},
-		"expression":            {base(m{claimU: m{partPath: m{matchRegex: []any{"/v1/[a-z]+/[0-9a-f]{16}/[0-9]+"}}}}), ""},
-		"expression of a part":  {base(m{claimU: m{partPath: m{matchRegex: []any{"/v1/"}}}}), token.WrongURI},
-		"expression with group": {base(m{claimU: m{partPath: m{matchRegex: []any{"(.*)", "x"}}}}), token.BadClaim},
-		"expression, empty":     {base(m{claimU: m{partPath: m{matchRegex: []any{}}}}), token.BadClaim},
-		"expression, unread":    {base(m{claimU: m{partPath: m{matchRegex: []any{"("}}}}), token.Malformed},
-		"unknown part":          {base(m{claimU: m{9: m{matchExact: ""}}}), token.BadClaim},
-		"unknown match":         {base(m{claimU: m{partPath: m{7: ""}}}), token.BadClaim},
-		"match without a form":  {base(m{claimU: m{partPath: m{}}}), token.Malformed},
-		"replay unknown":        {base(m{claimReplay: int64(3)}), token.BadClaim},
-		"renewal without time":  {base(m{claimR: m{renewType: int64(1)}}), token.BadClaim},
+		"end as a text":         {withClaims(m{claimExp: "soon"}), token.Malformed},
+		"expired":               {withClaims(m{claimExp: int64(1499)}), token.Expired},
+		"end as a float":        {withClaims(m{claimExp: 1500.5}), ""},
+		"not yet":               {withClaims(m{claimNbf: int64(1501)}), token.TooEarly},
+		"issued later":          {withClaims(m{claimIat: int64(1501)}), token.TooEarly},
+		"another issuer":        {withClaims(m{claimIss: "x"}), token.BadClaim},
+		"an audience":           {withClaims(m{claimAud: []any{"x"}}), token.BadClaim},
+		"version 1":             {withClaims(m{claimVersion: int64(1)}), ""},
+		"version 2":             {withClaims(m{claimVersion: int64(2)}), token.BadClaim},
+		"unknown CAT claim":     {withClaims(m{316: "KZ"}), token.BadClaim},
+		"unknown other claim":   {withClaims(m{70000: "x"}), ""},
+		"empty id":              {withClaims(m{claimCti: []byte{}}), token.Malformed},
+		"method":                {withClaims(m{claimMethods: []any{"GET"}}), ""},
+		"another method":        {withClaims(m{claimMethods: []any{"POST"}}), token.WrongMethod},
+		"no method":             {withClaims(m{claimMethods: []any{}}), token.BadClaim},
+		"address":               {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []byte{192, 0, 2, 7}}}}), ""},
+		"another address":       {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []byte{192, 0, 2, 8}}}}), token.WrongAddress},
+		"prefix":                {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []any{int64(24), []byte{192, 0, 2}}}}}), ""},
+		"prefix of IPv6":        {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv6, Content: []any{int64(32), []byte{0x20, 1, 0xd, 0xb8}}}}}), token.WrongAddress},
+		"prefix too long":       {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []any{int64(33), []byte{192, 0, 2}}}}}), token.BadClaim},
+		"autonomous system":     {withClaims(m{claimNetworkIP: []any{int64(64500)}}), token.BadClaim},
+		"header":                {withClaims(m{claimHeaders: map[string]any{"X-App": m{matchPrefix: "rider/"}}}), ""},
+		"another header":        {withClaims(m{claimHeaders: map[string]any{"X-App": m{matchExact: "rider/1"}}}), token.WrongURI},
+		"path prefix":           {withClaims(m{claimURI: m{partPath: m{matchPrefix: "/v1/firmware/"}}}), ""},
+		"another path":          {withClaims(m{claimURI: m{partPath: m{matchPrefix: "/v1/tiles/"}}}), token.WrongURI},
+		"host, port and scheme": {withClaims(m{claimURI: m{partHost: m{matchExact: "cdn.example"}, 2: m{matchExact: "8443"}, partScheme: m{matchExact: "https"}}}), ""},
+		"another port":          {withClaims(m{claimURI: m{partHost: m{matchExact: "cdn.example"}, 2: m{matchExact: "443"}}}), token.WrongURI},
+		"query":                 {withClaims(m{claimURI: m{partQuery: m{matchExact: "kb=5"}}}), ""},
+		"another query":         {withClaims(m{claimURI: m{partQuery: m{matchExact: "kb=6"}}}), token.WrongURI},
+		"parent and file":       {withClaims(m{claimURI: m{5: m{2: "d655/"}, 6: m{matchExact: "3"}, 7: m{matchExact: "3"}, 8: m{matchExact: ""}}}), ""},
+		"contains":              {withClaims(m{claimURI: m{partPath: m{3: "9c21"}}}), ""},
+		"expression":            {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"/v1/[a-z]+/[0-9a-f]{16}/[0-9]+"}}}}), ""},
+		"expression of a part":  {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"/v1/"}}}}), token.WrongURI},
+		"expression with group": {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"(.*)", "x"}}}}), token.BadClaim},
+		"expression, empty":     {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{}}}}), token.BadClaim},
+		"expression, unread":    {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"("}}}}), token.Malformed},
+		"unknown part":          {withClaims(m{claimURI: m{9: m{matchExact: ""}}}), token.BadClaim},
+		"unknown match":         {withClaims(m{claimURI: m{partPath: m{7: ""}}}), token.BadClaim},
+		"match without a form":  {withClaims(m{claimURI: m{partPath: m{}}}), token.Malformed},
+		"replay unknown":        {withClaims(m{claimReplay: int64(3)}), token.BadClaim},
+		"renewal without time":  {withClaims(m{claimRenewal: m{renewType: int64(1)}}), token.BadClaim},
 	} {
 		text, err := sign(k, x.claims)
 		if err != nil {
@@ -105,8 +105,8 @@
 
 // A renewed token goes on from now, by the way that the first one names, and not before it may.
 func TestRenewal(t *testing.T) {
-	k, keys := key(t)
-	text, err := sign(k, m{claimExp: int64(2000), claimIss: "dala", claimCti: []byte("c"), claimR: m{renewType: int64(2), renewAdd: int64(60), renewBefore: int64(100)}})
+	k, keys := testKey(t)
+	text, err := sign(k, m{claimExp: int64(2000), claimIss: "dala", claimCti: []byte("c"), claimRenewal: m{renewType: int64(2), renewAdd: int64(60), renewBefore: int64(100)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,20 +125,20 @@
 
 // Whatever comes as a token is refused without a fault, unless it is the one that was signed.
 func FuzzOpen(f *testing.F) {
-	k, keys := key(f)
-	good, err := sign(k, m{claimExp: int64(2000), claimIss: "dala", claimU: m{partPath: m{matchPrefix: "/v1/"}}})
+	k, keys := testKey(f)
+	good, err := sign(k, m{claimExp: int64(2000), claimIss: "dala", claimURI: m{partPath: m{matchPrefix: "/v1/"}}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	raw, _ := text64.DecodeString(good)
+	raw, _ := base64URL.DecodeString(good)
 	f.Add(raw)
 	f.Add([]byte{0xd8, 0x3d, 0xd1, 0x84, 0x40, 0xa0, 0x40, 0x40})
 	f.Add([]byte{0xd1, 0x84, 0x43, 0xa1, 0x01, 0x05, 0xa1, 0x04, 0x41, 'k', 0x41, 0xa0, 0x41, 0x00})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		text := text64.EncodeToString(b)
+		text := base64URL.EncodeToString(b)
 		if _, err := (Dialect{}).Open(request(), token.Carried{Text: text}, keys); err == nil {
-			_, got, _ := open(text)
-			_, want, _ := open(good)
+			_, got, _ := decode(text)
+			_, want, _ := decode(good)
 			if string(got.Payload) != string(want.Payload) {
 				t.Errorf("a forged token passed: %x", b)
 			}
@@ -148,17 +148,17 @@
 
 // FuzzClaims has signed claims of any form read without a fault.
 func FuzzClaims(f *testing.F) {
-	k, keys := key(f)
+	k, keys := testKey(f)
 	f.Add([]byte{0xa1, 0x04, 0x19, 0x07, 0xd0})
 	f.Add([]byte{0xa2, 0x04, 0x19, 0x07, 0xd0, 0x19, 0x01, 0x38, 0xa1, 0x03, 0xa1, 0x04, 0x80})
 	f.Fuzz(func(t *testing.T, payload []byte) {
-		msg := message{Protected: []byte{0xa1, 0x01, 0x05}, Unprotected: map[int64]any{headKey: []byte("k")}, Payload: payload}
+		msg := message{Protected: []byte{0xa1, 0x01, 0x05}, Unprotected: map[int64]any{headerKeyID: []byte("k")}, Payload: payload}
 		msg.Sum = mac(k.Shared, &msg)
-		raw, err := encoding.Marshal(cbor.Tag{Number: tagMac0, Content: msg})
+		raw, err := encMode.Marshal(cbor.Tag{Number: tagMac0, Content: msg})
 		if err != nil {
 			t.Fatal(err)
 		}
-		g, err := (Dialect{}).Open(request(), token.Carried{Text: text64.EncodeToString(raw)}, keys)
+		g, err := (Dialect{}).Open(request(), token.Carried{Text: base64URL.EncodeToString(raw)}, keys)
 		if err == nil {
 			g.Check(request(), 1500, 0)
 		}
--- a/token/cloudcdn/cloudcdn.go
+++ b/token/cloudcdn/cloudcdn.go
@@ -25,8 +25,8 @@
 var params = []string{ParamPrefix, ParamExpires, ParamKey, ParamSignature}
 
 const (
-	secretSize = 16
-	cookieMost = 4 << 10
+	secretBytes    = 16
+	maxCookieBytes = 4 << 10
 )
 
 // Dialect implements token.Dialect.
@@ -41,8 +41,8 @@
 	switch {
 	case err != nil:
 		return token.Material{}, fmt.Errorf("secret: no base64url")
-	case len(secret) != secretSize:
-		return token.Material{}, fmt.Errorf("secret: %d bytes, not %d", len(secret), secretSize)
+	case len(secret) != secretBytes:
+		return token.Material{}, fmt.Errorf("secret: %d bytes, not %d", len(secret), secretBytes)
 	case k.Alg != "":
 		return token.Material{}, fmt.Errorf("alg: %q does not go with kind cloudcdn", k.Alg)
 	case !token.Canonical("/" + k.ID):
@@ -68,24 +68,24 @@
 
 // fields are what is signed, as it was sent: the text up to the signature, and its parts.
 type fields struct {
-	signed, prefix, expires, key, sum string
+	signed, prefix, expires, keyName, signature string
 }
 
 // read takes NAME=VALUE fields joined by sep, in the order of the specification; a prefix may be left out.
-func read(text, sep string) (f fields, err error) {
+func parseFields(text, sep string) (f fields, err error) {
 	bad := token.Reject(token.Malformed, "fields are missing or out of order")
-	f.signed, f.sum, _ = strings.Cut(text, sep+ParamSignature+"=")
+	f.signed, f.signature, _ = strings.Cut(text, sep+ParamSignature+"=")
 	parts := strings.Split(f.signed, sep)
 	if prefix, ok := strings.CutPrefix(parts[0], ParamPrefix+"="); ok {
 		f.prefix, parts = prefix, parts[1:]
 	}
-	if len(parts) != 2 || f.sum == "" {
+	if len(parts) != 2 || f.signature == "" {
 		return f, bad
 	}
 	var ok1, ok2 bool
 	f.expires, ok1 = strings.CutPrefix(parts[0], ParamExpires+"=")
-	f.key, ok2 = strings.CutPrefix(parts[1], ParamKey+"=")
-	if !ok1 || !ok2 || strings.Contains(f.sum, sep) {
+	f.keyName, ok2 = strings.CutPrefix(parts[1], ParamKey+"=")
+	if !ok1 || !ok2 || strings.Contains(f.signature, sep) {
 		return f, bad
 	}
 	return f, nil
@@ -94,22 +94,22 @@
 // Open authenticates a signed URL, a signed prefix or a signed cookie.
 func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
 	var f fields
-	whole := "" // what of the URI stands before the fields, where that is signed too
+	uriBeforeFields := "" // what of the URI stands before the fields, where that is signed too
 	if c.From == token.InCookie {
-		if len(c.Text) > cookieMost {
+		if len(c.Text) > maxCookieBytes {
 			return g, token.Reject(token.Malformed, "the cookie is too long")
 		}
-		f, err = read(c.Text, ":")
+		f, err = parseFields(c.Text, ":")
 	} else {
 		// The fields end the query: what comes behind them is not signed.
-		rest, at := q.RawQuery, len(q.RawQuery)
+		rawQuery, fieldsStart := q.RawQuery, len(q.RawQuery)
 		for _, name := range []string{ParamExpires, ParamPrefix} {
-			if i := strings.Index("&"+rest, "&"+name+"="); i >= 0 {
-				at = min(at, i)
+			if i := strings.Index("&"+rawQuery, "&"+name+"="); i >= 0 {
+				fieldsStart = min(fieldsStart, i)
 			}
 		}
-		f, err = read(rest[at:], "&")
-		whole = q.Scheme + "://" + strings.ToLower(q.Host) + q.Path + "?" + rest[:at]
+		f, err = parseFields(rawQuery[fieldsStart:], "&")
+		uriBeforeFields = q.Scheme + "://" + strings.ToLower(q.Host) + q.Path + "?" + rawQuery[:fieldsStart]
 	}
 	if err != nil {
 		return g, err
@@ -117,29 +117,29 @@
 	if f.prefix == "" && c.From == token.InCookie {
 		return g, token.Reject(token.Malformed, "URLPrefix: missing")
 	}
-	at, ok := token.Number(f.expires, 40)
+	expires, ok := token.Number(f.expires, 40)
 	if !ok {
 		return g, token.Reject(token.Malformed, "Expires: no date")
 	}
-	key, err := keys.Find(f.key)
+	key, err := keys.Find(f.keyName)
 	if err != nil {
 		return g, err
 	}
 	signed := f.signed
 	if f.prefix == "" {
-		signed = whole + signed
+		signed = uriBeforeFields + signed
 	}
-	if !token.Same(f.sum, mac(key.Shared, signed)) {
+	if !token.Same(f.signature, mac(key.Shared, signed)) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
-	g = token.Grant{Key: key.ID, ID: token.IDOf(signed), Until: float64(at)}
+	g = token.Grant{Key: key.ID, ID: token.IDOf(signed), Until: float64(expires)}
 	if f.prefix == "" { // the signature covers the URI with its query
 		g.Query = true
 		g.URIs, err = token.Compile(token.Pattern{Form: token.Exact, Text: q.URI(params...), Less: params})
 		return g, err
 	}
 	prefix, err := base64.URLEncoding.Strict().DecodeString(f.prefix)
-	if err != nil || !usable(string(prefix)) {
+	if err != nil || !validPrefix(string(prefix)) {
 		return g, token.Reject(token.Malformed, "URLPrefix: no prefix with scheme and host")
 	}
 	g.URIs, err = token.Compile(token.Pattern{Form: token.Prefix, Text: string(prefix)})
@@ -147,7 +147,7 @@
 }
 
 // usable tells whether a prefix can be signed: a scheme and a whole host, no query and no fragment.
-func usable(prefix string) bool {
+func validPrefix(prefix string) bool {
 	u, err := url.Parse(prefix)
 	return err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != "" && strings.HasPrefix(u.Path, "/") &&
 		!strings.ContainsAny(prefix, "?#")
@@ -162,20 +162,20 @@
 	if err != nil {
 		return out, err
 	}
-	ends := ParamExpires + "=" + strconv.FormatInt(int64(t.Until), 10)
-	name := ParamKey + "=" + k.ID
+	expires := ParamExpires + "=" + strconv.FormatInt(int64(t.Until), 10)
+	keyName := ParamKey + "=" + k.ID
 	if t.Cover == "" {
-		signed := token.Join(u, ends+"&"+name)
+		signed := token.Join(u, expires+"&"+keyName)
 		return token.Issued{ID: token.IDOf(signed), URL: signed + "&" + ParamSignature + "=" + mac(k.Shared, signed)}, nil
 	}
-	if !usable(t.Cover) {
+	if !validPrefix(t.Cover) {
 		return out, fmt.Errorf("cover: a prefix with scheme and host, without query")
 	}
 	prefix := ParamPrefix + "=" + base64.URLEncoding.EncodeToString([]byte(t.Cover))
 	if t.URI == "" {
-		signed := prefix + ":" + ends + ":" + name
+		signed := prefix + ":" + expires + ":" + keyName
 		return token.Issued{ID: token.IDOf(signed), Token: signed + ":" + ParamSignature + "=" + mac(k.Shared, signed)}, nil
 	}
-	signed := prefix + "&" + ends + "&" + name
+	signed := prefix + "&" + expires + "&" + keyName
 	return token.Issued{ID: token.IDOf(signed), URL: token.Join(u, signed+"&"+ParamSignature+"="+mac(k.Shared, signed))}, nil
 }
--- a/token/cloudfront/cloudfront.go
+++ b/token/cloudfront/cloudfront.go
@@ -32,7 +32,7 @@
 
 var params = []string{ParamExpires, ParamPolicy, ParamSignature, ParamKey}
 
-const policyMost = 4 << 10
+const maxPolicyBytes = 4 << 10
 
 // Algorithms, as a key's alg names them. The published one is RSA with SHA-1.
 const (
@@ -78,61 +78,61 @@
 }
 
 type condition struct {
-	DateLessThan    *epoch  `json:",omitempty"`
-	DateGreaterThan *epoch  `json:",omitempty"`
-	IPAddress       *source `json:"IpAddress,omitempty"`
+	DateLessThan    *epochTime `json:",omitempty"`
+	DateGreaterThan *epochTime `json:",omitempty"`
+	IPAddress       *sourceIP  `json:"IpAddress,omitempty"`
 }
 
-type epoch struct {
+type epochTime struct {
 	Time int64 `json:"AWS:EpochTime"`
 }
 
-type source struct {
+type sourceIP struct {
 	IP string `json:"AWS:SourceIp"`
 }
 
 // encoding is base64 with the three characters replaced that a URL can't carry; one text has one spelling.
-var encoding = base64.NewEncoding("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-~").WithPadding('_').Strict()
+var urlEncoding = base64.NewEncoding("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-~").WithPadding('_').Strict()
 
 // canned is the policy that a URL without one stands for: byte for byte as published.
-func canned(resource, expires string) string {
+func cannedPolicy(resource, expires string) string {
 	return `{"Statement":[{"Resource":"` + resource + `","Condition":{"DateLessThan":{"AWS:EpochTime":` + expires + `}}}]}`
 }
 
 // Open authenticates a signed URL or signed cookies.
 func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
-	get := q.Query.Get
+	getField := q.Query.Get
 	if c.From == token.InCookie {
-		get = func(name string) string { return q.CookieOf(CookiePrefix + name) }
+		getField = func(name string) string { return q.CookieOf(CookiePrefix + name) }
 	}
-	expires, text := get(ParamExpires), get(ParamPolicy)
-	if (expires == "") == (text == "") || len(text) > policyMost {
+	expires, policyText := getField(ParamExpires), getField(ParamPolicy)
+	if (expires == "") == (policyText == "") || len(policyText) > maxPolicyBytes {
 		return g, token.Reject(token.Malformed, "either Expires or Policy, and not too long")
 	}
 	signed := []byte(nil)
 	uri := q.URI(c.Params...)
-	if text != "" {
-		if signed, err = encoding.DecodeString(text); err != nil {
+	if policyText != "" {
+		if signed, err = urlEncoding.DecodeString(policyText); err != nil {
 			return g, token.Reject(token.Malformed, "Policy: can't be read")
 		}
 	} else {
 		if _, ok := token.Number(expires, 40); !ok || strings.ContainsAny(uri, `"\`) {
 			return g, token.Reject(token.Malformed, "Expires: no date")
 		}
-		signed = []byte(canned(uri, expires))
+		signed = []byte(cannedPolicy(uri, expires))
 	}
 	key, err := keys.Find(c.Text)
 	if err != nil {
 		return g, err
 	}
-	sig, err := encoding.DecodeString(get(ParamSignature))
+	sig, err := urlEncoding.DecodeString(getField(ParamSignature))
 	if err != nil {
 		return g, token.Reject(token.Malformed, "Signature: can't be read")
 	}
 	if !verify(key, signed, sig) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
-	return grant(key.ID, signed, c.Params, text == "")
+	return policyGrant(key.ID, signed, c.Params, policyText == "")
 }
 
 func digest(alg string, text []byte) (crypto.Hash, []byte) {
@@ -156,9 +156,9 @@
 }
 
 // grant words an authentic policy. What of it is unknown is refused, as it might limit the grant.
-func grant(key string, text []byte, params []string, one bool) (g token.Grant, err error) {
+func policyGrant(key string, document []byte, params []string, isCanned bool) (g token.Grant, err error) {
 	var p policy
-	d := json.NewDecoder(bytes.NewReader(text))
+	d := json.NewDecoder(bytes.NewReader(document))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&p); err != nil || len(p.Statement) != 1 {
 		return g, token.Reject(token.Malformed, "the policy can't be read, or has not one statement")
@@ -170,12 +170,12 @@
 	if s.Condition.DateLessThan == nil {
 		return g, token.Reject(token.BadClaim, "DateLessThan: missing")
 	}
-	g = token.Grant{Key: key, ID: token.IDOf(string(text)), Until: float64(s.Condition.DateLessThan.Time)}
+	g = token.Grant{Key: key, ID: token.IDOf(string(document)), Until: float64(s.Condition.DateLessThan.Time)}
 	if s.Condition.DateGreaterThan != nil {
 		g.From = float64(s.Condition.DateGreaterThan.Time)
 	}
-	if from := s.Condition.IPAddress; from != nil && from.IP != "0.0.0.0/0" {
-		net, err := token.Net(from.IP)
+	if address := s.Condition.IPAddress; address != nil && address.IP != "0.0.0.0/0" {
+		net, err := token.Net(address.IP)
 		if err != nil {
 			return g, err
 		}
@@ -185,10 +185,10 @@
 	if s.Resource == "" { // every URI
 		resource.Text = "*"
 	}
-	if one { // a URL without a policy names one URI, also where that holds a star
+	if isCanned { // a URL without a policy names one URI, also where that holds a star
 		resource.Form = token.Exact
 	}
-	g.Query = one || !strings.ContainsAny(resource.Text, "*?")
+	g.Query = isCanned || !strings.ContainsAny(resource.Text, "*?")
 	g.URIs, err = token.Compile(resource)
 	return g, err
 }
@@ -204,17 +204,17 @@
 	if strings.ContainsAny(uri, `"\`) {
 		return out, fmt.Errorf("uri: can't stand in a policy")
 	}
-	signed, first := canned(uri, expires), token.Pair{Name: ParamExpires, Value: expires}
+	signed, policyParam := cannedPolicy(uri, expires), token.Pair{Name: ParamExpires, Value: expires}
 	if t.Cover != "" || t.From > 0 || t.Address != "" {
-		s := statement{Resource: t.Cover, Condition: condition{DateLessThan: &epoch{int64(t.Until)}}}
+		s := statement{Resource: t.Cover, Condition: condition{DateLessThan: &epochTime{int64(t.Until)}}}
 		if s.Resource == "" {
 			s.Resource = uri
 		}
 		if t.From > 0 {
-			s.Condition.DateGreaterThan = &epoch{int64(t.From)}
+			s.Condition.DateGreaterThan = &epochTime{int64(t.From)}
 		}
 		if t.Address != "" {
-			s.Condition.IPAddress = &source{t.Address}
+			s.Condition.IPAddress = &sourceIP{t.Address}
 		}
 		var b bytes.Buffer
 		e := json.NewEncoder(&b)
@@ -223,14 +223,14 @@
 			return out, fmt.Errorf("cover: %w", err)
 		}
 		signed = strings.TrimSuffix(b.String(), "\n")
-		first = token.Pair{Name: ParamPolicy, Value: encoding.EncodeToString([]byte(signed))}
+		policyParam = token.Pair{Name: ParamPolicy, Value: urlEncoding.EncodeToString([]byte(signed))}
 	}
 	hash, sum := digest(k.Alg, []byte(signed))
 	sig, err := k.Signer.Sign(rand.Reader, sum, hash)
 	if err != nil {
 		return out, fmt.Errorf("token: %w", err)
 	}
-	parts := token.Query{first, {Name: ParamSignature, Value: encoding.EncodeToString(sig)}, {Name: ParamKey, Value: k.ID}}
+	parts := token.Query{policyParam, {Name: ParamSignature, Value: urlEncoding.EncodeToString(sig)}, {Name: ParamKey, Value: k.ID}}
 	out.ID = token.IDOf(signed)
 	for i, p := range parts {
 		if i > 0 {
--- a/token/edgeauth/edgeauth.go
+++ b/token/edgeauth/edgeauth.go
@@ -19,9 +19,9 @@
 const DefaultParam = "__token__"
 
 const (
-	textMost    = 4 << 10
-	aclsMost    = 16
-	leastSecret = 16 // bytes, as the specification's own examples have
+	maxTokenBytes  = 4 << 10
+	maxACLs        = 16
+	minSecretBytes = 16 // bytes, as the specification's own examples have
 )
 
 // Dialect implements token.Dialect.
@@ -36,11 +36,11 @@
 	switch {
 	case err != nil:
 		return token.Material{}, fmt.Errorf("secret: no hexadecimal digits")
-	case len(secret) < leastSecret:
-		return token.Material{}, fmt.Errorf("secret: %d bytes, %d at least", len(secret), leastSecret)
+	case len(secret) < minSecretBytes:
+		return token.Material{}, fmt.Errorf("secret: %d bytes, %d at least", len(secret), minSecretBytes)
 	case k.Alg != "" && k.Alg != "HS256":
 		return token.Material{}, fmt.Errorf("alg: %q does not go with kind edgeauth", k.Alg)
-	case !token.Canonical("/" + param(k)):
+	case !token.Canonical("/" + paramName(k)):
 		return token.Material{}, fmt.Errorf("param: %q can't name a parameter, a header and a cookie", k.Param)
 	case strings.ContainsAny(k.Salt, "~"):
 		return token.Material{}, fmt.Errorf("salt: no ~ in it")
@@ -48,7 +48,7 @@
 	return token.Material{Shared: secret, Signs: true}, nil
 }
 
-func param(k token.Key) string {
+func paramName(k token.Key) string {
 	if k.Param == "" {
 		return DefaultParam
 	}
@@ -57,12 +57,12 @@
 
 // Find looks for the names that the keys give, the usual one first: each in the query, the headers, the cookies.
 func (Dialect) Find(q *token.Request, keys []*token.Ready) (token.Carried, bool) {
-	if c, ok := under(q, DefaultParam); ok {
+	if c, ok := findNamed(q, DefaultParam); ok {
 		return c, true
 	}
 	for _, k := range keys {
-		if p := param(k.Key); p != DefaultParam {
-			if c, ok := under(q, p); ok {
+		if p := paramName(k.Key); p != DefaultParam {
+			if c, ok := findNamed(q, p); ok {
 				return c, true
 			}
 		}
@@ -71,7 +71,7 @@
 }
 
 // under gives the token that stands under a name.
-func under(q *token.Request, name string) (token.Carried, bool) {
+func findNamed(q *token.Request, name string) (token.Carried, bool) {
 	c := token.Carried{Text: q.Query.Get(name), Name: name}
 	if c.Text == "" {
 		c.Text, c.From = q.HeaderOf(name), token.InHeader
@@ -88,41 +88,41 @@
 
 // Fields of a token, in the order of the specification; each stands at most once.
 const (
-	ip = iota
-	st
-	exp
-	acl
-	id
-	data
+	fieldIP = iota
+	fieldStart
+	fieldExpiry
+	fieldACL
+	fieldID
+	fieldData
 )
 
-var names = [...]string{"ip", "st", "exp", "acl", "id", "data"}
+var fieldNames = [...]string{"ip", "st", "exp", "acl", "id", "data"}
 
-type fields [len(names)]string
+type fields [len(fieldNames)]string
 
 // read takes a token apart. A field unknown, twice there or out of order is malformed: what is signed is one text.
-func read(text string) (f fields, signed, sum string, err error) {
-	signed, sum, ok := strings.Cut(text, "~hmac=")
-	if !ok || len(text) > textMost {
+func parseToken(text string) (f fields, signed, mac string, err error) {
+	signed, mac, ok := strings.Cut(text, "~hmac=")
+	if !ok || len(text) > maxTokenBytes {
 		return f, "", "", token.Reject(token.Malformed, "no token with an hmac")
 	}
-	at := 0
+	next := 0
 	for item := range strings.SplitSeq(signed, "~") {
 		name, value, ok := strings.Cut(item, "=")
-		for at < len(names) && names[at] != name {
-			at++
+		for next < len(fieldNames) && fieldNames[next] != name {
+			next++
 		}
-		if !ok || at == len(names) || value == "" {
+		if !ok || next == len(fieldNames) || value == "" {
 			return f, "", "", token.Reject(token.Malformed, "a field that is unknown, empty, twice there or out of order")
 		}
-		f[at] = value
-		at++
+		f[next] = value
+		next++
 	}
-	return f, signed, sum, nil
+	return f, signed, mac, nil
 }
 
 // sum signs the fields with what is not in the token: the path, where the token has no acl, and the salt.
-func sum(k *token.Ready, signed, path string) string {
+func computeMAC(k *token.Ready, signed, path string) string {
 	if path != "" {
 		signed += "~url=" + path
 	}
@@ -136,39 +136,39 @@
 
 // Open authenticates a token. It names no key, so each key in force whose parameter it came under is tried.
 func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
-	f, signed, mac, err := read(c.Text)
+	f, signed, mac, err := parseToken(c.Text)
 	if err != nil {
 		return g, err
 	}
 	path := ""
-	if f[acl] == "" {
+	if f[fieldACL] == "" {
 		path = q.Path
 	}
-	why := token.Reject(token.BadKey, "no key for this parameter")
+	rejection := token.Reject(token.BadKey, "no key for this parameter")
 	for _, k := range keys.InForce() {
-		if param(k.Key) != c.Params[0] {
+		if paramName(k.Key) != c.Params[0] {
 			continue
 		}
-		if token.Same(mac, sum(k, signed, path)) {
+		if token.Same(mac, computeMAC(k, signed, path)) {
 			return f.grant(k.ID, signed, path)
 		}
-		why = token.Reject(token.BadSignature, "the signature is wrong")
+		rejection = token.Reject(token.BadSignature, "the signature is wrong")
 	}
-	return g, why
+	return g, rejection
 }
 
 func (f *fields) grant(key, signed, path string) (g token.Grant, err error) {
-	g = token.Grant{Key: key, ID: token.IDOf(signed + "~" + path), Subject: f[id]}
-	if g.Until, err = date(f[exp]); err != nil {
+	g = token.Grant{Key: key, ID: token.IDOf(signed + "~" + path), Subject: f[fieldID]}
+	if g.Until, err = parseDate(f[fieldExpiry]); err != nil {
 		return g, err
 	}
-	if f[st] != "" {
-		if g.From, err = date(f[st]); err != nil {
+	if f[fieldStart] != "" {
+		if g.From, err = parseDate(f[fieldStart]); err != nil {
 			return g, err
 		}
 	}
-	if f[ip] != "" {
-		addr, err := netip.ParseAddr(f[ip])
+	if f[fieldIP] != "" {
+		addr, err := netip.ParseAddr(f[fieldIP])
 		if err != nil {
 			return g, token.Reject(token.Malformed, "ip: no address")
 		}
@@ -178,8 +178,8 @@
 		g.URIs = []token.Pattern{{Form: token.Exact, Text: path, On: token.OnPath}}
 		return g, nil
 	}
-	acls := strings.Split(f[acl], "!")
-	if len(acls) > aclsMost {
+	acls := strings.Split(f[fieldACL], "!")
+	if len(acls) > maxACLs {
 		return g, token.Reject(token.Malformed, "acl: too many")
 	}
 	for _, a := range acls {
@@ -189,7 +189,7 @@
 	return g, err
 }
 
-func date(text string) (float64, error) {
+func parseDate(text string) (float64, error) {
 	n, ok := token.Number(text, 40)
 	if !ok || n == 0 {
 		return 0, token.Reject(token.Malformed, "a date that is no number")
@@ -203,15 +203,15 @@
 	if err != nil {
 		return out, fmt.Errorf("uri: can't be read")
 	}
-	f := fields{ip: t.Address, exp: strconv.FormatUint(uint64(t.Until), 10), acl: t.Cover, data: t.Data}
+	f := fields{fieldIP: t.Address, fieldExpiry: strconv.FormatUint(uint64(t.Until), 10), fieldACL: t.Cover, fieldData: t.Data}
 	if t.From > 0 {
-		f[st] = strconv.FormatUint(uint64(t.From), 10)
+		f[fieldStart] = strconv.FormatUint(uint64(t.From), 10)
 	}
 	if t.Single {
-		f[id] = t.ID
+		f[fieldID] = t.ID
 	}
 	var parts []string
-	for i, name := range names {
+	for i, name := range fieldNames {
 		if v := f[i]; v != "" {
 			if strings.ContainsAny(v, "~&;\"\\ ") || len(v) > 1<<10 {
 				return out, fmt.Errorf("%s: %.40q can't stand in a token", name, v)
@@ -219,18 +219,18 @@
 			parts = append(parts, name+"="+v)
 		}
 	}
-	if _, err := netip.ParseAddr(f[ip]); f[ip] != "" && err != nil {
+	if _, err := netip.ParseAddr(f[fieldIP]); f[fieldIP] != "" && err != nil {
 		return out, fmt.Errorf("address: one address, no prefix")
 	}
 	signed, path := strings.Join(parts, "~"), ""
-	if f[acl] == "" {
+	if f[fieldACL] == "" {
 		path = u.Path
 	}
-	out.Token = signed + "~hmac=" + sum(k, signed, path)
+	out.Token = signed + "~hmac=" + computeMAC(k, signed, path)
 	out.ID = token.IDOf(signed + "~" + path)
 	if t.URI == "" {
 		return out, nil
 	}
-	out.URL = token.Join(u, param(k.Key)+"="+url.QueryEscape(out.Token))
+	out.URL = token.Join(u, paramName(k.Key)+"="+url.QueryEscape(out.Token))
 	return out, nil
 }
--- a/token/grant.go
+++ b/token/grant.go
@@ -51,12 +51,12 @@
 func (g Grant) Use() string { return g.Key + "/" + g.ID }
 
 // dateMost bounds dates, in Unix seconds.
-const dateMost = 1e12
+const maxDate = 1e12
 
 // Check decides whether a grant allows a request at now, in Unix seconds, with a leeway for clocks that differ.
 func (g *Grant) Check(q *Request, now, leeway float64) error {
 	for _, v := range []float64{g.From, g.Issued, g.Until} {
-		if math.IsNaN(v) || math.Abs(v) > dateMost {
+		if math.IsNaN(v) || math.Abs(v) > maxDate {
 			return Reject(Malformed, "a date out of range")
 		}
 	}
@@ -69,39 +69,39 @@
 		return Reject(TooEarly, "not valid yet")
 	case g.Issued != 0 && now < g.Issued-leeway:
 		return Reject(TooEarly, "issued in the future")
-	case !g.covers(q):
+	case !g.coversURI(q):
 		return Reject(WrongURI, "the URI is another")
-	case !g.takes(q.Method):
+	case !g.allowsMethod(q.Method):
 		return Reject(WrongMethod, "not for this method")
-	case !g.heads(q):
+	case !g.matchesHeaders(q):
 		return Reject(WrongURI, "a header is another")
-	case !g.holds(q.Addr):
+	case !g.allowsAddress(q.Addr):
 		return Reject(WrongAddress, "not for this address")
 	}
 	return nil
 }
 
-func (g *Grant) covers(q *Request) bool {
+func (g *Grant) coversURI(q *Request) bool {
 	for i := range g.URIs {
-		if g.URIs[i].match(q) {
-			return g.all(q)
+		if g.URIs[i].matches(q) {
+			return g.matchesAll(q)
 		}
 	}
 	return false
 }
 
-func (g *Grant) all(q *Request) bool {
+func (g *Grant) matchesAll(q *Request) bool {
 	for i := range g.Also {
-		if !g.Also[i].match(q) {
+		if !g.Also[i].matches(q) {
 			return false
 		}
 	}
 	return true
 }
 
-func (g *Grant) heads(q *Request) bool {
+func (g *Grant) matchesHeaders(q *Request) bool {
 	for i := range g.Headers {
-		if h := &g.Headers[i]; !h.Pattern.fits(q.HeaderOf(h.Name)) {
+		if h := &g.Headers[i]; !h.Pattern.matchesText(q.HeaderOf(h.Name)) {
 			return false
 		}
 	}
@@ -115,7 +115,7 @@
 }
 
 // takes tells whether a method is allowed; who may GET may HEAD.
-func (g *Grant) takes(method string) bool {
+func (g *Grant) allowsMethod(method string) bool {
 	for _, m := range g.Methods {
 		if m == method || m == "GET" && method == "HEAD" {
 			return true
@@ -124,7 +124,7 @@
 	return len(g.Methods) == 0
 }
 
-func (g *Grant) holds(addr netip.Addr) bool {
+func (g *Grant) allowsAddress(addr netip.Addr) bool {
 	for _, n := range g.Nets {
 		if n.Contains(addr.Unmap()) {
 			return true
--- a/token/hmacurl/hmacurl.go
+++ b/token/hmacurl/hmacurl.go
@@ -45,7 +45,7 @@
 }
 
 // toSign is what a URL's signature covers: path, expiry, key and nonce, then all other parameters sorted by name.
-func toSign(path, expires, key, nonce string, rest token.Query) []byte {
+func signingInput(path, expires, key, nonce string, rest token.Query) []byte {
 	rest = append(token.Query(nil), rest...)
 	sort.Slice(rest, func(i, j int) bool { return rest[i].Name < rest[j].Name })
 	return []byte("turnfork-url-v1\n" + path + "\n" + expires + "\n" + key + "\n" + nonce + "\n" + rest.String())
@@ -63,7 +63,7 @@
 		return g, token.Reject(token.Malformed, "the query is not in canonical form")
 	}
 	expires, nonce := q.Query.Get(ParamExpires), q.Query.Get(ParamNonce)
-	at, ok := token.Number(expires, 40)
+	expiry, ok := token.Number(expires, 40)
 	if !ok || nonce == "" || len(nonce) > token.IDMost {
 		return g, token.Reject(token.Malformed, "the signed URL lacks a field or can't be read")
 	}
@@ -71,11 +71,11 @@
 	if err != nil {
 		return g, err
 	}
-	if !token.Same(c.Text, mac(key.Shared, toSign(q.Path, expires, key.ID, nonce, q.Query.Without(params...)))) {
+	if !token.Same(c.Text, mac(key.Shared, signingInput(q.Path, expires, key.ID, nonce, q.Query.Without(params...)))) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
 	return token.Grant{
-		Key: key.ID, ID: nonce, Until: float64(at), Query: true, URIs: []token.Pattern{{Form: token.Exact, Text: q.Path, On: token.OnPath}},
+		Key: key.ID, ID: nonce, Until: float64(expiry), Query: true, URIs: []token.Pattern{{Form: token.Exact, Text: q.Path, On: token.OnPath}},
 	}, nil
 }
 
@@ -94,9 +94,9 @@
 	case !(t.Until > 0 && t.Until < 1<<40):
 		return out, fmt.Errorf("expires: out of range")
 	}
-	when := strconv.FormatUint(uint64(t.Until), 10)
-	sum := mac(key.Shared, toSign(u.Path, when, key.ID, t.ID, rest))
-	u.RawQuery = append(rest, token.Pair{Name: ParamExpires, Value: when}, token.Pair{Name: ParamKey, Value: key.ID},
+	expires := strconv.FormatUint(uint64(t.Until), 10)
+	sum := mac(key.Shared, signingInput(u.Path, expires, key.ID, t.ID, rest))
+	u.RawQuery = append(rest, token.Pair{Name: ParamExpires, Value: expires}, token.Pair{Name: ParamKey, Value: key.ID},
 		token.Pair{Name: ParamNonce, Value: t.ID}, token.Pair{Name: ParamSignature, Value: sum}).String()
 	return token.Issued{ID: t.ID, URL: u.String()}, nil
 }
--- a/token/jws/jws.go
+++ b/token/jws/jws.go
@@ -57,11 +57,11 @@
 
 // Bounds of a package.
 const (
-	packageMost = 8 << 10
+	maxPackageBytes = 8 << 10
 )
 
 // understood are the claims that a package may name as critical.
-var understood = map[string]bool{
+var knownClaims = map[string]bool{
 	"iss": true, "sub": true, "aud": true, "exp": true, "nbf": true, "iat": true, "jti": true, "cdniv": true,
 	"cdnicrit": true, "cdniip": true, "cdniuc": true, "cdniets": true, "cdnistt": true, "cdnistd": true,
 }
@@ -84,42 +84,42 @@
 		return m, err
 	}
 	m.Sealing, err = base64.StdEncoding.DecodeString(k.IPSecret)
-	if err != nil || sealings[len(m.Sealing)] == "" {
+	if err != nil || addressCiphers[len(m.Sealing)] == "" {
 		return m, fmt.Errorf("ip_secret: no base64 of 16 or 32 bytes")
 	}
 	return m, nil
 }
 
 // sealings are the ciphers of client addresses, by the size of the key.
-var sealings = map[int]jose.ContentEncryption{16: jose.A128GCM, 32: jose.A256GCM}
+var addressCiphers = map[int]jose.ContentEncryption{16: jose.A128GCM, 32: jose.A256GCM}
 
 // seal encrypts a client address or prefix as cdniip wants it: a JWE in compact form (RFC 9246, 2.1.9).
-func seal(k *token.Ready, address string) (string, error) {
+func encryptAddress(k *token.Ready, address string) (string, error) {
 	if k.Sealing == nil {
 		return "", fmt.Errorf("address: the key has no ip_secret")
 	}
-	e, err := jose.NewEncrypter(sealings[len(k.Sealing)], jose.Recipient{Algorithm: jose.DIRECT, Key: k.Sealing, KeyID: k.ID}, nil)
+	e, err := jose.NewEncrypter(addressCiphers[len(k.Sealing)], jose.Recipient{Algorithm: jose.DIRECT, Key: k.Sealing, KeyID: k.ID}, nil)
 	if err != nil {
 		return "", fmt.Errorf("token: %w", err)
 	}
-	sealed, err := e.Encrypt([]byte(address))
+	encrypted, err := e.Encrypt([]byte(address))
 	if err != nil {
 		return "", fmt.Errorf("token: %w", err)
 	}
-	return sealed.CompactSerialize()
+	return encrypted.CompactSerialize()
 }
 
 // unseal gives the prefix that a client's address must match. An address may stand in brackets, and a prefix may have
 // bits beyond its length, as in the specification's example.
-func unseal(k *token.Ready, text string) (net netip.Prefix, err error) {
+func decryptAddress(k *token.Ready, text string) (net netip.Prefix, err error) {
 	if k.Sealing == nil {
 		return net, token.Reject(token.BadClaim, "cdniip: the key has no ip_secret")
 	}
-	sealed, err := jose.ParseEncryptedCompact(text, []jose.KeyAlgorithm{jose.DIRECT}, []jose.ContentEncryption{sealings[len(k.Sealing)]})
+	encrypted, err := jose.ParseEncryptedCompact(text, []jose.KeyAlgorithm{jose.DIRECT}, []jose.ContentEncryption{addressCiphers[len(k.Sealing)]})
 	if err != nil {
 		return net, token.Reject(token.Malformed, "cdniip: no JWE in compact form")
 	}
-	plain, err := sealed.Decrypt(k.Sealing)
+	plain, err := encrypted.Decrypt(k.Sealing)
 	if err != nil {
 		return net, token.Reject(token.BadSignature, "cdniip: can't be opened")
 	}
@@ -144,32 +144,32 @@
 }
 
 // Open authenticates a package.
-func (Dialect) Open(_ *token.Request, from token.Carried, keys token.Keys) (g token.Grant, err error) {
-	if len(from.Text) > packageMost {
+func (Dialect) Open(_ *token.Request, carried token.Carried, keys token.Keys) (g token.Grant, err error) {
+	if len(carried.Text) > maxPackageBytes {
 		return g, token.Reject(token.Malformed, "the package is too long")
 	}
-	sig, err := jose.ParseSignedCompact(from.Text, algs)
+	sig, err := jose.ParseSignedCompact(carried.Text, algs)
 	if err != nil {
 		return g, token.Reject(token.Malformed, "no JWS in compact form")
 	}
-	for part := range strings.SplitSeq(from.Text, ".") { // one spelling: no spare bits that a reader passes over
+	for part := range strings.SplitSeq(carried.Text, ".") { // one spelling: no spare bits that a reader passes over
 		if _, err := base64.RawURLEncoding.Strict().DecodeString(part); err != nil {
 			return g, token.Reject(token.Malformed, "no JWS in compact form")
 		}
 	}
-	head := sig.Signatures[0].Protected
-	key, err := keys.Find(head.KeyID)
+	header := sig.Signatures[0].Protected
+	key, err := keys.Find(header.KeyID)
 	if err != nil {
 		return g, err
 	}
-	if head.Algorithm != key.Alg { // the key's algorithm, never the token's choice
+	if header.Algorithm != key.Alg { // the key's algorithm, never the token's choice
 		return g, token.Reject(token.BadSignature, "the algorithm is not the key's")
 	}
-	var with any = key.Verifier
+	var verificationKey any = key.Verifier
 	if key.Shared != nil {
-		with = key.Shared
+		verificationKey = key.Shared
 	}
-	payload, err := sig.Verify(with)
+	payload, err := sig.Verify(verificationKey)
 	if err != nil {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
@@ -183,14 +183,14 @@
 	if g, err = c.grant(key.ID); err != nil || c.ClientIP == "" {
 		return g, err
 	}
-	net, err := unseal(key, c.ClientIP)
+	net, err := decryptAddress(key, c.ClientIP)
 	g.Nets = []netip.Prefix{net}
 	return g, err
 }
 
 // check judges what is the package's own. Dates and the URI are the grant's.
 func (c *Claims) check(key *token.Ready, payload []byte) error {
-	if err := c.critical(payload); err != nil {
+	if err := c.checkCritical(payload); err != nil {
 		return err
 	}
 	if err := key.Bind(c.Issuer, c.Audience); err != nil {
@@ -214,17 +214,17 @@
 }
 
 // critical holds cdnicrit to its rules: claims that are there, each named once and understood.
-func (c *Claims) critical(payload []byte) error {
-	var there map[string]json.RawMessage
-	if err := json.Unmarshal(payload, &there); err != nil {
+func (c *Claims) checkCritical(payload []byte) error {
+	var present map[string]json.RawMessage
+	if err := json.Unmarshal(payload, &present); err != nil {
 		return token.Reject(token.Malformed, "the claims can't be read")
 	}
-	if _, named := there["cdnicrit"]; named && len(c.Critical) == 0 {
+	if _, named := present["cdnicrit"]; named && len(c.Critical) == 0 {
 		return token.Reject(token.Malformed, "cdnicrit: empty")
 	}
 	for i, name := range c.Critical {
-		switch _, ok := there[name]; {
-		case !understood[name]:
+		switch _, ok := present[name]; {
+		case !knownClaims[name]:
 			return token.Reject(token.BadClaim, "a critical claim is not understood")
 		case !ok || slices.Contains(c.Critical[:i], name):
 			return token.Reject(token.Malformed, "cdnicrit: a claim that is not there, or named twice")
@@ -235,7 +235,7 @@
 
 // grant words the claims as a grant.
 func (c *Claims) grant(key string) (g token.Grant, err error) {
-	uris, err := container(c.Container)
+	uris, err := parseContainer(c.Container)
 	if err != nil {
 		return g, err
 	}
@@ -253,7 +253,7 @@
 }
 
 // container reads cdniuc. It speaks of the URI without the package, with all else as it was sent.
-func container(text string) ([]token.Pattern, error) {
+func parseContainer(text string) ([]token.Pattern, error) {
 	p := token.Pattern{Less: []string{Param}}
 	if hash, ok := strings.CutPrefix(text, "hash:"); ok {
 		p.Form, p.Text = token.Digest, hash
@@ -276,7 +276,7 @@
 	}
 	c := Claims{Expires: &t.Until, Container: HashContainer(u.String())}
 	if t.Address != "" {
-		if c.ClientIP, err = seal(k, t.Address); err != nil {
+		if c.ClientIP, err = encryptAddress(k, t.Address); err != nil {
 			return out, err
 		}
 	}
@@ -313,21 +313,21 @@
 		c.Audience = audience{key.Audience}
 	}
 	if c.Version == nil {
-		one := 1
-		c.Version = &one
+		version := 1
+		c.Version = &version
 	}
 	if c.Expires == nil {
 		return "", fmt.Errorf("exp: missing")
 	}
-	if _, err := container(c.Container); err != nil {
+	if _, err := parseContainer(c.Container); err != nil {
 		return "", fmt.Errorf("cdniuc: %.60q is no container", c.Container)
 	}
-	var with any = key.Signer
+	var signingKey any = key.Signer
 	if key.Shared != nil {
-		with = key.Shared
+		signingKey = key.Shared
 	}
 	opts := (&jose.SignerOptions{}).WithHeader("kid", key.ID).WithType("JWT")
-	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(key.Alg), Key: with}, opts)
+	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(key.Alg), Key: signingKey}, opts)
 	if err != nil {
 		return "", fmt.Errorf("token: %w", err)
 	}
--- a/token/key.go
+++ b/token/key.go
@@ -48,7 +48,7 @@
 }
 
 // leastSecret bounds shared secrets, in bytes, where a dialect's specification has no other size.
-const leastSecret = 32
+const minSecretBytes = 32
 
 // IDMost bounds a token's id, in characters.
 const IDMost = 128
@@ -59,8 +59,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("secret: no base64")
 	}
-	if len(secret) < leastSecret {
-		return nil, fmt.Errorf("secret: %d bytes, %d at least", len(secret), leastSecret)
+	if len(secret) < minSecretBytes {
+		return nil, fmt.Errorf("secret: %d bytes, %d at least", len(secret), minSecretBytes)
 	}
 	return secret, nil
 }
@@ -104,7 +104,7 @@
 			return m, fmt.Errorf("private: no PKCS #8 key")
 		}
 		s, ok := key.(crypto.Signer)
-		if !ok || !family.has(s.Public()) {
+		if !ok || !family.accepts(s.Public()) {
 			return m, fmt.Errorf("private: no key for %s", k.Alg)
 		}
 		m.Signer, m.Verifier, m.Signs = s, s.Public(), true
@@ -115,7 +115,7 @@
 			return m, fmt.Errorf("public: no PEM")
 		}
 		key, err := x509.ParsePKIXPublicKey(block.Bytes)
-		if err != nil || !family.has(key) {
+		if err != nil || !family.accepts(key) {
 			return m, fmt.Errorf("public: no key for %s", k.Alg)
 		}
 		m.Verifier = key
@@ -136,7 +136,7 @@
 	Ed25519
 )
 
-func (f Family) has(key any) bool {
+func (f Family) accepts(key any) bool {
 	switch key := key.(type) {
 	case *ecdsa.PublicKey:
 		return f == P256 && key.Curve == elliptic.P256()
--- a/token/pattern.go
+++ b/token/pattern.go
@@ -53,13 +53,13 @@
 
 // Bounds of patterns.
 const (
-	patternMost  = 1 << 10
-	patternsMost = 32
+	maxPatternBytes = 1 << 10
+	maxPatterns     = 32
 )
 
 // Compile checks a pattern and makes it ready.
 func (p *Pattern) Compile() error {
-	if len(p.Text) > patternMost {
+	if len(p.Text) > maxPatternBytes {
 		return Reject(Malformed, "a pattern is too long")
 	}
 	if p.Form != Posix {
@@ -74,7 +74,7 @@
 
 // Compile checks patterns and makes them ready.
 func Compile(ps ...Pattern) ([]Pattern, error) {
-	if len(ps) > patternsMost {
+	if len(ps) > maxPatterns {
 		return nil, Reject(Malformed, "too many patterns")
 	}
 	for i := range ps {
@@ -85,18 +85,18 @@
 	return ps, nil
 }
 
-func (p *Pattern) match(q *Request) bool { return p.fits(q.part(p.On, p.Less)) }
+func (p *Pattern) matches(q *Request) bool { return p.matchesText(q.part(p.On, p.Less)) }
 
 // part gives a part of a request's URI.
-func (q *Request) part(on Part, less []string) string {
+func (q *Request) part(component Part, excluded []string) string {
 	host, port, _ := strings.Cut(strings.ToLower(q.Host), ":")
-	at := strings.LastIndexByte(q.Path, '/') + 1
-	file := q.Path[at:]
+	nameStart := strings.LastIndexByte(q.Path, '/') + 1
+	file := q.Path[nameStart:]
 	stem := file
 	if dot := strings.LastIndexByte(file, '.'); dot >= 0 {
 		stem = file[:dot]
 	}
-	switch on {
+	switch component {
 	case OnScheme:
 		return q.Scheme
 	case OnHost:
@@ -109,9 +109,9 @@
 	case OnPath:
 		return q.Path
 	case OnQuery:
-		return rawWithout(q.RawQuery, less)
+		return rawWithout(q.RawQuery, excluded)
 	case OnParent:
-		return q.Path[:at]
+		return q.Path[:nameStart]
 	case OnFile:
 		return file
 	case OnStem:
@@ -119,11 +119,11 @@
 	case OnExtension:
 		return file[len(stem):]
 	}
-	return q.URI(less...)
+	return q.URI(excluded...)
 }
 
 // fits tells whether a text is as the pattern says.
-func (p *Pattern) fits(text string) bool {
+func (p *Pattern) matchesText(text string) bool {
 	switch p.Form {
 	case Suffix:
 		return strings.HasSuffix(text, p.Text)
@@ -142,8 +142,8 @@
 	case Glob:
 		return glob(p.Text, text)
 	case Posix:
-		at := p.expr.FindStringIndex(text)
-		return at != nil && at[0] == 0 && at[1] == len(text)
+		location := p.expr.FindStringIndex(text)
+		return location != nil && location[0] == 0 && location[1] == len(text)
 	case Digest:
 		return Same(p.Text, DigestOf(text))
 	}
--- a/token/presign/presign.go
+++ b/token/presign/presign.go
@@ -28,8 +28,8 @@
 var params = []string{ParamAlgorithm, ParamCredential, ParamDate, ParamExpires, ParamHeaders, ParamPayload, ParamSignature}
 
 const (
-	longest     = 7 * 24 * 3600 // s
-	headersMost = 16
+	maxValiditySeconds = 7 * 24 * 3600 // s
+	maxSignedHeaders   = 16
 )
 
 // Dialect implements token.Dialect.
@@ -63,7 +63,7 @@
 
 // Open authenticates a presigned URL.
 func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
-	date, lasts, err := terms(q)
+	date, validity, err := parseTerms(q)
 	if err != nil {
 		return g, err
 	}
@@ -76,24 +76,24 @@
 	if scope != sigv4.Scope(stamp, key.Region, key.Service) {
 		return g, token.Reject(token.BadClaim, "X-Amz-Credential: another date, region or service")
 	}
-	headers, err := headersOf(q)
+	headers, err := canonicalHeaders(q)
 	if err != nil {
 		return g, err
 	}
-	canonical := sigv4.Canonical(q.Method, q.Path, query(q.Query.Without(ParamSignature)), headers, q.Query.Get(ParamHeaders),
+	canonical := sigv4.Canonical(q.Method, q.Path, canonicalQuery(q.Query.Without(ParamSignature)), headers, q.Query.Get(ParamHeaders),
 		sigv4.UnsignedPayload)
 	if !token.Same(c.Text, sigv4.Sign(string(key.Shared), stamp, key.Region, key.Service, canonical)) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
-	at := float64(date.Unix())
+	issuedAt := float64(date.Unix())
 	return token.Grant{
-		Key: key.ID, ID: token.IDOf(stamp + "\n" + canonical), Issued: at, Until: at + float64(lasts), Query: true,
+		Key: key.ID, ID: token.IDOf(stamp + "\n" + canonical), Issued: issuedAt, Until: issuedAt + float64(validity), Query: true,
 		Methods: []string{q.Method}, URIs: []token.Pattern{{Form: token.Exact, Text: q.Path, On: token.OnPath}},
 	}, nil
 }
 
 // terms reads what a presigned URL says of itself, in the one spelling.
-func terms(q *token.Request) (date time.Time, lasts uint64, err error) {
+func parseTerms(q *token.Request) (date time.Time, validity uint64, err error) {
 	malformed := func(text string) error { return token.Reject(token.Malformed, text) }
 	for item := range strings.SplitSeq(q.RawQuery, "&") {
 		name, value, ok := strings.Cut(item, "=")
@@ -116,17 +116,17 @@
 	if date, err = time.Parse(sigv4.Time, q.Query.Get(ParamDate)); err != nil {
 		return date, 0, malformed("X-Amz-Date: no date")
 	}
-	lasts, ok := token.Number(q.Query.Get(ParamExpires), 32)
-	if !ok || lasts == 0 || lasts > longest {
+	validity, ok := token.Number(q.Query.Get(ParamExpires), 32)
+	if !ok || validity == 0 || validity > maxValiditySeconds {
 		return date, 0, malformed("X-Amz-Expires: 1 second to 7 days")
 	}
-	return date, lasts, nil
+	return date, validity, nil
 }
 
 // headersOf gives the canonical lines of the signed headers; host must be one of them.
-func headersOf(q *token.Request) (string, error) {
+func canonicalHeaders(q *token.Request) (string, error) {
 	names := strings.Split(q.Query.Get(ParamHeaders), ";")
-	if len(names) > headersMost || !sort.StringsAreSorted(names) {
+	if len(names) > maxSignedHeaders || !sort.StringsAreSorted(names) {
 		return "", token.Reject(token.Malformed, "X-Amz-SignedHeaders: too many, or not sorted")
 	}
 	var b strings.Builder
@@ -148,7 +148,7 @@
 	return b.String(), nil
 }
 
-func query(q token.Query) string {
+func canonicalQuery(q token.Query) string {
 	var pairs [][2]string
 	for _, p := range q {
 		pairs = append(pairs, [2]string{p.Name, p.Value})
@@ -167,27 +167,27 @@
 	case t.From > 0:
 		return out, fmt.Errorf("after: not with kind presign")
 	}
-	rest, err := token.ParseQuery(u.RawQuery)
+	uriParams, err := token.ParseQuery(u.RawQuery)
 	if err != nil {
 		return out, fmt.Errorf("uri: %w", err)
 	}
-	at := time.Unix(int64(t.Now), 0).UTC()
-	lasts := int64(t.Until) - at.Unix()
-	if lasts < 1 || lasts > longest {
+	issuedAt := time.Unix(int64(t.Now), 0).UTC()
+	validity := int64(t.Until) - issuedAt.Unix()
+	if validity < 1 || validity > maxValiditySeconds {
 		return out, fmt.Errorf("seconds: 7 days at most with kind presign")
 	}
-	method, stamp := t.Method, at.Format(sigv4.Time)
+	method, stamp := t.Method, issuedAt.Format(sigv4.Time)
 	if method == "" {
 		method = "GET"
 	}
-	q := append(rest,
+	q := append(uriParams,
 		token.Pair{Name: ParamAlgorithm, Value: sigv4.Algorithm},
 		token.Pair{Name: ParamCredential, Value: k.ID + "/" + sigv4.Scope(stamp, k.Region, k.Service)},
 		token.Pair{Name: ParamDate, Value: stamp},
-		token.Pair{Name: ParamExpires, Value: strconv.FormatInt(lasts, 10)},
+		token.Pair{Name: ParamExpires, Value: strconv.FormatInt(validity, 10)},
 		token.Pair{Name: ParamHeaders, Value: "host"})
-	canonical := sigv4.Canonical(method, u.Path, query(q), "host:"+u.Host+"\n", "host", sigv4.UnsignedPayload)
+	canonical := sigv4.Canonical(method, u.Path, canonicalQuery(q), "host:"+u.Host+"\n", "host", sigv4.UnsignedPayload)
 	sum := sigv4.Sign(string(k.Shared), stamp, k.Region, k.Service, canonical)
-	u.RawQuery = query(q) + "&" + ParamSignature + "=" + sum
+	u.RawQuery = canonicalQuery(q) + "&" + ParamSignature + "=" + sum
 	return token.Issued{ID: token.IDOf(stamp + "\n" + canonical), URL: u.String()}, nil
 }
--- a/token/query.go
+++ b/token/query.go
@@ -60,7 +60,7 @@
 	return b.String()
 }
 
-const queryMost = 32
+const maxQueryParams = 32
 
 // ParseQuery reads a query. A name that comes twice is malformed: one reader could take the first
 // value and another the last.
@@ -68,7 +68,7 @@
 	if raw == "" {
 		return nil, nil
 	}
-	q = make(Query, 0, min(queryMost, strings.Count(raw, "&")+1))
+	q = make(Query, 0, min(maxQueryParams, strings.Count(raw, "&")+1))
 	for item := range strings.SplitSeq(raw, "&") {
 		n, v, _ := strings.Cut(item, "=")
 		var p Pair
@@ -78,7 +78,7 @@
 		if p.Value, err = url.QueryUnescape(v); err != nil {
 			return nil, Reject(Malformed, "the query can't be read")
 		}
-		if p.Name == "" || len(q) >= queryMost || q.has(p.Name) {
+		if p.Name == "" || len(q) >= maxQueryParams || q.has(p.Name) {
 			return nil, Reject(Malformed, "a parameter without a name, twice there, or too many")
 		}
 		q = append(q, p)
--- a/token/ring/ring.go
+++ b/token/ring/ring.go
@@ -49,19 +49,19 @@
 func New(keys []token.Key) (*Ring, error) {
 	r := &Ring{keys: map[token.Kind][]*token.Ready{}, byID: map[string]*token.Ready{}}
 	for i, k := range keys {
-		where := fmt.Sprintf("key[%d].", i)
+		fieldPrefix := fmt.Sprintf("key[%d].", i)
 		d := dialectOf(k.Kind)
 		switch {
 		case k.ID == "" || len(k.ID) > 64:
-			return nil, fmt.Errorf("%sid: 1 to 64 characters", where)
+			return nil, fmt.Errorf("%sid: 1 to 64 characters", fieldPrefix)
 		case r.byID[k.ID] != nil:
-			return nil, fmt.Errorf("%sid: %q is there twice", where, k.ID)
+			return nil, fmt.Errorf("%sid: %q is there twice", fieldPrefix, k.ID)
 		case d == nil:
-			return nil, fmt.Errorf("%skind: %q is none of %v", where, k.Kind, Kinds())
+			return nil, fmt.Errorf("%skind: %q is none of %v", fieldPrefix, k.Kind, Kinds())
 		}
 		m, err := d.Ready(k)
 		if err != nil {
-			return nil, fmt.Errorf("%s%w", where, err)
+			return nil, fmt.Errorf("%s%w", fieldPrefix, err)
 		}
 		ready := &token.Ready{Key: k, Material: m}
 		r.byID[k.ID] = ready
@@ -80,34 +80,34 @@
 		return g, nil, err
 	}
 	var (
-		with token.Dialect
-		got  token.Carried
+		dialect token.Dialect
+		carried token.Carried
 	)
 	for _, d := range dialects {
 		c, ok := d.Find(&q, r.keys[d.Kind()])
 		if !ok {
 			continue
 		}
-		if with != nil {
+		if dialect != nil {
 			return g, nil, token.Reject(token.Malformed, "two tokens")
 		}
-		with, got = d, c
+		dialect, carried = d, c
 	}
-	if with == nil {
+	if dialect == nil {
 		return g, nil, token.Reject(token.Missing, "no token")
 	}
-	if g, err = with.Open(&q, got, token.Keys{All: r.keys[with.Kind()], Now: now, Leeway: leeway}); err != nil {
+	if g, err = dialect.Open(&q, carried, token.Keys{All: r.keys[dialect.Kind()], Now: now, Leeway: leeway}); err != nil {
 		return g, nil, err
 	}
-	g.Kind = with.Kind()
-	switch got.From {
+	g.Kind = dialect.Kind()
+	switch carried.From {
 	case token.InHeader:
-		g.Vary = got.Name
+		g.Vary = carried.Name
 	case token.InCookie:
 		g.Vary = "Cookie"
 	}
 	if err = g.Check(&q, now, leeway); err == nil && g.Query {
-		rest = q.Query.Without(got.Params...)
+		rest = q.Query.Without(carried.Params...)
 	}
 	return g, rest, err
 }
@@ -115,16 +115,16 @@
 // Signer gives the id of the newest key of a kind that signs at now, in Unix seconds: during a rotation the old key goes
 // on verifying until its own end.
 func (r *Ring) Signer(kind token.Kind, now float64) (string, error) {
-	var best *token.Ready
+	var newest *token.Ready
 	for _, k := range r.keys[kind] {
-		if k.Signs && now >= k.NotBefore && (k.NotAfter == 0 || now <= k.NotAfter) && (best == nil || k.NotBefore >= best.NotBefore) {
-			best = k
+		if k.Signs && now >= k.NotBefore && (k.NotAfter == 0 || now <= k.NotAfter) && (newest == nil || k.NotBefore >= newest.NotBefore) {
+			newest = k
 		}
 	}
-	if best == nil {
+	if newest == nil {
 		return "", errNoSigner
 	}
-	return best.ID, nil
+	return newest.ID, nil
 }
 
 // Issue signs terms with a key.
--- a/token/ring/ring_test.go
+++ b/token/ring/ring_test.go
@@ -19,7 +19,7 @@
 
 var secret = base64.StdEncoding.EncodeToString([]byte(strings.Repeat("s", 32)))
 
-func public(t testing.TB, key any) string {
+func publicPEM(t testing.TB, key any) string {
 	der, err := x509.MarshalPKIXPublicKey(key)
 	if err != nil {
 		t.Fatal(err)
@@ -29,8 +29,8 @@
 
 const uri = "https://cdn.example/v1/firmware/7f3a9c21e0b4d655/3"
 
-func request(pack string) token.Request {
-	return token.Request{Scheme: "https", Host: "CDN.example", Path: "/v1/firmware/7f3a9c21e0b4d655/3", RawQuery: jws.Param + "=" + pack}
+func request(packageText string) token.Request {
+	return token.Request{Scheme: "https", Host: "CDN.example", Path: "/v1/firmware/7f3a9c21e0b4d655/3", RawQuery: jws.Param + "=" + packageText}
 }
 
 // Every algorithm signs and verifies, and no key takes a token of another algorithm: above all not one
@@ -48,8 +48,8 @@
 		t.Fatal(err)
 	}
 	verifiers, err := New([]token.Key{
-		keys[0], {ID: "b", Kind: token.JWS, Alg: "ES256", Public: public(t, &ec.PublicKey)},
-		{ID: "c", Kind: token.JWS, Alg: "EdDSA", Public: public(t, edPub)}, {ID: "d", Kind: token.JWS, Alg: "RS256", Public: public(t, &rs.PublicKey)},
+		keys[0], {ID: "b", Kind: token.JWS, Alg: "ES256", Public: publicPEM(t, &ec.PublicKey)},
+		{ID: "c", Kind: token.JWS, Alg: "EdDSA", Public: publicPEM(t, edPub)}, {ID: "d", Kind: token.JWS, Alg: "RS256", Public: publicPEM(t, &rs.PublicKey)},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -64,14 +64,14 @@
 			t.Errorf("%s: %+v %v", k.Alg, g, err)
 		}
 	}
-	confused, _ := New([]token.Key{{ID: "d", Kind: token.JWS, Alg: "HS256", Secret: base64.StdEncoding.EncodeToString([]byte(public(t, &rs.PublicKey)))}})
+	confused, _ := New([]token.Key{{ID: "d", Kind: token.JWS, Alg: "HS256", Secret: base64.StdEncoding.EncodeToString([]byte(publicPEM(t, &rs.PublicKey)))}})
 	p, _ := confused.Package("d", jws.Claims{Expires: &exp, Container: jws.HashContainer(uri)})
 	if _, _, err := verifiers.Verify(request(p), 999, 0); token.WhyOf(err) != token.BadSignature {
 		t.Errorf("an HS256 token under an RS256 key: %v", err)
 	}
 }
 
-func TestRotation(t *testing.T) {
+func TestKeyRotation(t *testing.T) {
 	r, err := New([]token.Key{
 		{ID: "old", Kind: token.HMAC, Secret: secret, NotAfter: 1000}, {ID: "new", Kind: token.HMAC, Secret: secret, NotBefore: 500},
 	})
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	q := request("")
-	q.RawQuery, q.Cookie = "", only(jws.Param, next)
+	q.RawQuery, q.Cookie = "", singleValue(jws.Param, next)
 	if g, _, err := r.Verify(q, 149, 0); err != nil || g.Until != 150 || g.ID != "j" {
 		t.Errorf("%+v %v", g, err)
 	}
@@ -142,9 +142,9 @@
 
 // Packages for one client, sealed; claims that a package insists on; and renewal after renewal.
 func TestPackageClaims(t *testing.T) {
-	sealing := base64.StdEncoding.EncodeToString([]byte("sixteen bytes..."))
+	ipSecret := base64.StdEncoding.EncodeToString([]byte("sixteen bytes..."))
 	r, err := New([]token.Key{
-		{ID: "k", Kind: token.JWS, Alg: "HS256", Secret: secret, IPSecret: sealing}, {ID: "blind", Kind: token.JWS, Alg: "HS256", Secret: secret},
+		{ID: "k", Kind: token.JWS, Alg: "HS256", Secret: secret, IPSecret: ipSecret}, {ID: "blind", Kind: token.JWS, Alg: "HS256", Secret: secret},
 	})
 	if err != nil {
 		t.Fatal(err)
