--- a/internal/sigv4/sigv4.go
+++ b/internal/sigv4/sigv4.go
@@ -1,4 +1,4 @@
-// Package sigv4 has the parts of AWS Signature Version 4 that signing onward and presigned URLs share.
+// Package sigv4 implements the parts of AWS Signature Version 4 that requests to endpoints and presigned URLs share.
 package sigv4
 
 import (
@@ -9,24 +9,25 @@
 	"strings"
 )
 
-// The algorithm, the form of its times, and what stands for the digest of a body that is not signed.
+// The name of the algorithm, the layout of its timestamps, and the value that replaces the digest of an unsigned body.
 const (
 	Algorithm       = "AWS4-HMAC-SHA256"
 	Time            = "20060102T150405Z"
 	UnsignedPayload = "UNSIGNED-PAYLOAD"
 )
 
-// Scope joins what a signing key is good for; stamp is in the form of Time.
+// Scope returns the credential scope that a signing key is valid for: date, region and service. stamp has the layout Time.
 func Scope(stamp, region, service string) string {
 	return strings.Join([]string{stamp[:8], region, service, "aws4_request"}, "/")
 }
 
-// Canonical words a request; query is canonical, headers have a line each, signed names them.
+// Canonical returns the canonical request. query is in canonical form, headers has one line for each signed header, signed
+// lists their names, and payload is the digest of the body.
 func Canonical(method, path, query, headers, signed, payload string) string {
 	return strings.Join([]string{method, path, query, headers, signed, payload}, "\n")
 }
 
-// Sign gives the signature of a canonical request, in hexadecimal.
+// Sign returns the signature of a canonical request in hexadecimal.
 func Sign(secret, stamp, region, service, canonical string) string {
 	scope := Scope(stamp, region, service)
 	text := strings.Join([]string{Algorithm, stamp, scope, HexSum([]byte(canonical))}, "\n")
@@ -37,7 +38,7 @@
 	return hex.EncodeToString(mac(key, text))
 }
 
-// Query is the canonical form of parameters: encoded, and sorted by name, then by value.
+// Query returns the canonical form of parameters: encoded and sorted by name, then by value.
 func Query(pairs [][2]string) string {
 	encoded := make([][2]string, len(pairs))
 	for i, p := range pairs {
@@ -57,7 +58,7 @@
 	return b.String()
 }
 
-// Escape percent-encodes all but unreserved characters and, where they are to stay, slashes.
+// Escape percent-encodes all characters except the unreserved ones and, if slashes is set, slashes.
 func Escape(s string, slashes bool) string {
 	const digits = "0123456789ABCDEF"
 	var b strings.Builder
@@ -74,7 +75,7 @@
 	return b.String()
 }
 
-// HexSum is SHA-256 in hexadecimal.
+// HexSum returns the SHA-256 digest in hexadecimal.
 func HexSum(b []byte) string {
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:])
--- a/token/cat/cat.go
+++ b/token/cat/cat.go
@@ -1,5 +1,5 @@
-// Package cat is the dialect of the Common Access Token (CTA-5007): a CWT (RFC 8392) in a COSE_Mac0 or COSE_Sign1
-// (RFC 9052), in the query, a header or a cookie.
+// Package cat implements the dialect of the Common Access Token (CTA-5007): a CWT (RFC 8392) in a COSE_Mac0 or COSE_Sign1
+// message (RFC 9052), in the query, a header or a cookie.
 package cat
 
 import (
@@ -21,13 +21,13 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Where a token stands.
+// Names under which a request carries a token.
 const (
-	Param  = "CAT" // in the query, and the cookie's name
+	Param  = "CAT" // query parameter and cookie
 	Header = "CTA-Common-Access-Token"
 )
 
-// COSE's tags, headers and algorithms, and the tags of CWT and of addresses (RFC 9164).
+// CBOR tags of COSE messages, of CWT and of addresses (RFC 9164), then COSE header parameters and algorithms.
 const (
 	tagMac0     = 17
 	tagSign1    = 18
@@ -41,7 +41,7 @@
 	algEdDSA    = -8
 )
 
-// Claims, by the number that IANA's registry of CWT claims gives them.
+// Keys of the claims in IANA's registry of CWT claims.
 const (
 	claimIss       = 1
 	claimSub       = 2
@@ -57,7 +57,7 @@
 	claimMethods   = 313
 	claimHeaders   = 315
 	claimRenewal   = 323
-	firstCATClaim  = 308 // those of CTA-5007: one that is not known here may limit the token
+	firstCATClaim  = 308 // CTA-5007: an unknown claim in this range might restrict the token
 	lastCATClaim   = 323
 )
 
@@ -66,6 +66,7 @@
 	maxListItems  = 32
 )
 
+// algs are the COSE algorithm identifiers.
 var algs = map[string]int64{"HS256": algHS256, "ES256": algES256, "EdDSA": algEdDSA}
 
 var (
@@ -87,15 +88,15 @@
 // Dialect implements token.Dialect and token.Renewer.
 type Dialect struct{}
 
-// Kind is "cat".
+// Kind returns "cat".
 func (Dialect) Kind() token.Kind { return token.CAT }
 
-// Ready takes a secret of 32 bytes for HS256, a key pair for ES256 and EdDSA.
+// Ready requires a secret of at least 32 bytes for HS256, and a key pair for ES256 and EdDSA.
 func (Dialect) Ready(k token.Key) (token.Material, error) {
 	return k.Choice(map[string]token.Family{"ES256": token.P256, "EdDSA": token.Ed25519})
 }
 
-// Find gives the token of the query, else of the header, else of the cookie.
+// Find returns the token in the query, otherwise the one in the header, otherwise the one in the cookie.
 func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
 	if t := q.Query.Get(Param); t != "" {
 		return token.Carried{Text: t, Params: []string{Param}}, true
@@ -107,7 +108,7 @@
 	return token.Carried{Text: t, From: token.InCookie}, t != ""
 }
 
-// message is a COSE_Mac0 or COSE_Sign1.
+// message is a COSE_Mac0 or COSE_Sign1 message.
 type message struct {
 	_           struct{} `cbor:",toarray"`
 	Protected   []byte
@@ -116,7 +117,7 @@
 	Sum         []byte
 }
 
-// open takes a token apart: with the tag of CWT or without.
+// decode decodes the COSE message of a token and returns its tag. The outer CWT tag is optional.
 func decode(text string) (tag uint64, m message, err error) {
 	raw, err := base64URL.DecodeString(text)
 	if err != nil {
@@ -154,7 +155,7 @@
 			return g, token.Reject(token.BadClaim, "a header that is not understood")
 		}
 	}
-	for name := range m.Unprotected { // nobody vouches for these
+	for name := range m.Unprotected { // unprotected headers are not authenticated
 		if name != headerKeyID {
 			return g, token.Reject(token.BadClaim, "a header that is not understood")
 		}
@@ -190,7 +191,7 @@
 	return g, r.err
 }
 
-// toSign is the MAC_structure or Sig_structure (RFC 9052, 4.4 and 6.3).
+// signingInput returns the encoded Sig_structure or MAC_structure (RFC 9052, 4.4 and 6.3).
 func signingInput(context string, m *message) []byte {
 	return must(encMode.Marshal([]any{context, m.Protected, []byte{}, m.Payload}))
 }
@@ -252,7 +253,7 @@
 	return base64URL.EncodeToString(raw), nil
 }
 
-// Issue signs a token for one URI, or for the URIs whose path begins with what the terms cover.
+// Issue signs a token for a single URI, or for all URIs whose path begins with the prefix in t.Cover.
 func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
 	u, err := t.Whole(true)
 	if err != nil {
@@ -314,7 +315,7 @@
 	return out, nil
 }
 
-// Renew gives the token that follows one with catr: the same claims, from now on.
+// Renew returns the next token for one with catr: the same claims, with the validity starting now.
 func (Dialect) Renew(k *token.Ready, g *token.Grant, now float64) (name, text string, err error) {
 	old, ok := g.Native.(map[int64]any)
 	if !ok {
@@ -334,7 +335,7 @@
 	return name, text, err
 }
 
-// Parts of a URI, forms of a match, and what catr says, by number.
+// Map keys: the URI components of catu, the forms of matching, and the parameters of catr.
 const (
 	partScheme = 0
 	partHost   = 1
@@ -352,21 +353,24 @@
 	renewHeader = 4
 )
 
+// uriParts are the URI components, indexed by their key in catu.
 var uriParts = []token.Part{
 	token.OnScheme, token.OnHost, token.OnPort, token.OnPath, token.OnQuery, token.OnParent, token.OnFile, token.OnStem, token.OnExtension,
 }
 
+// matchForms are the forms of matching, by their key.
 var matchForms = map[int64]token.Form{
 	matchExact: token.Exact, matchPrefix: token.Prefix, 2: token.Suffix, 3: token.Contains, matchRegex: token.Posix,
 	-1: token.Sum256, -2: token.Sum512,
 }
 
-// reader words claims as a grant; it keeps the first error.
+// claimReader converts claims to a grant and keeps the first error.
 type claimReader struct {
 	claims map[int64]any
 	err    error
 }
 
+// reject records a rejection unless there is an earlier error.
 func (r *claimReader) reject(why token.Why, text string) {
 	if r.err == nil {
 		r.err = token.Reject(why, text)
@@ -397,7 +401,7 @@
 	}
 	g.Until, g.From, g.Issued = r.parseDate(claimExp), r.parseDate(claimNbf), r.parseDate(claimIat)
 	switch replay, present := r.claims[claimReplay]; {
-	case !present, replay == int64(0), replay == int64(2): // 2 asks to look out for reuse, not to refuse it
+	case !present, replay == int64(0), replay == int64(2): // 2 asks for the detection of reuse, not for its rejection
 	case replay == int64(1):
 		g.Uses = 1
 	default:
@@ -414,7 +418,7 @@
 	return g
 }
 
-// date reads a NumericDate; 0 where there is none.
+// parseDate parses a NumericDate. It returns 0 if the claim is absent.
 func (r *claimReader) parseDate(claim int64) float64 {
 	switch v := r.claims[claim].(type) {
 	case nil:
@@ -428,7 +432,7 @@
 	return 0
 }
 
-// texts reads a text or a list of texts.
+// parseTexts parses a text or a list of texts.
 func (r *claimReader) parseTexts(claim int64) (out []string) {
 	switch v := r.claims[claim].(type) {
 	case nil:
@@ -448,7 +452,8 @@
 	return out
 }
 
-// nets reads catnip: addresses and prefixes (RFC 9164). A number of an autonomous system can't be judged here.
+// parseNetworks parses catnip: addresses and prefixes (RFC 9164). It rejects autonomous system numbers, because the gateway
+// cannot check them.
 func (r *claimReader) parseNetworks(g *token.Grant) {
 	v, present := r.claims[claimNetworkIP]
 	if !present {
@@ -470,7 +475,7 @@
 	}
 }
 
-// address reads an address, or a prefix as [length, bytes] with the zeros at its end left out.
+// parseAddress parses an address, or a prefix in the form [length, bytes] without trailing zero bytes.
 func parseAddress(t cbor.Tag) (p netip.Prefix, ok bool) {
 	size := map[uint64]int{tagIPv4: 4, tagIPv6: 16}[t.Number]
 	switch v := t.Content.(type) {
@@ -493,6 +498,7 @@
 	return p, false
 }
 
+// encodeAddress encodes an address or a prefix in the form that parseAddress accepts.
 func encodeAddress(p netip.Prefix) cbor.Tag {
 	tag := uint64(tagIPv4)
 	if p.Addr().Is6() {
@@ -508,7 +514,7 @@
 	return cbor.Tag{Number: tag, Content: []any{int64(p.Bits()), raw}}
 }
 
-// uris reads catu: all that it says of a URI's parts must hold.
+// parseURI parses catu. All its matches on URI components must hold.
 func (r *claimReader) parseURI(g *token.Grant, params []string) {
 	v, present := r.claims[claimURI]
 	if !present {
@@ -533,6 +539,7 @@
 	}
 }
 
+// parseHeaders parses cath. All its matches on request headers must hold.
 func (r *claimReader) parseHeaders(g *token.Grant) {
 	v, present := r.claims[claimHeaders]
 	if !present {
@@ -555,7 +562,7 @@
 	}
 }
 
-// matches reads what a text must be like.
+// parseMatches parses a match: a map from forms of matching to the text to match.
 func (r *claimReader) parseMatches(v any) (out []token.Pattern) {
 	m, ok := v.(map[any]any)
 	if !ok || len(m) == 0 {
@@ -575,7 +582,7 @@
 			p.Text = w
 		case []byte:
 			p.Text = string(w)
-		case []any: // a regular expression, and what its groups must be, which is not judged here
+		case []any: // a regular expression, optionally with matches for its groups, which are not supported
 			ok := false
 			if len(w) == 1 && form == token.Posix {
 				p.Text, ok = w[0].(string)
@@ -594,8 +601,8 @@
 	return out
 }
 
-// renewal reads catr. The next token goes by cookie or header under the usual names; one that must go otherwise is not
-// renewed.
+// parseRenewal parses catr. Renewed tokens are sent only in the cookie Param or the header Header. A token that requires
+// anything else is not renewed.
 func (r *claimReader) parseRenewal(g *token.Grant) {
 	v, present := r.claims[claimRenewal]
 	if !present {
--- a/token/cat/cat_test.go
+++ b/token/cat/cat_test.go
@@ -10,6 +10,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
+// testKey returns an HS256 key, and the key set that contains it at the time 1500.
 func testKey(t testing.TB) (*token.Ready, token.Keys) {
 	k := token.Key{ID: "k", Kind: token.CAT, Alg: "HS256", Secret: base64.StdEncoding.EncodeToString([]byte(strings.Repeat("s", 32))), Issuer: "dala"}
 	m, err := (Dialect{}).Ready(k)
@@ -29,9 +30,10 @@
 	return q
 }
 
+// m is a CBOR map as decoded by cat.
 type m = map[int64]any
 
-// Each claim, what it allows and what it refuses.
+// TestClaims checks for each claim which requests it allows and rejects.
 func TestClaims(t *testing.T) {
 	k, keys := testKey(t)
 	withClaims := func(more m) m {
@@ -45,49 +47,49 @@
 		claims m
 		want   token.Why
 	}{
-		"plain":                 {withClaims(nil), ""},
-		"no end":                {m{claimIss: "dala"}, token.BadClaim},
-		"end as a text":         {withClaims(m{claimExp: "soon"}), token.Malformed},
-		"expired":               {withClaims(m{claimExp: int64(1499)}), token.Expired},
-		"end as a float":        {withClaims(m{claimExp: 1500.5}), ""},
-		"not yet":               {withClaims(m{claimNbf: int64(1501)}), token.TooEarly},
-		"issued later":          {withClaims(m{claimIat: int64(1501)}), token.TooEarly},
-		"another issuer":        {withClaims(m{claimIss: "x"}), token.BadClaim},
-		"an audience":           {withClaims(m{claimAud: []any{"x"}}), token.BadClaim},
-		"version 1":             {withClaims(m{claimVersion: int64(1)}), ""},
-		"version 2":             {withClaims(m{claimVersion: int64(2)}), token.BadClaim},
-		"unknown CAT claim":     {withClaims(m{316: "KZ"}), token.BadClaim},
-		"unknown other claim":   {withClaims(m{70000: "x"}), ""},
-		"empty id":              {withClaims(m{claimCti: []byte{}}), token.Malformed},
-		"method":                {withClaims(m{claimMethods: []any{"GET"}}), ""},
-		"another method":        {withClaims(m{claimMethods: []any{"POST"}}), token.WrongMethod},
-		"no method":             {withClaims(m{claimMethods: []any{}}), token.BadClaim},
-		"address":               {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []byte{192, 0, 2, 7}}}}), ""},
-		"another address":       {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []byte{192, 0, 2, 8}}}}), token.WrongAddress},
-		"prefix":                {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []any{int64(24), []byte{192, 0, 2}}}}}), ""},
-		"prefix of IPv6":        {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv6, Content: []any{int64(32), []byte{0x20, 1, 0xd, 0xb8}}}}}), token.WrongAddress},
-		"prefix too long":       {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []any{int64(33), []byte{192, 0, 2}}}}}), token.BadClaim},
-		"autonomous system":     {withClaims(m{claimNetworkIP: []any{int64(64500)}}), token.BadClaim},
-		"header":                {withClaims(m{claimHeaders: map[string]any{"X-App": m{matchPrefix: "rider/"}}}), ""},
-		"another header":        {withClaims(m{claimHeaders: map[string]any{"X-App": m{matchExact: "rider/1"}}}), token.WrongURI},
-		"path prefix":           {withClaims(m{claimURI: m{partPath: m{matchPrefix: "/v1/firmware/"}}}), ""},
-		"another path":          {withClaims(m{claimURI: m{partPath: m{matchPrefix: "/v1/tiles/"}}}), token.WrongURI},
-		"host, port and scheme": {withClaims(m{claimURI: m{partHost: m{matchExact: "cdn.example"}, 2: m{matchExact: "8443"}, partScheme: m{matchExact: "https"}}}), ""},
-		"another port":          {withClaims(m{claimURI: m{partHost: m{matchExact: "cdn.example"}, 2: m{matchExact: "443"}}}), token.WrongURI},
-		"query":                 {withClaims(m{claimURI: m{partQuery: m{matchExact: "kb=5"}}}), ""},
-		"another query":         {withClaims(m{claimURI: m{partQuery: m{matchExact: "kb=6"}}}), token.WrongURI},
-		"parent and file":       {withClaims(m{claimURI: m{5: m{2: "d655/"}, 6: m{matchExact: "3"}, 7: m{matchExact: "3"}, 8: m{matchExact: ""}}}), ""},
-		"contains":              {withClaims(m{claimURI: m{partPath: m{3: "9c21"}}}), ""},
-		"expression":            {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"/v1/[a-z]+/[0-9a-f]{16}/[0-9]+"}}}}), ""},
-		"expression of a part":  {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"/v1/"}}}}), token.WrongURI},
-		"expression with group": {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"(.*)", "x"}}}}), token.BadClaim},
-		"expression, empty":     {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{}}}}), token.BadClaim},
-		"expression, unread":    {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"("}}}}), token.Malformed},
-		"unknown part":          {withClaims(m{claimURI: m{9: m{matchExact: ""}}}), token.BadClaim},
-		"unknown match":         {withClaims(m{claimURI: m{partPath: m{7: ""}}}), token.BadClaim},
-		"match without a form":  {withClaims(m{claimURI: m{partPath: m{}}}), token.Malformed},
-		"replay unknown":        {withClaims(m{claimReplay: int64(3)}), token.BadClaim},
-		"renewal without time":  {withClaims(m{claimRenewal: m{renewType: int64(1)}}), token.BadClaim},
+		"plain":                     {withClaims(nil), ""},
+		"no expiry":                 {m{claimIss: "dala"}, token.BadClaim},
+		"text as expiry":            {withClaims(m{claimExp: "soon"}), token.Malformed},
+		"expired":                   {withClaims(m{claimExp: int64(1499)}), token.Expired},
+		"float as expiry":           {withClaims(m{claimExp: 1500.5}), ""},
+		"not yet valid":             {withClaims(m{claimNbf: int64(1501)}), token.TooEarly},
+		"issued in the future":      {withClaims(m{claimIat: int64(1501)}), token.TooEarly},
+		"another issuer":            {withClaims(m{claimIss: "x"}), token.BadClaim},
+		"an audience":               {withClaims(m{claimAud: []any{"x"}}), token.BadClaim},
+		"version 1":                 {withClaims(m{claimVersion: int64(1)}), ""},
+		"version 2":                 {withClaims(m{claimVersion: int64(2)}), token.BadClaim},
+		"unknown CAT claim":         {withClaims(m{316: "KZ"}), token.BadClaim},
+		"unknown other claim":       {withClaims(m{70000: "x"}), ""},
+		"empty id":                  {withClaims(m{claimCti: []byte{}}), token.Malformed},
+		"method":                    {withClaims(m{claimMethods: []any{"GET"}}), ""},
+		"another method":            {withClaims(m{claimMethods: []any{"POST"}}), token.WrongMethod},
+		"empty method list":         {withClaims(m{claimMethods: []any{}}), token.BadClaim},
+		"address":                   {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []byte{192, 0, 2, 7}}}}), ""},
+		"another address":           {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []byte{192, 0, 2, 8}}}}), token.WrongAddress},
+		"prefix":                    {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []any{int64(24), []byte{192, 0, 2}}}}}), ""},
+		"prefix of IPv6":            {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv6, Content: []any{int64(32), []byte{0x20, 1, 0xd, 0xb8}}}}}), token.WrongAddress},
+		"prefix too long":           {withClaims(m{claimNetworkIP: []any{cbor.Tag{Number: tagIPv4, Content: []any{int64(33), []byte{192, 0, 2}}}}}), token.BadClaim},
+		"autonomous system":         {withClaims(m{claimNetworkIP: []any{int64(64500)}}), token.BadClaim},
+		"header":                    {withClaims(m{claimHeaders: map[string]any{"X-App": m{matchPrefix: "rider/"}}}), ""},
+		"another header":            {withClaims(m{claimHeaders: map[string]any{"X-App": m{matchExact: "rider/1"}}}), token.WrongURI},
+		"path prefix":               {withClaims(m{claimURI: m{partPath: m{matchPrefix: "/v1/firmware/"}}}), ""},
+		"another path":              {withClaims(m{claimURI: m{partPath: m{matchPrefix: "/v1/tiles/"}}}), token.WrongURI},
+		"host, port and scheme":     {withClaims(m{claimURI: m{partHost: m{matchExact: "cdn.example"}, 2: m{matchExact: "8443"}, partScheme: m{matchExact: "https"}}}), ""},
+		"another port":              {withClaims(m{claimURI: m{partHost: m{matchExact: "cdn.example"}, 2: m{matchExact: "443"}}}), token.WrongURI},
+		"query":                     {withClaims(m{claimURI: m{partQuery: m{matchExact: "kb=5"}}}), ""},
+		"another query":             {withClaims(m{claimURI: m{partQuery: m{matchExact: "kb=6"}}}), token.WrongURI},
+		"parent and file":           {withClaims(m{claimURI: m{5: m{2: "d655/"}, 6: m{matchExact: "3"}, 7: m{matchExact: "3"}, 8: m{matchExact: ""}}}), ""},
+		"contains":                  {withClaims(m{claimURI: m{partPath: m{3: "9c21"}}}), ""},
+		"expression":                {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"/v1/[a-z]+/[0-9a-f]{16}/[0-9]+"}}}}), ""},
+		"expression, partial match": {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"/v1/"}}}}), token.WrongURI},
+		"expression with group":     {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"(.*)", "x"}}}}), token.BadClaim},
+		"expression, empty":         {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{}}}}), token.BadClaim},
+		"expression, invalid":       {withClaims(m{claimURI: m{partPath: m{matchRegex: []any{"("}}}}), token.Malformed},
+		"unknown URI component":     {withClaims(m{claimURI: m{9: m{matchExact: ""}}}), token.BadClaim},
+		"unknown form of matching":  {withClaims(m{claimURI: m{partPath: m{7: ""}}}), token.BadClaim},
+		"empty match":               {withClaims(m{claimURI: m{partPath: m{}}}), token.Malformed},
+		"unknown catreplay value":   {withClaims(m{claimReplay: int64(3)}), token.BadClaim},
+		"renewal without lifetime":  {withClaims(m{claimRenewal: m{renewType: int64(1)}}), token.BadClaim},
 	} {
 		text, err := sign(k, x.claims)
 		if err != nil {
@@ -103,7 +105,8 @@
 	}
 }
 
-// A renewed token goes on from now, by the way that the first one names, and not before it may.
+// TestRenewal checks that a token is renewed only within its renewal window, that the renewed token is sent in the header
+// that catr requires, and that its validity starts at the time of renewal.
 func TestRenewal(t *testing.T) {
 	k, keys := testKey(t)
 	text, err := sign(k, m{claimExp: int64(2000), claimIss: "dala", claimCti: []byte("c"), claimRenewal: m{renewType: int64(2), renewAdd: int64(60), renewBefore: int64(100)}})
@@ -123,7 +126,7 @@
 	}
 }
 
-// Whatever comes as a token is refused without a fault, unless it is the one that was signed.
+// FuzzOpen checks that Open rejects any input without a panic unless the payload is the signed one.
 func FuzzOpen(f *testing.F) {
 	k, keys := testKey(f)
 	good, err := sign(k, m{claimExp: int64(2000), claimIss: "dala", claimURI: m{partPath: m{matchPrefix: "/v1/"}}})
@@ -140,13 +143,13 @@
 			_, got, _ := decode(text)
 			_, want, _ := decode(good)
 			if string(got.Payload) != string(want.Payload) {
-				t.Errorf("a forged token passed: %x", b)
+				t.Errorf("forged token accepted: %x", b)
 			}
 		}
 	})
 }
 
-// FuzzClaims has signed claims of any form read without a fault.
+// FuzzClaims checks that Open and Check process arbitrary claims with a valid signature without a panic.
 func FuzzClaims(f *testing.F) {
 	k, keys := testKey(f)
 	f.Add([]byte{0xa1, 0x04, 0x19, 0x07, 0xd0})
--- a/token/cloudcdn/cloudcdn.go
+++ b/token/cloudcdn/cloudcdn.go
@@ -1,9 +1,9 @@
-// Package cloudcdn is the dialect of Cloud CDN's signed URLs, signed URL prefixes and signed cookies.
+// Package cloudcdn implements the dialect of Cloud CDN: signed URLs, signed URL prefixes and signed cookies.
 package cloudcdn
 
 import (
 	"crypto/hmac"
-	"crypto/sha1" //nolint:gosec // the specification's
+	"crypto/sha1" //nolint:gosec // required by the specification
 	"encoding/base64"
 	"fmt"
 	"net/url"
@@ -13,7 +13,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Names of the query's parameters, and of the cookie.
+// Names of the query parameters and of the cookie.
 const (
 	ParamPrefix    = "URLPrefix"
 	ParamExpires   = "Expires"
@@ -32,10 +32,10 @@
 // Dialect implements token.Dialect.
 type Dialect struct{}
 
-// Kind is "cloudcdn".
+// Kind returns "cloudcdn".
 func (Dialect) Kind() token.Kind { return token.CloudCDN }
 
-// Ready takes a secret of 16 bytes in base64url; the key's id is the KeyName.
+// Ready requires a secret of 16 bytes in base64url. The key's id is the KeyName.
 func (Dialect) Ready(k token.Key) (token.Material, error) {
 	secret, err := base64.URLEncoding.DecodeString(k.Secret)
 	switch {
@@ -51,7 +51,7 @@
 	return token.Material{Shared: secret, Signs: true}, nil
 }
 
-// Find gives the key's name of a signed URL, else the cookie.
+// Find looks for a signed URL, which has a KeyName parameter, then for the signed cookie.
 func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
 	if q.Query.Get(ParamKey) != "" {
 		return token.Carried{Params: params}, true
@@ -66,12 +66,12 @@
 	return base64.URLEncoding.EncodeToString(m.Sum(nil))
 }
 
-// fields are what is signed, as it was sent: the text up to the signature, and its parts.
+// fields are the parsed fields of a token, undecoded.
 type fields struct {
-	signed, prefix, expires, keyName, signature string
+	signed, prefix, expires, keyName, signature string // signed is the text before the signature
 }
 
-// read takes NAME=VALUE fields joined by sep, in the order of the specification; a prefix may be left out.
+// parseFields parses NAME=VALUE fields joined by sep, in the order of the specification. URLPrefix is optional.
 func parseFields(text, sep string) (f fields, err error) {
 	bad := token.Reject(token.Malformed, "fields are missing or out of order")
 	f.signed, f.signature, _ = strings.Cut(text, sep+ParamSignature+"=")
@@ -94,14 +94,14 @@
 // Open authenticates a signed URL, a signed prefix or a signed cookie.
 func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
 	var f fields
-	uriBeforeFields := "" // what of the URI stands before the fields, where that is signed too
+	uriBeforeFields := "" // the URI up to the fields, which a signed URL without URLPrefix signs too
 	if c.From == token.InCookie {
 		if len(c.Text) > maxCookieBytes {
 			return g, token.Reject(token.Malformed, "the cookie is too long")
 		}
 		f, err = parseFields(c.Text, ":")
 	} else {
-		// The fields end the query: what comes behind them is not signed.
+		// The fields must be at the end of the query: parameters after the signature would not be signed.
 		rawQuery, fieldsStart := q.RawQuery, len(q.RawQuery)
 		for _, name := range []string{ParamExpires, ParamPrefix} {
 			if i := strings.Index("&"+rawQuery, "&"+name+"="); i >= 0 {
@@ -146,14 +146,15 @@
 	return g, err
 }
 
-// usable tells whether a prefix can be signed: a scheme and a whole host, no query and no fragment.
+// validPrefix reports whether a prefix can be signed: it needs a scheme and a complete host, and has no query or fragment.
 func validPrefix(prefix string) bool {
 	u, err := url.Parse(prefix)
 	return err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != "" && strings.HasPrefix(u.Path, "/") &&
 		!strings.ContainsAny(prefix, "?#")
 }
 
-// Issue signs one URI, or a prefix of URIs: with a URI as its parameters, without one as the cookie's value.
+// Issue signs a single URI, or a prefix of URIs. The result is a URL with the fields in its query if the terms have a URI,
+// otherwise the value of the signed cookie.
 func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
 	if t.Address != "" || t.From > 0 {
 		return out, fmt.Errorf("address and after: not with kind cloudcdn")
--- a/token/cloudfront/cloudfront.go
+++ b/token/cloudfront/cloudfront.go
@@ -1,4 +1,4 @@
-// Package cloudfront is the dialect of CloudFront's signed URLs and signed cookies, with canned and custom policies.
+// Package cloudfront implements the dialect of CloudFront: signed URLs and signed cookies, with canned and custom policies.
 package cloudfront
 
 import (
@@ -7,7 +7,7 @@
 	"crypto/ecdsa"
 	"crypto/rand"
 	"crypto/rsa"
-	"crypto/sha1" //nolint:gosec // the specification's
+	"crypto/sha1" //nolint:gosec // required by the specification
 	"crypto/sha256"
 	"encoding/base64"
 	"encoding/json"
@@ -21,7 +21,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Names of the query's parameters; a cookie's is CookiePrefix and the name.
+// Names of the query parameters. The name of a cookie is CookiePrefix followed by the name of the parameter.
 const (
 	ParamExpires   = "Expires"
 	ParamPolicy    = "Policy"
@@ -34,7 +34,7 @@
 
 const maxPolicyBytes = 4 << 10
 
-// Algorithms, as a key's alg names them. The published one is RSA with SHA-1.
+// Values of a key's alg. CloudFront's published algorithm is RS1: RSA with SHA-1.
 const (
 	RS1   = "RS1"
 	RS256 = "RS256"
@@ -44,10 +44,10 @@
 // Dialect implements token.Dialect.
 type Dialect struct{}
 
-// Kind is "cloudfront".
+// Kind returns "cloudfront".
 func (Dialect) Kind() token.Kind { return token.CloudFront }
 
-// Ready takes a key pair; the key's id is the Key-Pair-Id.
+// Ready requires a key pair. The key's id is the Key-Pair-Id.
 func (Dialect) Ready(k token.Key) (token.Material, error) {
 	switch k.Alg {
 	case "", RS1, RS256:
@@ -58,7 +58,7 @@
 	return token.Material{}, fmt.Errorf("alg: %q does not go with kind cloudfront", k.Alg)
 }
 
-// Find gives the parameters of a signed URL, else the cookies.
+// Find looks for a signed URL, then for signed cookies. The text of the token is the Key-Pair-Id.
 func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
 	if id := q.Query.Get(ParamKey); id != "" {
 		return token.Carried{Text: id, Params: params}, true
@@ -67,7 +67,7 @@
 	return token.Carried{Text: id, From: token.InCookie}, id != ""
 }
 
-// policy is the document that is signed.
+// policy is the signed JSON document.
 type policy struct {
 	Statement []statement
 }
@@ -91,10 +91,11 @@
 	IP string `json:"AWS:SourceIp"`
 }
 
-// encoding is base64 with the three characters replaced that a URL can't carry; one text has one spelling.
+// urlEncoding is base64 with -, ~ and _ in place of +, / and =, which are not safe in URLs. It is strict, so that each text
+// has only one encoding.
 var urlEncoding = base64.NewEncoding("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-~").WithPadding('_').Strict()
 
-// canned is the policy that a URL without one stands for: byte for byte as published.
+// cannedPolicy returns the policy that a URL without Policy implies, byte for byte in the published form.
 func cannedPolicy(resource, expires string) string {
 	return `{"Statement":[{"Resource":"` + resource + `","Condition":{"DateLessThan":{"AWS:EpochTime":` + expires + `}}}]}`
 }
@@ -135,6 +136,7 @@
 	return policyGrant(key.ID, signed, c.Params, policyText == "")
 }
 
+// digest returns the hash function of an algorithm and the digest of a text.
 func digest(alg string, text []byte) (crypto.Hash, []byte) {
 	if alg == "" || alg == RS1 {
 		sum := sha1.Sum(text)
@@ -155,7 +157,7 @@
 	return false
 }
 
-// grant words an authentic policy. What of it is unknown is refused, as it might limit the grant.
+// policyGrant converts an authentic policy to a grant. It rejects unknown fields, because they might restrict the grant.
 func policyGrant(key string, document []byte, params []string, isCanned bool) (g token.Grant, err error) {
 	var p policy
 	d := json.NewDecoder(bytes.NewReader(document))
@@ -182,10 +184,10 @@
 		g.Nets = []netip.Prefix{net}
 	}
 	resource := token.Pattern{Form: token.Glob, Text: s.Resource, Less: params}
-	if s.Resource == "" { // every URI
+	if s.Resource == "" { // no Resource: all URIs
 		resource.Text = "*"
 	}
-	if isCanned { // a URL without a policy names one URI, also where that holds a star
+	if isCanned { // a canned policy is for a single URI, even if the URI contains a wildcard
 		resource.Form = token.Exact
 	}
 	g.Query = isCanned || !strings.ContainsAny(resource.Text, "*?")
@@ -193,8 +195,8 @@
 	return g, err
 }
 
-// Issue signs a URL with the canned policy, or with a custom one where the terms need it. The token, apart from a URL,
-// is the cookies, joined as in a Cookie header.
+// Issue signs a URL with a canned policy, or with a custom policy if the terms have a pattern, a start or an address. The
+// Token of the result contains the signed cookies, joined as in a Cookie header.
 func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
 	u, err := t.Whole(true)
 	if err != nil {
--- a/token/dialect.go
+++ b/token/dialect.go
@@ -6,62 +6,63 @@
 	"strings"
 )
 
-// Dialect reads and writes the tokens of one specification. It authenticates a token and words it as a grant; what the
-// grant allows is Grant.Check's to decide, so no dialect judges dates, URIs, methods or addresses.
+// Dialect verifies and issues the tokens of one specification. It authenticates a token and converts it to a grant. No
+// dialect checks dates, URIs, methods or addresses against the request: Grant.Check does.
 type Dialect interface {
 	// Kind returns the dialect's name in keys and requests.
 	Kind() Kind
-	// Ready checks a key and makes it ready. Errors begin with the name of the key's field.
+	// Ready validates a key and decodes its material. Errors begin with the name of the key's field.
 	Ready(k Key) (Material, error)
-	// Find gives the token of this dialect that a request carries, if any. keys are all of the dialect.
+	// Find returns the token of this dialect that a request carries, if any. keys are all keys of the dialect.
 	Find(q *Request, keys []*Ready) (Carried, bool)
-	// Open authenticates a token that Find gave.
+	// Open authenticates a token that Find returned and converts it to a grant.
 	Open(q *Request, c Carried, keys Keys) (Grant, error)
-	// Issue signs terms with a key that signs.
+	// Issue issues a token for terms. The key must be able to sign.
 	Issue(k *Ready, t Terms) (Issued, error)
 }
 
-// Renewer is a dialect whose tokens are followed by others.
+// Renewer is a dialect whose tokens can be renewed.
 type Renewer interface {
-	// Renew gives the token that follows a grant's at now, in Unix seconds, and the name of its cookie.
+	// Renew returns the token that succeeds the token of a grant at now, in Unix seconds, and the name of the cookie or
+	// header to send it in.
 	Renew(k *Ready, g *Grant, now float64) (cookie, text string, err error)
 }
 
-// Carried is a token as a request carries it.
+// Carried is a token as found in a request.
 type Carried struct {
 	Text   string
-	Params []string // names in the query that belong to the token
+	Params []string // names of the query parameters that belong to the token
 	From   Place
-	Name   string // of the header
+	Name   string // name of the header
 }
 
-// Place is where a token stands.
+// Place is the part of a request that carries a token.
 type Place uint8
 
-// The places, in the order in which they are looked at.
+// The places, in the order in which they are searched.
 const (
 	InQuery Place = iota
 	InHeader
 	InCookie
 )
 
-// Terms are what is to be issued.
+// Terms describe a token to be issued.
 type Terms struct {
-	URI     string // one URI, whole; a dialect that signs paths takes a path with its query too; "" beside Cover: none
-	Cover   string // in place of the one URI: what the dialect's patterns say
-	ID      string // of the token, where the dialect has one
-	Single  bool   // it serves once
-	Address string // of the client, or a prefix
-	Method  string // "": GET
-	Data    string // passed along in the token
-	From    float64
-	Until   float64 // Unix seconds
-	Now     float64
-	Renew   int // seconds that a renewed token lasts
+	URI     string  // absolute URI; dialects that sign paths also accept a path with its query; "": none, only with Cover
+	Cover   string  // pattern in the syntax of the dialect, which is signed in place of the single URI
+	ID      string  // id of the token, for dialects that have one
+	Single  bool    // the token can be used once
+	Address string  // client address or prefix
+	Method  string  // "": GET
+	Data    string  // opaque data included in the token
+	From    float64 // start of validity, in Unix seconds; 0: immediately
+	Until   float64 // end of validity, in Unix seconds
+	Now     float64 // time of issue, in Unix seconds
+	Renew   int     // lifetime of a renewed token, in seconds; 0: no renewal
 }
 
-// Whole gives the URI of terms, which must have a scheme and a host, with the host in lower case. Where a token may come
-// alone there may be no URI, and then it is an empty one.
+// Whole parses the URI of terms, which must have a scheme and a host, and converts the host to lower case. If alone is set,
+// the token may be issued apart from a URL: then the URI may be missing, and an empty one is returned.
 func (t Terms) Whole(alone bool) (*url.URL, error) {
 	u, err := url.Parse(t.URI)
 	if err != nil || (u.Scheme == "" || u.Host == "") && !(alone && t.URI == "") {
@@ -71,7 +72,7 @@
 	return u, nil
 }
 
-// Join puts parameters, as they are, behind those of a URI.
+// Join appends encoded parameters to the query of a URI.
 func Join(u *url.URL, params string) string {
 	if u.RawQuery != "" {
 		return u.String() + "&" + params
@@ -81,7 +82,7 @@
 
 // Issued is an issued token.
 type Issued struct {
-	ID    string // by which it can be revoked
-	Token string // apart from any URL
-	URL   string // the URI with the token in its query; "": the token covers more than one URI
+	ID    string // id for revocation
+	Token string // the token itself, without a URL
+	URL   string // the URI with the token in its query; "": the token was issued without a URI
 }
--- a/token/edgeauth/edgeauth.go
+++ b/token/edgeauth/edgeauth.go
@@ -1,5 +1,5 @@
-// Package edgeauth is the dialect of Akamai's EdgeAuth Token 2.0: fields joined by ~ under an HMAC-SHA256, in the query,
-// a header or a cookie.
+// Package edgeauth implements the dialect of Akamai's EdgeAuth Token 2.0: fields joined by ~ and signed with HMAC-SHA256, in
+// the query, a header or a cookie.
 package edgeauth
 
 import (
@@ -15,22 +15,22 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// DefaultParam names the parameter, header or cookie where the key names none.
+// DefaultParam is the name of the parameter, header or cookie for keys that set none.
 const DefaultParam = "__token__"
 
 const (
 	maxTokenBytes  = 4 << 10
 	maxACLs        = 16
-	minSecretBytes = 16 // bytes, as the specification's own examples have
+	minSecretBytes = 16 // the size of the keys in the examples of the specification
 )
 
 // Dialect implements token.Dialect.
 type Dialect struct{}
 
-// Kind is "edgeauth".
+// Kind returns "edgeauth".
 func (Dialect) Kind() token.Kind { return token.EdgeAuth }
 
-// Ready takes a secret in hexadecimal.
+// Ready requires a secret of at least 16 bytes in hexadecimal.
 func (Dialect) Ready(k token.Key) (token.Material, error) {
 	secret, err := hex.DecodeString(k.Secret)
 	switch {
@@ -48,6 +48,7 @@
 	return token.Material{Shared: secret, Signs: true}, nil
 }
 
+// paramName returns the name of the parameter, header or cookie for tokens of a key.
 func paramName(k token.Key) string {
 	if k.Param == "" {
 		return DefaultParam
@@ -55,7 +56,8 @@
 	return k.Param
 }
 
-// Find looks for the names that the keys give, the usual one first: each in the query, the headers, the cookies.
+// Find searches for a token under the names that the keys set, beginning with the default name. For each name it searches
+// the query, the headers and the cookies.
 func (Dialect) Find(q *token.Request, keys []*token.Ready) (token.Carried, bool) {
 	if c, ok := findNamed(q, DefaultParam); ok {
 		return c, true
@@ -70,7 +72,7 @@
 	return token.Carried{}, false
 }
 
-// under gives the token that stands under a name.
+// findNamed returns the token with a name.
 func findNamed(q *token.Request, name string) (token.Carried, bool) {
 	c := token.Carried{Text: q.Query.Get(name), Name: name}
 	if c.Text == "" {
@@ -86,7 +88,7 @@
 	return c, true
 }
 
-// Fields of a token, in the order of the specification; each stands at most once.
+// Indexes of the fields of a token, in the order of the specification. Each field occurs at most once.
 const (
 	fieldIP = iota
 	fieldStart
@@ -96,11 +98,14 @@
 	fieldData
 )
 
+// fieldNames are the names of the fields in a token.
 var fieldNames = [...]string{"ip", "st", "exp", "acl", "id", "data"}
 
+// fields are the values of the fields of a token, "" for absent ones.
 type fields [len(fieldNames)]string
 
-// read takes a token apart. A field unknown, twice there or out of order is malformed: what is signed is one text.
+// parseToken splits a token into its fields, the signed text and the HMAC. Unknown, empty, repeated and out-of-order fields
+// are malformed, so that a set of fields has only one signed text.
 func parseToken(text string) (f fields, signed, mac string, err error) {
 	signed, mac, ok := strings.Cut(text, "~hmac=")
 	if !ok || len(text) > maxTokenBytes {
@@ -121,7 +126,7 @@
 	return f, signed, mac, nil
 }
 
-// sum signs the fields with what is not in the token: the path, where the token has no acl, and the salt.
+// computeMAC returns the HMAC of the fields and of what is not in the token: the path, if the token has no acl, and the salt.
 func computeMAC(k *token.Ready, signed, path string) string {
 	if path != "" {
 		signed += "~url=" + path
@@ -134,7 +139,7 @@
 	return hex.EncodeToString(m.Sum(nil))
 }
 
-// Open authenticates a token. It names no key, so each key in force whose parameter it came under is tried.
+// Open authenticates a token. Tokens do not name their key, so it tries each valid key whose parameter name matches.
 func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
 	f, signed, mac, err := parseToken(c.Text)
 	if err != nil {
@@ -157,6 +162,7 @@
 	return g, rejection
 }
 
+// grant converts the fields of an authentic token to a grant. path is "" if the token has an acl.
 func (f *fields) grant(key, signed, path string) (g token.Grant, err error) {
 	g = token.Grant{Key: key, ID: token.IDOf(signed + "~" + path), Subject: f[fieldID]}
 	if g.Until, err = parseDate(f[fieldExpiry]); err != nil {
@@ -189,6 +195,7 @@
 	return g, err
 }
 
+// parseDate parses a date in Unix seconds.
 func parseDate(text string) (float64, error) {
 	n, ok := token.Number(text, 40)
 	if !ok || n == 0 {
@@ -197,7 +204,7 @@
 	return float64(n), nil
 }
 
-// Issue signs a token for one path, or for the paths that an acl names.
+// Issue signs a token for a single path, or for all paths that an acl matches.
 func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
 	u, err := url.Parse(t.URI)
 	if err != nil {
--- a/token/grant.go
+++ b/token/grant.go
@@ -1,7 +1,6 @@
-// Package token is the core of signed URLs and tokens: what a grant allows, the keys, and the form that the dialects
-// share. A dialect is a package below this one: it authenticates a token of its specification and words it as a Grant,
-// and issues tokens. What a grant allows is decided here alone. All of it depends on the key, the time and the
-// request alone.
+// Package token is the core of signed URLs and tokens: grants, keys, and the interface of the dialects. Each dialect is a
+// package below this one, which issues the tokens of its specification, authenticates them and converts them to a Grant.
+// Only this package decides what a grant allows. All results depend only on the key, the time and the request.
 package token
 
 import (
@@ -13,47 +12,48 @@
 
 // Grant is what an authentic token allows, whatever its dialect.
 type Grant struct {
-	Key     string
+	Key     string // id of the key
 	Kind    Kind
-	ID      string         // names the token: what it carries as its id, else a digest of all that is signed; "": it has none
-	Subject string         // whom it was issued to, where it says
-	URIs    []Pattern      // one of them must match
-	Also    []Pattern      // all of them must
-	Headers []HeaderTerm   // all of them must be there
-	Query   bool           // it covers the query too; what it does not cover is passed over
-	Methods []string       // "": any
-	Nets    []netip.Prefix // client addresses; none: any
-	From    float64        // Unix seconds; 0: from ever
-	Issued  float64        // Unix seconds; 0: not told
-	Until   float64        // Unix seconds; 0: it has no end, and is refused
-	Uses    int            // 1: it serves once, also for reads; 0: no bound
+	ID      string         // id that the token carries, otherwise a digest of the signed text; "": none
+	Subject string         // party that the token was issued to, if it states one
+	URIs    []Pattern      // at least one must match
+	Also    []Pattern      // all must match
+	Headers []HeaderTerm   // all must match
+	Query   bool           // the token covers the query; if false, the query is ignored
+	Methods []string       // allowed methods; empty: any
+	Nets    []netip.Prefix // allowed client addresses; empty: any
+	From    float64        // start of validity, in Unix seconds; 0: none
+	Issued  float64        // time of issue, in Unix seconds; 0: unknown
+	Until   float64        // end of validity, in Unix seconds; 0: none, so Check rejects the grant
+	Uses    int            // 1: the token can be used once, also for reads; 0: unlimited
 	Renewal Renewal
-	Vary    string // the header that carried it; "": the URL did
-	Native  any    // what the dialect needs to issue it anew
+	Vary    string // name of the request header that carried the token; "": the URL carried it
+	Native  any    // claims in the dialect's own type, kept for renewal
 }
 
-// Renewal is how a token is followed by the next one.
+// Renewal is the way in which a token is renewed.
 type Renewal struct {
-	Seconds int // that the next one lasts; 0: none follows
-	Cookie  bool
-	Header  bool
-	Depth   int     // leading path segments that a cookie is kept for
-	Before  float64 // s before the end from which on one follows; 0: always
+	Seconds int     // lifetime of the renewed token; 0: no renewal
+	Cookie  bool    // send the renewed token in a cookie
+	Header  bool    // send the renewed token in a response header
+	Depth   int     // number of leading path segments in the Path attribute of the cookie
+	Before  float64 // renew only during the last Before seconds of the validity; 0: always
 }
 
-// HeaderTerm is what a header of the request must be.
+// HeaderTerm is a pattern that the value of a request header must match.
 type HeaderTerm struct {
 	Name    string
 	Pattern Pattern
 }
 
-// Use names a grant's one use across keys.
+// Use returns the name of the token for claims and revocations, which is unique across keys.
 func (g Grant) Use() string { return g.Key + "/" + g.ID }
 
-// dateMost bounds dates, in Unix seconds.
+// maxDate is the maximum absolute value of dates, in Unix seconds.
 const maxDate = 1e12
 
-// Check decides whether a grant allows a request at now, in Unix seconds, with a leeway for clocks that differ.
+// Check returns an error unless a grant allows a request at now, in Unix seconds. leeway is the clock skew to tolerate, in
+// seconds.
 func (g *Grant) Check(q *Request, now, leeway float64) error {
 	for _, v := range []float64{g.From, g.Issued, g.Until} {
 		if math.IsNaN(v) || math.Abs(v) > maxDate {
@@ -61,7 +61,7 @@
 		}
 	}
 	switch {
-	case g.Until == 0: // a token without an end can't be taken back by time
+	case g.Until == 0: // a token without an expiry would stay valid forever
 		return Reject(BadClaim, "the end of its validity is missing")
 	case now > g.Until+leeway:
 		return Reject(Expired, "expired")
@@ -81,6 +81,7 @@
 	return nil
 }
 
+// coversURI reports whether the URI of a request matches one of the patterns in URIs and all of those in Also.
 func (g *Grant) coversURI(q *Request) bool {
 	for i := range g.URIs {
 		if g.URIs[i].matches(q) {
@@ -90,6 +91,7 @@
 	return false
 }
 
+// matchesAll reports whether the URI of a request matches all patterns in Also.
 func (g *Grant) matchesAll(q *Request) bool {
 	for i := range g.Also {
 		if !g.Also[i].matches(q) {
@@ -99,6 +101,7 @@
 	return true
 }
 
+// matchesHeaders reports whether the headers of a request match all header patterns.
 func (g *Grant) matchesHeaders(q *Request) bool {
 	for i := range g.Headers {
 		if h := &g.Headers[i]; !h.Pattern.matchesText(q.HeaderOf(h.Name)) {
@@ -108,13 +111,13 @@
 	return true
 }
 
-// Renews tells whether a token follows this one at now, in Unix seconds.
+// Renews reports whether the token is to be renewed at now, in Unix seconds.
 func (g *Grant) Renews(now float64) bool {
 	r := &g.Renewal
 	return r.Seconds > 0 && (r.Cookie || r.Header) && (r.Before == 0 || now >= g.Until-r.Before)
 }
 
-// takes tells whether a method is allowed; who may GET may HEAD.
+// allowsMethod reports whether a method is allowed. A grant for GET includes HEAD.
 func (g *Grant) allowsMethod(method string) bool {
 	for _, m := range g.Methods {
 		if m == method || m == "GET" && method == "HEAD" {
@@ -124,6 +127,7 @@
 	return len(g.Methods) == 0
 }
 
+// allowsAddress reports whether a client address is allowed.
 func (g *Grant) allowsAddress(addr netip.Addr) bool {
 	for _, n := range g.Nets {
 		if n.Contains(addr.Unmap()) {
@@ -133,7 +137,7 @@
 	return len(g.Nets) == 0
 }
 
-// Net reads an address or a prefix.
+// Net parses an address or a prefix. An address gives the prefix that contains only this address.
 func Net(text string) (netip.Prefix, error) {
 	if a, err := netip.ParseAddr(text); err == nil && a.Zone() == "" {
 		return netip.PrefixFrom(a, a.BitLen()), nil
@@ -145,10 +149,11 @@
 	return p, nil
 }
 
-// Why is the kind of a rejection.
+// Why is the reason code of a rejection.
 type Why string
 
-// The kinds. Missing asks for a token, Malformed for a readable request; the others are refused.
+// The reason codes. Missing asks the client for a token and Malformed for a well-formed request. All others mean that the
+// request is forbidden.
 const (
 	Missing      Why = "missing"
 	Malformed    Why = "malformed"
@@ -162,19 +167,19 @@
 	WrongAddress Why = "wrong_address"
 )
 
-// Rejection says why a token is not accepted.
+// Rejection is the error for a token that is not accepted.
 type Rejection struct {
 	Why  Why
 	Text string
 }
 
-// Error returns the reason in words.
+// Error returns the reason as text.
 func (r *Rejection) Error() string { return "token: " + r.Text }
 
-// Reject makes a rejection.
+// Reject returns a rejection.
 func Reject(why Why, text string) error { return &Rejection{why, text} }
 
-// WhyOf gives the kind of an error of this package.
+// WhyOf returns the reason code of an error, Malformed if it is not a rejection.
 func WhyOf(err error) Why {
 	var r *Rejection
 	if errors.As(err, &r) {
@@ -183,17 +188,17 @@
 	return Malformed
 }
 
-// Request is what a token is checked against, as the client sent it.
+// Request is the request of a client, unmodified, that a token is checked against.
 type Request struct {
 	Scheme, Host, Path, RawQuery string
 	Method                       string
-	Addr                         netip.Addr               // of the client
-	Header, Cookie               func(name string) string // "": there is none; nil: there are none at all
+	Addr                         netip.Addr               // client address
+	Header, Cookie               func(name string) string // return the value of a name, "" if there is none; nil: the request has none
 
-	Query Query // RawQuery parsed; the ring sees to it
+	Query Query // parsed form of RawQuery, set by Ring.Verify
 }
 
-// CookieOf gives a cookie's value.
+// CookieOf returns the value of a cookie.
 func (q *Request) CookieOf(name string) string {
 	if q.Cookie == nil {
 		return ""
@@ -201,7 +206,7 @@
 	return q.Cookie(name)
 }
 
-// HeaderOf gives a header's value.
+// HeaderOf returns the value of a header.
 func (q *Request) HeaderOf(name string) string {
 	if q.Header == nil {
 		return ""
@@ -209,7 +214,7 @@
 	return q.Header(name)
 }
 
-// URI is the whole URI without some parameters, all else as it was sent.
+// URI returns the absolute URI without the named query parameters. The host is in lower case, everything else as sent.
 func (q *Request) URI(without ...string) string {
 	uri := q.Scheme + "://" + strings.ToLower(q.Host) + q.Path
 	if raw := rawWithout(q.RawQuery, without); raw != "" {
@@ -218,6 +223,7 @@
 	return uri
 }
 
+// rawWithout removes the named parameters from an encoded query.
 func rawWithout(raw string, names []string) string {
 	var keep []string
 next:
--- a/token/hmacurl/hmacurl.go
+++ b/token/hmacurl/hmacurl.go
@@ -1,5 +1,5 @@
-// Package hmacurl is turnfork's own dialect: URLs signed with HMAC-SHA256 over path, expiry, key, nonce and all other
-// parameters.
+// Package hmacurl implements turnfork's own dialect: URLs signed with HMAC-SHA256 over path, expiry, key id, nonce and all
+// other parameters.
 package hmacurl
 
 import (
@@ -14,7 +14,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Names of the query's parameters.
+// Names of the query parameters.
 const (
 	ParamExpires   = "expires"
 	ParamKey       = "keyid"
@@ -27,10 +27,10 @@
 // Dialect implements token.Dialect.
 type Dialect struct{}
 
-// Kind is "hmac".
+// Kind returns "hmac".
 func (Dialect) Kind() token.Kind { return token.HMAC }
 
-// Ready takes a secret in base64, 32 bytes at least.
+// Ready requires a secret of at least 32 bytes in base64.
 func (Dialect) Ready(k token.Key) (token.Material, error) {
 	if k.Alg != "" && k.Alg != "HS256" {
 		return token.Material{}, fmt.Errorf("alg: %q does not go with kind hmac", k.Alg)
@@ -39,12 +39,13 @@
 	return token.Material{Shared: secret, Signs: true}, err
 }
 
-// Find gives the signature, which each signed URL has.
+// Find returns the signature parameter, which every signed URL has.
 func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
 	return token.Carried{Text: q.Query.Get(ParamSignature), Params: params}, q.Query.Get(ParamSignature) != ""
 }
 
-// toSign is what a URL's signature covers: path, expiry, key and nonce, then all other parameters sorted by name.
+// signingInput returns the text that the signature covers: path, expiry, key id and nonce, then all other parameters sorted
+// by name.
 func signingInput(path, expires, key, nonce string, rest token.Query) []byte {
 	rest = append(token.Query(nil), rest...)
 	sort.Slice(rest, func(i, j int) bool { return rest[i].Name < rest[j].Name })
@@ -59,7 +60,7 @@
 
 // Open authenticates a signed URL.
 func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
-	if q.RawQuery != q.Query.String() { // the signature covers what the query says, so it may be spelled in one way alone
+	if q.RawQuery != q.Query.String() { // the signature covers the decoded parameters, so only one encoding of them may be accepted
 		return g, token.Reject(token.Malformed, "the query is not in canonical form")
 	}
 	expires, nonce := q.Query.Get(ParamExpires), q.Query.Get(ParamNonce)
@@ -79,7 +80,7 @@
 	}, nil
 }
 
-// Issue signs a path and its parameters; the URL comes without scheme and host where the terms have none.
+// Issue signs a path and its parameters. The URL has a scheme and a host only if the URI of the terms has them.
 func (Dialect) Issue(key *token.Ready, t token.Terms) (out token.Issued, err error) {
 	u, err := url.Parse(t.URI)
 	if err != nil {
--- a/token/jws/jws.go
+++ b/token/jws/jws.go
@@ -1,4 +1,4 @@
-// Package jws is the dialect of URI Signing packages (RFC 9246): a JWS in compact form.
+// Package jws implements the dialect of URI Signing packages (RFC 9246), which are JWS in compact serialization.
 package jws
 
 import (
@@ -13,10 +13,10 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Param names the query's parameter and the cookie that carry a package.
+// Param is the name of the query parameter and of the cookie that carry a package.
 const Param = "URISigningPackage"
 
-// Claims are the claims of a URI Signing package that are understood here (RFC 9246, 2.1).
+// Claims are the supported claims of a URI Signing package (RFC 9246, 2.1).
 type Claims struct {
 	Issuer    string   `json:"iss,omitempty"`
 	Subject   string   `json:"sub,omitempty"`
@@ -29,15 +29,15 @@
 	Critical  []string `json:"cdnicrit,omitempty"`
 	ClientIP  string   `json:"cdniip,omitempty"`
 	Container string   `json:"cdniuc,omitempty"`
-	Renew     int      `json:"cdniets,omitempty"` // seconds that a renewed package lasts
-	Transport int      `json:"cdnistt,omitempty"` // 0 none, 1 cookie
-	Depth     int      `json:"cdnistd,omitempty"` // leading path segments that a renewal keeps
+	Renew     int      `json:"cdniets,omitempty"` // lifetime of a renewed package, in seconds
+	Transport int      `json:"cdnistt,omitempty"` // transport of renewed packages: 0 none, 1 cookie
+	Depth     int      `json:"cdnistd,omitempty"` // leading path segments in the Path attribute of the renewed cookie
 }
 
 // audience is one name or a list of names.
 type audience []string
 
-// UnmarshalJSON reads a string or an array of strings (RFC 7519, 4.1.3). Anything else is an error.
+// UnmarshalJSON accepts a string or an array of strings (RFC 7519, 4.1.3).
 func (a *audience) UnmarshalJSON(b []byte) error {
 	var one string
 	if json.Unmarshal(b, &one) == nil {
@@ -47,7 +47,7 @@
 	return json.Unmarshal(b, (*[]string)(a))
 }
 
-// MarshalJSON writes a single name as a string, and several as an array.
+// MarshalJSON encodes a single name as a string, and several names as an array.
 func (a audience) MarshalJSON() ([]byte, error) {
 	if len(a) == 1 {
 		return json.Marshal(a[0])
@@ -55,29 +55,30 @@
 	return json.Marshal([]string(a))
 }
 
-// Bounds of a package.
+// Limits of a package.
 const (
 	maxPackageBytes = 8 << 10
 )
 
-// understood are the claims that a package may name as critical.
+// knownClaims are the claims that a package may list in cdnicrit.
 var knownClaims = map[string]bool{
 	"iss": true, "sub": true, "aud": true, "exp": true, "nbf": true, "iat": true, "jti": true, "cdniv": true,
 	"cdnicrit": true, "cdniip": true, "cdniuc": true, "cdniets": true, "cdnistt": true, "cdnistd": true,
 }
 
-// algs lists what a package's header may say, before the key is known.
+// algs are the algorithms that the header of a package may state. The algorithm of the key is checked later.
 var algs = []jose.SignatureAlgorithm{jose.HS256, jose.ES256, jose.EdDSA, jose.RS256}
 
+// families gives the type of key pair for each asymmetric algorithm.
 var families = map[string]token.Family{"ES256": token.P256, "EdDSA": token.Ed25519, "RS256": token.RSA}
 
 // Dialect implements token.Dialect and token.Renewer.
 type Dialect struct{}
 
-// Kind is "jws".
+// Kind returns "jws".
 func (Dialect) Kind() token.Kind { return token.JWS }
 
-// Ready takes a secret of 32 bytes for HS256, a key pair for ES256, EdDSA and RS256.
+// Ready requires a secret of at least 32 bytes for HS256, and a key pair for ES256, EdDSA and RS256.
 func (Dialect) Ready(k token.Key) (token.Material, error) {
 	m, err := k.Choice(families)
 	if err != nil || k.IPSecret == "" {
@@ -90,10 +91,10 @@
 	return m, nil
 }
 
-// sealings are the ciphers of client addresses, by the size of the key.
+// addressCiphers are the ciphers for client addresses, by key size in bytes.
 var addressCiphers = map[int]jose.ContentEncryption{16: jose.A128GCM, 32: jose.A256GCM}
 
-// seal encrypts a client address or prefix as cdniip wants it: a JWE in compact form (RFC 9246, 2.1.9).
+// encryptAddress encrypts a client address or prefix for cdniip: a JWE in compact serialization (RFC 9246, 2.1.9).
 func encryptAddress(k *token.Ready, address string) (string, error) {
 	if k.Sealing == nil {
 		return "", fmt.Errorf("address: the key has no ip_secret")
@@ -109,8 +110,8 @@
 	return encrypted.CompactSerialize()
 }
 
-// unseal gives the prefix that a client's address must match. An address may stand in brackets, and a prefix may have
-// bits beyond its length, as in the specification's example.
+// decryptAddress decrypts cdniip and returns the prefix that the client address must match. An address may be in brackets,
+// and a prefix may have bits set beyond its length, as in the example of the specification.
 func decryptAddress(k *token.Ready, text string) (net netip.Prefix, err error) {
 	if k.Sealing == nil {
 		return net, token.Reject(token.BadClaim, "cdniip: the key has no ip_secret")
@@ -134,7 +135,7 @@
 	return p.Masked(), nil
 }
 
-// Find gives the package of the query, else that of the cookie.
+// Find returns the package in the query, otherwise the one in the cookie.
 func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
 	c := token.Carried{Text: q.Query.Get(Param), Params: []string{Param}}
 	if c.Text == "" {
@@ -152,7 +153,7 @@
 	if err != nil {
 		return g, token.Reject(token.Malformed, "no JWS in compact form")
 	}
-	for part := range strings.SplitSeq(carried.Text, ".") { // one spelling: no spare bits that a reader passes over
+	for part := range strings.SplitSeq(carried.Text, ".") { // strict: lenient decoders ignore unused trailing bits
 		if _, err := base64.RawURLEncoding.Strict().DecodeString(part); err != nil {
 			return g, token.Reject(token.Malformed, "no JWS in compact form")
 		}
@@ -162,7 +163,7 @@
 	if err != nil {
 		return g, err
 	}
-	if header.Algorithm != key.Alg { // the key's algorithm, never the token's choice
+	if header.Algorithm != key.Alg { // the key determines the algorithm, never the token
 		return g, token.Reject(token.BadSignature, "the algorithm is not the key's")
 	}
 	var verificationKey any = key.Verifier
@@ -188,7 +189,7 @@
 	return g, err
 }
 
-// check judges what is the package's own. Dates and the URI are the grant's.
+// check validates the claims that are specific to packages. Grant.Check checks the dates and the URI.
 func (c *Claims) check(key *token.Ready, payload []byte) error {
 	if err := c.checkCritical(payload); err != nil {
 		return err
@@ -203,7 +204,7 @@
 		return token.Reject(token.Malformed, "jti: too long")
 	case c.Expires == nil || *c.Expires == 0:
 		return token.Reject(token.BadClaim, "exp: missing")
-	case c.Transport != 0 && c.Transport != 1: // the one that is registered (RFC 9246, 6.5)
+	case c.Transport != 0 && c.Transport != 1: // 1 is the only registered transport (RFC 9246, 6.5)
 		return token.Reject(token.BadClaim, "cdnistt: unknown transport")
 	case c.Depth < 0:
 		return token.Reject(token.Malformed, "cdnistd: negative")
@@ -213,7 +214,7 @@
 	return nil
 }
 
-// critical holds cdnicrit to its rules: claims that are there, each named once and understood.
+// checkCritical enforces the rules of cdnicrit: each claim that it lists is present, supported and listed only once.
 func (c *Claims) checkCritical(payload []byte) error {
 	var present map[string]json.RawMessage
 	if err := json.Unmarshal(payload, &present); err != nil {
@@ -233,7 +234,7 @@
 	return nil
 }
 
-// grant words the claims as a grant.
+// grant converts the claims to a grant.
 func (c *Claims) grant(key string) (g token.Grant, err error) {
 	uris, err := parseContainer(c.Container)
 	if err != nil {
@@ -252,7 +253,7 @@
 	return g, nil
 }
 
-// container reads cdniuc. It speaks of the URI without the package, with all else as it was sent.
+// parseContainer parses cdniuc, which is matched against the URI without the package and otherwise as sent.
 func parseContainer(text string) ([]token.Pattern, error) {
 	p := token.Pattern{Less: []string{Param}}
 	if hash, ok := strings.CutPrefix(text, "hash:"); ok {
@@ -265,10 +266,10 @@
 	return token.Compile(p)
 }
 
-// HashContainer names exactly one URI.
+// HashContainer returns a container (cdniuc) that matches exactly one URI.
 func HashContainer(uri string) string { return "hash:" + token.DigestOf(uri) }
 
-// Issue signs a package for one URI, or for those that a POSIX regular expression covers.
+// Issue signs a package for a single URI, or for all URIs that match a POSIX regular expression.
 func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
 	u, err := t.Whole(false)
 	if err != nil {
@@ -304,7 +305,7 @@
 	return out, nil
 }
 
-// Sign signs claims. iss and aud come from the key where left out.
+// Sign signs claims. Missing iss and aud claims are taken from the key.
 func Sign(key *token.Ready, c Claims) (string, error) {
 	if c.Issuer == "" {
 		c.Issuer = key.Issuer
@@ -342,7 +343,7 @@
 	return sig.CompactSerialize()
 }
 
-// Renew gives the package that follows one with signed token renewal: the same claims, from now on.
+// Renew returns the next package for one with signed token renewal: the same claims, with the validity starting now.
 func (Dialect) Renew(k *token.Ready, g *token.Grant, now float64) (cookie, text string, err error) {
 	c, ok := g.Native.(Claims)
 	if !ok {
--- a/token/key.go
+++ b/token/key.go
@@ -13,13 +13,13 @@
 	"slices"
 )
 
-// Kind names a dialect, as the operator's file and the API do.
+// Kind is the name of a dialect in the operator's file and in the API.
 type Kind string
 
-// The kinds.
+// The kinds, one for each dialect.
 const (
 	JWS        Kind = "jws"        // URI Signing packages (RFC 9246)
-	HMAC       Kind = "hmac"       // turnfork's own signed URLs
+	HMAC       Kind = "hmac"       // signed URLs of turnfork's own dialect
 	EdgeAuth   Kind = "edgeauth"   // Akamai EdgeAuth Token 2.0
 	CloudFront Kind = "cloudfront" // CloudFront signed URLs and cookies
 	CloudCDN   Kind = "cloudcdn"   // Cloud CDN signed URLs and cookies
@@ -27,33 +27,33 @@
 	CAT        Kind = "cat"        // Common Access Token (CTA-5007)
 )
 
-// Key is one signing key as the operator writes it. Its dialect and its algorithm are fixed: what a token says of them
-// must agree and chooses nothing.
+// Key is a signing key as the operator configures it. The key fixes the dialect and the algorithm: the values that a token
+// states must agree with it and select nothing.
 type Key struct {
 	ID        string  `json:"id" toml:"id"`
 	Kind      Kind    `json:"kind" toml:"kind"`
-	Alg       string  `json:"alg,omitempty" toml:"alg"`             // where the dialect leaves a choice
-	Secret    string  `json:"secret,omitempty" toml:"secret"`       // of shared secrets, as the dialect writes them
-	Public    string  `json:"public,omitempty" toml:"public"`       // PEM, of the others
-	Private   string  `json:"private,omitempty" toml:"private"`     // PEM; only where tokens are issued
-	Issuer    string  `json:"issuer,omitempty" toml:"issuer"`       // jws: iss that its tokens must carry
-	Audience  string  `json:"audience,omitempty" toml:"audience"`   // jws: aud that its tokens must carry, if any
-	IPSecret  string  `json:"ip_secret,omitempty" toml:"ip_secret"` // jws: base64 of 16 or 32 bytes, which seals client addresses
-	Param     string  `json:"param,omitempty" toml:"param"`         // edgeauth: the parameter, cookie or header; "": __token__
-	Salt      string  `json:"salt,omitempty" toml:"salt"`           // edgeauth: signed, and not in the token
-	Region    string  `json:"region,omitempty" toml:"region"`       // presign
-	Service   string  `json:"service,omitempty" toml:"service"`     // presign
-	NotBefore float64 `json:"not_before,omitempty" toml:"not_before"`
-	NotAfter  float64 `json:"not_after,omitempty" toml:"not_after"` // Unix seconds; 0: no end
+	Alg       string  `json:"alg,omitempty" toml:"alg"`               // only for dialects with several algorithms
+	Secret    string  `json:"secret,omitempty" toml:"secret"`         // shared secret, in the encoding of the dialect
+	Public    string  `json:"public,omitempty" toml:"public"`         // PEM public key, for asymmetric algorithms
+	Private   string  `json:"private,omitempty" toml:"private"`       // PEM private key; only needed to issue tokens
+	Issuer    string  `json:"issuer,omitempty" toml:"issuer"`         // jws, cat: required iss claim of tokens; "": any
+	Audience  string  `json:"audience,omitempty" toml:"audience"`     // jws, cat: required aud claim of tokens; "": tokens must have none
+	IPSecret  string  `json:"ip_secret,omitempty" toml:"ip_secret"`   // jws: base64 of the 16 or 32 byte key that encrypts client addresses
+	Param     string  `json:"param,omitempty" toml:"param"`           // edgeauth: name of the parameter, cookie or header; "": __token__
+	Salt      string  `json:"salt,omitempty" toml:"salt"`             // edgeauth: included in the signature, but not in the token
+	Region    string  `json:"region,omitempty" toml:"region"`         // presign
+	Service   string  `json:"service,omitempty" toml:"service"`       // presign
+	NotBefore float64 `json:"not_before,omitempty" toml:"not_before"` // Unix seconds
+	NotAfter  float64 `json:"not_after,omitempty" toml:"not_after"`   // Unix seconds; 0: no expiry
 }
 
-// leastSecret bounds shared secrets, in bytes, where a dialect's specification has no other size.
+// minSecretBytes is the minimum size of shared secrets for dialects whose specification sets no other size.
 const minSecretBytes = 32
 
-// IDMost bounds a token's id, in characters.
+// IDMost is the maximum length of a token id, in bytes.
 const IDMost = 128
 
-// Base64 reads the secret of a key as standard base64.
+// Base64 decodes the secret of a key from standard base64.
 func (k Key) Base64() ([]byte, error) {
 	secret, err := base64.StdEncoding.DecodeString(k.Secret)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return secret, nil
 }
 
-// Choice makes a key of the algorithm that its alg names ready: HS256 by a shared secret, any other of the families by a
-// key pair.
+// Choice loads the key material for the algorithm named by alg: a shared secret for HS256, otherwise a key pair of the
+// type that families gives for the algorithm.
 func (k Key) Choice(families map[string]Family) (Material, error) {
 	if k.Alg == "HS256" {
 		secret, err := k.Base64()
@@ -79,8 +79,8 @@
 	return k.Pair(family)
 }
 
-// Bind holds a token's issuer and audience to those of its key, where the key names them; a token for some audience is
-// for nobody whose key names none.
+// Bind checks the issuer and the audience of a token against those of its key. A key without an issuer accepts any issuer;
+// a key without an audience accepts only tokens that have no audience.
 func (k Key) Bind(issuer string, audience []string) error {
 	switch {
 	case k.Issuer != "" && issuer != k.Issuer:
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Pair reads the private or public key of a key; family tells which the algorithm takes.
+// Pair loads the private or public key of a key. family is the type of key pair that the algorithm requires.
 func (k Key) Pair(family Family) (Material, error) {
 	var m Material
 	if k.Private != "" {
@@ -126,16 +126,17 @@
 	return m, nil
 }
 
-// Family is a kind of key pair.
+// Family is a type of key pair.
 type Family uint8
 
-// The families. RSA keys have 2048 bits at least.
+// The types of key pairs. RSA keys must have at least 2048 bits.
 const (
 	RSA Family = iota
 	P256
 	Ed25519
 )
 
+// accepts reports whether a public key has this type.
 func (f Family) accepts(key any) bool {
 	switch key := key.(type) {
 	case *ecdsa.PublicKey:
@@ -148,34 +149,34 @@
 	return false
 }
 
-// Material is what a key's text stands for.
+// Material is the decoded form of a key's secret or PEM blocks.
 type Material struct {
-	Shared   []byte // a secret
+	Shared   []byte // shared secret; nil for a key pair
 	Verifier crypto.PublicKey
-	Signer   crypto.Signer // nil: it only verifies
-	Signs    bool          // it can issue
-	Sealing  []byte        // jws: seals client addresses; none: tokens with one are refused
+	Signer   crypto.Signer // nil: there is no private key
+	Signs    bool          // the key can issue tokens
+	Sealing  []byte        // jws: key that encrypts client addresses; nil: tokens with an address are rejected
 }
 
-// Ready is a key ready for use.
+// Ready is a validated key with its decoded material.
 type Ready struct {
 	Key
 	Material
 }
 
-// inForce tells whether a key may verify at now.
+// inForce reports whether a key may verify tokens at now.
 func (k *Ready) inForce(now, leeway float64) bool {
 	return now >= k.NotBefore-leeway && (k.NotAfter == 0 || now <= k.NotAfter+leeway)
 }
 
-// Keys are a dialect's keys at a time.
+// Keys are the keys of a dialect and the time at which their validity is checked.
 type Keys struct {
 	All    []*Ready
 	Now    float64 // Unix seconds
-	Leeway float64
+	Leeway float64 // seconds of clock skew to tolerate
 }
 
-// Find gives a key that is in force.
+// Find returns the key with an id, provided that it is valid at k.Now.
 func (k Keys) Find(id string) (*Ready, error) {
 	for _, r := range k.All {
 		if r.ID != id {
@@ -189,7 +190,7 @@
 	return nil, Reject(BadKey, "unknown key")
 }
 
-// InForce gives the keys that are in force.
+// InForce returns the keys that are valid at k.Now.
 func (k Keys) InForce() (out []*Ready) {
 	for _, r := range k.All {
 		if r.inForce(k.Now, k.Leeway) {
--- a/token/pattern.go
+++ b/token/pattern.go
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// Form is how a pattern names URIs.
+// Form is the way in which a pattern is matched.
 type Form uint8
 
-// The forms.
+// The forms of matching.
 const (
 	Exact    Form = iota
-	Prefix        // of characters
-	Glob          // * any characters, ? one
-	Posix         // a POSIX extended regular expression that must cover all
-	Digest        // RFC 6920's segment form of SHA-256
-	Suffix        // of characters
-	Contains      // somewhere
-	Sum256        // SHA-256, as bytes
-	Sum512        // SHA-512/256, as bytes
+	Prefix        // literal prefix
+	Glob          // * matches any characters, ? exactly one
+	Posix         // POSIX extended regular expression that must match the entire text
+	Digest        // SHA-256 in the segment form of RFC 6920
+	Suffix        // literal suffix
+	Contains      // literal substring
+	Sum256        // SHA-256, as raw bytes
+	Sum512        // SHA-512/256, as raw bytes
 )
 
-// Part is what of a URI a pattern speaks of.
+// Part is the URI component that a pattern is matched against.
 type Part uint8
 
-// The parts. A file's name is the last segment of the path; its stem ends before the last dot, and the extension begins
-// with it.
+// The URI components. The file name is the last segment of the path. Its stem ends before the last dot; the extension
+// begins with that dot.
 const (
 	OnURI Part = iota
 	OnScheme
@@ -42,22 +42,22 @@
 	OnExtension
 )
 
-// Pattern names URIs that a grant is for.
+// Pattern matches a URI component or the value of a header.
 type Pattern struct {
 	Form Form
 	Text string
 	On   Part
-	Less []string // parameters of the token's own, which URI and query are read without
+	Less []string // query parameters that carry the token, which are removed from URI and query before matching
 	expr *regexp.Regexp
 }
 
-// Bounds of patterns.
+// Limits on the patterns of a token.
 const (
 	maxPatternBytes = 1 << 10
 	maxPatterns     = 32
 )
 
-// Compile checks a pattern and makes it ready.
+// Compile validates a pattern and prepares it for matching.
 func (p *Pattern) Compile() error {
 	if len(p.Text) > maxPatternBytes {
 		return Reject(Malformed, "a pattern is too long")
@@ -65,14 +65,14 @@
 	if p.Form != Posix {
 		return nil
 	}
-	var err error // expressions run in linear time
+	var err error // package regexp matches in time linear in the length of the text
 	if p.expr, err = regexp.CompilePOSIX(p.Text); err != nil {
 		return Reject(Malformed, "no POSIX regular expression")
 	}
 	return nil
 }
 
-// Compile checks patterns and makes them ready.
+// Compile validates patterns and prepares them for matching.
 func Compile(ps ...Pattern) ([]Pattern, error) {
 	if len(ps) > maxPatterns {
 		return nil, Reject(Malformed, "too many patterns")
@@ -87,7 +87,7 @@
 
 func (p *Pattern) matches(q *Request) bool { return p.matchesText(q.part(p.On, p.Less)) }
 
-// part gives a part of a request's URI.
+// part returns a component of a request's URI.
 func (q *Request) part(component Part, excluded []string) string {
 	host, port, _ := strings.Cut(strings.ToLower(q.Host), ":")
 	nameStart := strings.LastIndexByte(q.Path, '/') + 1
@@ -122,7 +122,7 @@
 	return q.URI(excluded...)
 }
 
-// fits tells whether a text is as the pattern says.
+// matchesText reports whether a text matches the pattern.
 func (p *Pattern) matchesText(text string) bool {
 	switch p.Form {
 	case Suffix:
@@ -150,13 +150,14 @@
 	return false
 }
 
-// DigestOf is the digest of a URI in RFC 6920's segment form.
+// DigestOf returns the SHA-256 digest of a URI in the segment form of RFC 6920.
 func DigestOf(uri string) string {
 	sum := sha256.Sum256([]byte(uri))
 	return "sha-256;" + base64.RawURLEncoding.EncodeToString(sum[:])
 }
 
-// glob matches in time linear in the product of the lengths, with no recursion.
+// glob reports whether a text matches a glob pattern. It takes time proportional to the product of the lengths at most, and
+// does not recurse.
 func glob(pattern, text string) bool {
 	p, t, star, mark := 0, 0, -1, 0
 	for t < len(text) {
--- a/token/presign/presign.go
+++ b/token/presign/presign.go
@@ -1,4 +1,4 @@
-// Package presign is the dialect of URLs signed in the query with AWS Signature Version 4.
+// Package presign implements the dialect of presigned URLs: AWS Signature Version 4 in query parameters.
 package presign
 
 import (
@@ -14,7 +14,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Names of the query's parameters.
+// Names of the query parameters.
 const (
 	ParamAlgorithm  = "X-Amz-Algorithm"
 	ParamCredential = "X-Amz-Credential"
@@ -28,17 +28,17 @@
 var params = []string{ParamAlgorithm, ParamCredential, ParamDate, ParamExpires, ParamHeaders, ParamPayload, ParamSignature}
 
 const (
-	maxValiditySeconds = 7 * 24 * 3600 // s
+	maxValiditySeconds = 7 * 24 * 3600
 	maxSignedHeaders   = 16
 )
 
 // Dialect implements token.Dialect.
 type Dialect struct{}
 
-// Kind is "presign".
+// Kind returns "presign".
 func (Dialect) Kind() token.Kind { return token.Presign }
 
-// Ready takes the secret key as it is written; the key's id is the access key.
+// Ready uses the text of the secret as it is. The key's id is the access key id.
 func (Dialect) Ready(k token.Key) (token.Material, error) {
 	switch {
 	case len(k.Secret) < 16:
@@ -55,7 +55,7 @@
 	return token.Material{Shared: []byte(k.Secret), Signs: true}, nil
 }
 
-// Find gives the signature of a presigned URL.
+// Find returns the signature of a presigned URL.
 func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
 	text := q.Query.Get(ParamSignature)
 	return token.Carried{Text: text, Params: params}, text != ""
@@ -92,7 +92,8 @@
 	}, nil
 }
 
-// terms reads what a presigned URL says of itself, in the one spelling.
+// parseTerms validates the parameters of a presigned URL, whose query must be in canonical encoding, and returns the date
+// and the validity in seconds.
 func parseTerms(q *token.Request) (date time.Time, validity uint64, err error) {
 	malformed := func(text string) error { return token.Reject(token.Malformed, text) }
 	for item := range strings.SplitSeq(q.RawQuery, "&") {
@@ -102,7 +103,7 @@
 			return date, 0, malformed("the query is not in canonical form")
 		}
 	}
-	for _, p := range q.Query { // one that is not known might limit the grant
+	for _, p := range q.Query { // an unknown parameter might restrict the grant
 		if strings.HasPrefix(p.Name, "X-Amz-") && !slices.Contains(params, p.Name) {
 			return date, 0, token.Reject(token.BadClaim, "a parameter of the signature is not understood")
 		}
@@ -123,7 +124,7 @@
 	return date, validity, nil
 }
 
-// headersOf gives the canonical lines of the signed headers; host must be one of them.
+// canonicalHeaders returns the canonical lines of the signed headers, which must include host.
 func canonicalHeaders(q *token.Request) (string, error) {
 	names := strings.Split(q.Query.Get(ParamHeaders), ";")
 	if len(names) > maxSignedHeaders || !sort.StringsAreSorted(names) {
@@ -148,6 +149,7 @@
 	return b.String(), nil
 }
 
+// canonicalQuery returns the canonical form of a query.
 func canonicalQuery(q token.Query) string {
 	var pairs [][2]string
 	for _, p := range q {
@@ -156,7 +158,7 @@
 	return sigv4.Query(pairs)
 }
 
-// Issue signs one URI for one method, with host as the only signed header.
+// Issue signs a single URI for a single method, with host as the only signed header.
 func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
 	u, err := t.Whole(false)
 	switch {
--- a/token/query.go
+++ b/token/query.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// Query is a parsed query in its order, each name once.
+// Query is a parsed query in its original order. Each name occurs once.
 type Query []Pair
 
-// Pair is one parameter, decoded.
+// Pair is a decoded query parameter.
 type Pair struct{ Name, Value string }
 
-// Get gives a parameter's value.
+// Get returns the value of a parameter, or "" if there is none.
 func (q Query) Get(name string) string {
 	for _, p := range q {
 		if p.Name == name {
@@ -34,7 +34,7 @@
 	return false
 }
 
-// Without leaves parameters out.
+// Without returns the query without the named parameters.
 func (q Query) Without(names ...string) (out Query) {
 next:
 	for _, p := range q {
@@ -48,7 +48,7 @@
 	return out
 }
 
-// String writes the query with percent-encoding.
+// String returns the query in percent-encoded form.
 func (q Query) String() string {
 	var b strings.Builder
 	for i, p := range q {
@@ -60,10 +60,11 @@
 	return b.String()
 }
 
+// maxQueryParams is the maximum number of query parameters of a request.
 const maxQueryParams = 32
 
-// ParseQuery reads a query. A name that comes twice is malformed: one reader could take the first
-// value and another the last.
+// ParseQuery parses a query. It rejects a repeated name, because one parser could use the first value and another the
+// last.
 func ParseQuery(raw string) (q Query, err error) {
 	if raw == "" {
 		return nil, nil
@@ -72,7 +73,7 @@
 	for item := range strings.SplitSeq(raw, "&") {
 		n, v, _ := strings.Cut(item, "=")
 		var p Pair
-		if p.Name = n; strings.ContainsAny(n, "%+") { // one spelling for a name, also for those who redact it
+		if p.Name = n; strings.ContainsAny(n, "%+") { // a name has a single spelling, also for code that redacts it
 			return nil, Reject(Malformed, "a parameter's name is encoded")
 		}
 		if p.Value, err = url.QueryUnescape(v); err != nil {
@@ -86,8 +87,8 @@
 	return q, nil
 }
 
-// Canonical tells whether a path is in the one form that is signed: absolute, of unreserved
-// characters alone, with no empty and no dot segments and nothing percent-encoded.
+// Canonical reports whether a path is in the only form that can be signed: absolute, made of unreserved characters, without
+// empty segments, dot segments or percent-encoding.
 func Canonical(path string) bool {
 	if len(path) < 2 || path[0] != '/' {
 		return false
@@ -105,17 +106,18 @@
 	return true
 }
 
-// Number reads a number of so many bits in its one spelling: decimal digits, no sign, no zero ahead.
+// Number parses an unsigned number of at most the given number of bits. It accepts only the canonical spelling: decimal
+// digits without a sign or leading zeros.
 func Number(text string, bits int) (n uint64, ok bool) {
 	n, err := strconv.ParseUint(text, 10, bits)
 	return n, err == nil && strconv.FormatUint(n, 10) == text
 }
 
-// Same compares in a time that depends on the lengths alone.
+// Same reports whether two strings are equal, in a time that depends only on their lengths.
 func Same(a, b string) bool { return hmac.Equal([]byte(a), []byte(b)) }
 
-// IDOf names a token that carries no id by all that is signed, so that one token has one name even where a signature
-// could be written in two ways.
+// IDOf derives the id of a token that carries none from the signed text, so that a token has one id even if its signature
+// can be written in two ways.
 func IDOf(signed string) string {
 	sum := sha256.Sum256([]byte(signed))
 	return base64.RawURLEncoding.EncodeToString(sum[:18])
--- a/token/ring/ring.go
+++ b/token/ring/ring.go
@@ -1,4 +1,4 @@
-// Package ring is all dialects over one set of keys.
+// Package ring verifies and issues tokens of all dialects with one set of keys.
 package ring
 
 import (
@@ -16,10 +16,10 @@
 	"turnfork.dev/turnfork/token/presign"
 )
 
-// dialects in the order in which they are looked for.
+// dialects in the order in which requests are searched for their tokens.
 var dialects = []token.Dialect{jws.Dialect{}, hmacurl.Dialect{}, edgeauth.Dialect{}, cloudfront.Dialect{}, cloudcdn.Dialect{}, presign.Dialect{}, cat.Dialect{}}
 
-// Kinds names the dialects.
+// Kinds returns the names of the dialects.
 func Kinds() (out []token.Kind) {
 	for _, d := range dialects {
 		out = append(out, d.Kind())
@@ -36,16 +36,16 @@
 	return nil
 }
 
-// Ring is a set of keys ready for use.
+// Ring is a set of validated keys.
 type Ring struct {
 	keys map[token.Kind][]*token.Ready
 	byID map[string]*token.Ready
 }
 
-// errNoSigner tells that a key can only verify.
+// errNoSigner is the error for issuing a token with an unknown key or one that can only verify.
 var errNoSigner = errors.New("token: the key can't sign")
 
-// New checks keys and makes them ready. Errors name the key and the field.
+// New validates keys and returns a ring of them. Errors name the key and the field.
 func New(keys []token.Key) (*Ring, error) {
 	r := &Ring{keys: map[token.Kind][]*token.Ready{}, byID: map[string]*token.Ready{}}
 	for i, k := range keys {
@@ -70,8 +70,9 @@
 	return r, nil
 }
 
-// Verify checks the token of a request at now, in Unix seconds, with a leeway for clocks that differ. A request with
-// tokens of two dialects is malformed, whichever dialects have keys. The rest of the query comes back for the front.
+// Verify checks the token of a request at now, in Unix seconds. leeway is the clock skew to tolerate, in seconds. A request
+// with tokens of two dialects is malformed, even if the ring has no keys for one of them. Verify also returns the part of
+// the query that the token covers, without the parameters of the token itself, for use by the frontend.
 func (r *Ring) Verify(q token.Request, now, leeway float64) (g token.Grant, rest token.Query, err error) {
 	if !token.Canonical(q.Path) {
 		return g, nil, token.Reject(token.Malformed, "the path is not in canonical form")
@@ -112,8 +113,8 @@
 	return g, rest, err
 }
 
-// Signer gives the id of the newest key of a kind that signs at now, in Unix seconds: during a rotation the old key goes
-// on verifying until its own end.
+// Signer returns the id of the newest key of a kind that can sign at now, in Unix seconds. During a key rotation the old key
+// continues to verify tokens until its not_after.
 func (r *Ring) Signer(kind token.Kind, now float64) (string, error) {
 	var newest *token.Ready
 	for _, k := range r.keys[kind] {
@@ -127,14 +128,14 @@
 	return newest.ID, nil
 }
 
-// Issue signs terms with a key.
+// Issue issues a token for terms with the key of an id.
 func (r *Ring) Issue(id string, t token.Terms) (token.Issued, error) {
 	k := r.byID[id]
 	if k == nil || !k.Signs {
 		return token.Issued{}, errNoSigner
 	}
 	u, err := url.Parse(t.URI)
-	if t.URI == "" && t.Cover != "" { // a token for more than one URI, by itself
+	if t.URI == "" && t.Cover != "" { // a token for several URIs, issued without a URL
 		u = &url.URL{Path: "/v1"}
 	}
 	if err != nil || !token.Canonical(u.Path) || u.RawPath != "" || u.Fragment != "" {
@@ -148,7 +149,7 @@
 	return dialectOf(k.Kind).Issue(k, t)
 }
 
-// Package signs the claims of a URI Signing package as they are, with a key of kind jws.
+// Package signs the claims of a URI Signing package unchanged, with a key of kind jws.
 func (r *Ring) Package(id string, c jws.Claims) (string, error) {
 	k := r.byID[id]
 	if k == nil || k.Kind != token.JWS || !k.Signs {
@@ -157,7 +158,7 @@
 	return jws.Sign(k, c)
 }
 
-// Renewed gives the token that follows a grant's, and the name of the cookie that carries it.
+// Renewed returns the token that succeeds the token of a grant, and the name of the cookie or header to send it in.
 func (r *Ring) Renewed(g *token.Grant, now float64) (cookie, text string, err error) {
 	k := r.byID[g.Key]
 	d, ok := dialectOf(g.Kind).(token.Renewer)
--- a/token/ring/ring_test.go
+++ b/token/ring/ring_test.go
@@ -19,6 +19,7 @@
 
 var secret = base64.StdEncoding.EncodeToString([]byte(strings.Repeat("s", 32)))
 
+// publicPEM returns a public key in PEM.
 func publicPEM(t testing.TB, key any) string {
 	der, err := x509.MarshalPKIXPublicKey(key)
 	if err != nil {
@@ -27,14 +28,16 @@
 	return string(pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der}))
 }
 
+// uri is the canonical form of the URI in request.
 const uri = "https://cdn.example/v1/firmware/7f3a9c21e0b4d655/3"
 
+// request returns a request for uri with a URI Signing package in the query.
 func request(packageText string) token.Request {
 	return token.Request{Scheme: "https", Host: "CDN.example", Path: "/v1/firmware/7f3a9c21e0b4d655/3", RawQuery: jws.Param + "=" + packageText}
 }
 
-// Every algorithm signs and verifies, and no key takes a token of another algorithm: above all not one
-// that uses a public key as a shared secret.
+// TestAlgorithms checks that tokens of each algorithm verify with the public keys, and that a key rejects tokens of another
+// algorithm, in particular HS256 tokens whose shared secret is the public key of an RS256 key (algorithm confusion).
 func TestAlgorithms(t *testing.T) {
 	ec, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	edPub, ed, _ := ed25519.GenerateKey(rand.Reader)
@@ -64,13 +67,15 @@
 			t.Errorf("%s: %+v %v", k.Alg, g, err)
 		}
 	}
-	confused, _ := New([]token.Key{{ID: "d", Kind: token.JWS, Alg: "HS256", Secret: base64.StdEncoding.EncodeToString([]byte(publicPEM(t, &rs.PublicKey)))}})
-	p, _ := confused.Package("d", jws.Claims{Expires: &exp, Container: jws.HashContainer(uri)})
+	attacker, _ := New([]token.Key{{ID: "d", Kind: token.JWS, Alg: "HS256", Secret: base64.StdEncoding.EncodeToString([]byte(publicPEM(t, &rs.PublicKey)))}})
+	p, _ := attacker.Package("d", jws.Claims{Expires: &exp, Container: jws.HashContainer(uri)})
 	if _, _, err := verifiers.Verify(request(p), 999, 0); token.WhyOf(err) != token.BadSignature {
 		t.Errorf("an HS256 token under an RS256 key: %v", err)
 	}
 }
 
+// TestKeyRotation checks which key signs during a rotation, that the old key verifies until its not_after plus the leeway,
+// and that changed URLs are rejected.
 func TestKeyRotation(t *testing.T) {
 	r, err := New([]token.Key{
 		{ID: "old", Kind: token.HMAC, Secret: secret, NotAfter: 1000}, {ID: "new", Kind: token.HMAC, Secret: secret, NotBefore: 500},
@@ -80,16 +85,16 @@
 	}
 	for now, want := range map[float64]string{400: "old", 600: "new", 2000: "new"} {
 		if id, _ := r.Signer(token.HMAC, now); id != want {
-			t.Errorf("at %v %q signs", now, id)
+			t.Errorf("at %v: key %q signs", now, id)
 		}
 	}
 	u, _ := r.Issue("old", token.Terms{URI: "/v1/a/b/0?kb=4.5&group=7", Until: 5000, ID: "n"})
 	path, q, _ := strings.Cut(u.URL, "?")
 	if _, rest, err := r.Verify(token.Request{Path: path, RawQuery: q}, 1009, 10); err != nil || rest.Get("group") != "7" {
-		t.Error("within the leeway:", err)
+		t.Error("not_after within the leeway:", err)
 	}
 	if _, _, err := r.Verify(token.Request{Path: path, RawQuery: q}, 1011, 10); token.WhyOf(err) != token.BadKey {
-		t.Error("after the key's end:", err)
+		t.Error("after not_after and the leeway:", err)
 	}
 	for _, forged := range []string{
 		strings.Replace(q, "kb=4.5", "kb=9", 1), q + "&more=1", strings.Replace(q, "group=7&", "", 1),
@@ -102,7 +107,7 @@
 	}
 }
 
-// Renewal keeps the claims and moves the times on.
+// TestRenewal checks that a renewed package keeps its claims and has a later expiry.
 func TestRenewal(t *testing.T) {
 	r, _ := New([]token.Key{{ID: "k", Kind: token.JWS, Alg: "HS256", Secret: secret}})
 	exp := 100.0
@@ -125,6 +130,7 @@
 	}
 }
 
+// FuzzVerify checks that no path and query verify except for those of the signed URL.
 func FuzzVerify(f *testing.F) {
 	r, _ := New([]token.Key{{ID: "k", Kind: token.HMAC, Secret: secret}, {ID: "p", Kind: token.JWS, Alg: "HS256", Secret: secret}})
 	u, _ := r.Issue("k", token.Terms{URI: "/v1/a/b/0", Until: 100, ID: "n"})
@@ -135,16 +141,17 @@
 	f.Fuzz(func(t *testing.T, path, query string) {
 		g, _, err := r.Verify(token.Request{Scheme: "http", Host: "h", Path: path, RawQuery: query}, 50, 1)
 		if err == nil && (path != "/v1/a/b/0" || g.ID != "n") {
-			t.Errorf("a forged token passed: %q %q", path, query)
+			t.Errorf("forged token accepted: %q %q", path, query)
 		}
 	})
 }
 
-// Packages for one client, sealed; claims that a package insists on; and renewal after renewal.
+// TestPackageClaims checks packages that are bound to an encrypted client address, critical and invalid claims, and repeated
+// renewal.
 func TestPackageClaims(t *testing.T) {
 	ipSecret := base64.StdEncoding.EncodeToString([]byte("sixteen bytes..."))
 	r, err := New([]token.Key{
-		{ID: "k", Kind: token.JWS, Alg: "HS256", Secret: secret, IPSecret: ipSecret}, {ID: "blind", Kind: token.JWS, Alg: "HS256", Secret: secret},
+		{ID: "k", Kind: token.JWS, Alg: "HS256", Secret: secret, IPSecret: ipSecret}, {ID: "no-ip-secret", Kind: token.JWS, Alg: "HS256", Secret: secret},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -165,8 +172,8 @@
 		if _, _, err := r.Verify(q, 999, 0); x.want == "" && err != nil || x.want != "" && token.WhyOf(err) != x.want {
 			t.Errorf("%s from %s: %v", x.bound, x.from, err)
 		}
-		if _, err := r.Issue("blind", token.Terms{URI: uri, Until: 1000, Address: x.bound}); err == nil {
-			t.Error("sealed without a key")
+		if _, err := r.Issue("no-ip-secret", token.Terms{URI: uri, Until: 1000, Address: x.bound}); err == nil {
+			t.Error("address encrypted by a key without ip_secret")
 		}
 	}
 	exp, one := 1000.0, 1
@@ -175,16 +182,16 @@
 		claims jws.Claims
 		want   token.Why
 	}{
-		"sealed for another":    {"blind", jws.Claims{ClientIP: "x.y"}, token.BadClaim},
-		"sealed wrong":          {"k", jws.Claims{ClientIP: "x.y"}, token.Malformed},
-		"critical":              {"k", jws.Claims{Critical: []string{"exp", "cdniuc"}}, ""},
-		"critical, not there":   {"k", jws.Claims{Critical: []string{"cdniip"}}, token.Malformed},
-		"critical, twice":       {"k", jws.Claims{Critical: []string{"exp", "exp"}}, token.Malformed},
-		"critical, critical":    {"k", jws.Claims{Critical: []string{"cdnicrit", "cdnicritical"}}, token.BadClaim},
-		"transport by query":    {"k", jws.Claims{Transport: 2, Renew: 5}, token.BadClaim},
-		"transport, no renewal": {"k", jws.Claims{Transport: 1}, token.BadClaim},
-		"negative depth":        {"k", jws.Claims{Transport: 1, Renew: 5, Depth: -1}, token.Malformed},
-		"version":               {"k", jws.Claims{Version: &one}, ""},
+		"address, key without ip_secret": {"no-ip-secret", jws.Claims{ClientIP: "x.y"}, token.BadClaim},
+		"address, malformed":             {"k", jws.Claims{ClientIP: "x.y"}, token.Malformed},
+		"critical":                       {"k", jws.Claims{Critical: []string{"exp", "cdniuc"}}, ""},
+		"critical, absent":               {"k", jws.Claims{Critical: []string{"cdniip"}}, token.Malformed},
+		"critical, repeated":             {"k", jws.Claims{Critical: []string{"exp", "exp"}}, token.Malformed},
+		"critical, unknown":              {"k", jws.Claims{Critical: []string{"cdnicrit", "cdnicritical"}}, token.BadClaim},
+		"transport by query":             {"k", jws.Claims{Transport: 2, Renew: 5}, token.BadClaim},
+		"transport, no renewal":          {"k", jws.Claims{Transport: 1}, token.BadClaim},
+		"negative depth":                 {"k", jws.Claims{Transport: 1, Renew: 5, Depth: -1}, token.Malformed},
+		"version":                        {"k", jws.Claims{Version: &one}, ""},
 	} {
 		x.claims.Expires, x.claims.Container = &exp, jws.HashContainer(uri)
 		p, err := r.Package(x.key, x.claims)
@@ -196,7 +203,7 @@
 		}
 	}
 	next, err := r.Package("k", jws.Claims{Expires: &exp, Container: jws.HashContainer(uri), Transport: 1, Renew: 60, Depth: 2, ID: "j", Critical: []string{"exp"}})
-	for now := 990.0; now < 1200; now += 50 { // each one within the one before
+	for now := 990.0; now < 1200; now += 50 { // each package is renewed before it expires
 		if err != nil {
 			t.Fatal(err)
 		}
