--- a/token/cat/cat.go
+++ b/token/cat/cat.go
@@ -50,13 +50,13 @@
 	claimNbf       = 5
 	claimIat       = 6
 	claimCti       = 7
-	claimReplay    = 308
-	claimVersion   = 310
-	claimNetworkIP = 311
-	claimURI       = 312
-	claimMethods   = 313
-	claimHeaders   = 315
-	claimRenewal   = 323
+	claimReplay    = 308 // catreplay
+	claimVersion   = 310 // catv
+	claimNetworkIP = 311 // catnip
+	claimURI       = 312 // catu
+	claimMethods   = 313 // catm
+	claimHeaders   = 315 // cath
+	claimRenewal   = 323 // catr
 	firstCATClaim  = 308 // CTA-5007: an unknown claim in this range might restrict the token
 	lastCATClaim   = 323
 )
@@ -196,6 +196,7 @@
 	return must(encMode.Marshal([]any{context, m.Protected, []byte{}, m.Payload}))
 }
 
+// verify reports whether the MAC or the signature of a message is valid.
 func verify(k *token.Ready, m *message) bool {
 	switch pub := k.Verifier.(type) {
 	case *ecdsa.PublicKey:
@@ -377,6 +378,7 @@
 	}
 }
 
+// grant converts the claims to a grant. params are the query parameters that carry the token.
 func (r *claimReader) grant(key *token.Ready, params []string) token.Grant {
 	known := []int64{claimReplay, claimVersion, claimNetworkIP, claimURI, claimMethods, claimHeaders, claimRenewal}
 	for n := range r.claims {
--- a/token/cloudcdn/cloudcdn.go
+++ b/token/cloudcdn/cloudcdn.go
@@ -22,6 +22,7 @@
 	Cookie         = "Cloud-CDN-Cookie"
 )
 
+// params are the query parameters that belong to a token.
 var params = []string{ParamPrefix, ParamExpires, ParamKey, ParamSignature}
 
 const (
--- a/token/cloudfront/cloudfront.go
+++ b/token/cloudfront/cloudfront.go
@@ -30,6 +30,7 @@
 	CookiePrefix   = "CloudFront-"
 )
 
+// params are the query parameters that belong to a token.
 var params = []string{ParamExpires, ParamPolicy, ParamSignature, ParamKey}
 
 const maxPolicyBytes = 4 << 10
--- a/token/hmacurl/hmacurl.go
+++ b/token/hmacurl/hmacurl.go
@@ -22,6 +22,7 @@
 	ParamSignature = "signature"
 )
 
+// params are the query parameters that belong to a token.
 var params = []string{ParamExpires, ParamKey, ParamNonce, ParamSignature}
 
 // Dialect implements token.Dialect.
--- a/token/presign/presign.go
+++ b/token/presign/presign.go
@@ -25,6 +25,7 @@
 	ParamSignature  = "X-Amz-Signature"
 )
 
+// params are the query parameters that belong to a token.
 var params = []string{ParamAlgorithm, ParamCredential, ParamDate, ParamExpires, ParamHeaders, ParamPayload, ParamSignature}
 
 const (
