--- a/token/cloudcdn/cloudcdn.go
+++ b/token/cloudcdn/cloudcdn.go
@@ -1,9 +1,9 @@
-// Package cloudcdn is the dialect of Cloud CDN's signed URLs, signed URL prefixes and signed cookies.
+// Package cloudcdn implements the dialect of Cloud CDN: signed URLs, signed URL prefixes and signed cookies.
 package cloudcdn
 
 import (
 	"crypto/hmac"
-	"crypto/sha1" //nolint:gosec // the specification's
+	"crypto/sha1" //nolint:gosec // required by the specification
 	"encoding/base64"
 	"fmt"
 	"net/url"
@@ -13,7 +13,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Names of the query's parameters, and of the cookie.
+// Names of the query parameters and of the cookie.
 const (
 	ParamPrefix    = "URLPrefix"
 	ParamExpires   = "Expires"
@@ -22,27 +22,28 @@
 	Cookie         = "Cloud-CDN-Cookie"
 )
 
+// params are the query parameters that belong to a token.
 var params = []string{ParamPrefix, ParamExpires, ParamKey, ParamSignature}
 
 const (
-	secretSize = 16
-	cookieMost = 4 << 10
+	secretBytes    = 16
+	maxCookieBytes = 4 << 10
 )
 
 // Dialect implements token.Dialect.
 type Dialect struct{}
 
-// Kind is "cloudcdn".
+// Kind returns "cloudcdn".
 func (Dialect) Kind() token.Kind { return token.CloudCDN }
 
-// Ready takes a secret of 16 bytes in base64url; the key's id is the KeyName.
+// Ready requires a secret of 16 bytes in base64url. The key's id is the KeyName.
 func (Dialect) Ready(k token.Key) (token.Material, error) {
 	secret, err := base64.URLEncoding.DecodeString(k.Secret)
 	switch {
 	case err != nil:
 		return token.Material{}, fmt.Errorf("secret: no base64url")
-	case len(secret) != secretSize:
-		return token.Material{}, fmt.Errorf("secret: %d bytes, not %d", len(secret), secretSize)
+	case len(secret) != secretBytes:
+		return token.Material{}, fmt.Errorf("secret: %d bytes, not %d", len(secret), secretBytes)
 	case k.Alg != "":
 		return token.Material{}, fmt.Errorf("alg: %q does not go with kind cloudcdn", k.Alg)
 	case !token.Canonical("/" + k.ID):
@@ -51,7 +52,7 @@
 	return token.Material{Shared: secret, Signs: true}, nil
 }
 
-// Find gives the key's name of a signed URL, else the cookie.
+// Find looks for a signed URL, which has a KeyName parameter, then for the signed cookie.
 func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
 	if q.Query.Get(ParamKey) != "" {
 		return token.Carried{Params: params}, true
@@ -66,26 +67,26 @@
 	return base64.URLEncoding.EncodeToString(m.Sum(nil))
 }
 
-// fields are what is signed, as it was sent: the text up to the signature, and its parts.
+// fields are the parsed fields of a token, undecoded.
 type fields struct {
-	signed, prefix, expires, key, sum string
+	signed, prefix, expires, keyName, signature string // signed is the text before the signature
 }
 
-// read takes NAME=VALUE fields joined by sep, in the order of the specification; a prefix may be left out.
-func read(text, sep string) (f fields, err error) {
+// parseFields parses NAME=VALUE fields joined by sep, in the order of the specification. URLPrefix is optional.
+func parseFields(text, sep string) (f fields, err error) {
 	bad := token.Reject(token.Malformed, "fields are missing or out of order")
-	f.signed, f.sum, _ = strings.Cut(text, sep+ParamSignature+"=")
+	f.signed, f.signature, _ = strings.Cut(text, sep+ParamSignature+"=")
 	parts := strings.Split(f.signed, sep)
 	if prefix, ok := strings.CutPrefix(parts[0], ParamPrefix+"="); ok {
 		f.prefix, parts = prefix, parts[1:]
 	}
-	if len(parts) != 2 || f.sum == "" {
+	if len(parts) != 2 || f.signature == "" {
 		return f, bad
 	}
 	var ok1, ok2 bool
 	f.expires, ok1 = strings.CutPrefix(parts[0], ParamExpires+"=")
-	f.key, ok2 = strings.CutPrefix(parts[1], ParamKey+"=")
-	if !ok1 || !ok2 || strings.Contains(f.sum, sep) {
+	f.keyName, ok2 = strings.CutPrefix(parts[1], ParamKey+"=")
+	if !ok1 || !ok2 || strings.Contains(f.signature, sep) {
 		return f, bad
 	}
 	return f, nil
@@ -94,22 +95,22 @@
 // Open authenticates a signed URL, a signed prefix or a signed cookie.
 func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
 	var f fields
-	whole := "" // what of the URI stands before the fields, where that is signed too
+	uriBeforeFields := "" // the URI up to the fields, which a signed URL without URLPrefix signs too
 	if c.From == token.InCookie {
-		if len(c.Text) > cookieMost {
+		if len(c.Text) > maxCookieBytes {
 			return g, token.Reject(token.Malformed, "the cookie is too long")
 		}
-		f, err = read(c.Text, ":")
+		f, err = parseFields(c.Text, ":")
 	} else {
-		// The fields end the query: what comes behind them is not signed.
-		rest, at := q.RawQuery, len(q.RawQuery)
+		// The fields must be at the end of the query: parameters after the signature would not be signed.
+		rawQuery, fieldsStart := q.RawQuery, len(q.RawQuery)
 		for _, name := range []string{ParamExpires, ParamPrefix} {
-			if i := strings.Index("&"+rest, "&"+name+"="); i >= 0 {
-				at = min(at, i)
+			if i := strings.Index("&"+rawQuery, "&"+name+"="); i >= 0 {
+				fieldsStart = min(fieldsStart, i)
 			}
 		}
-		f, err = read(rest[at:], "&")
-		whole = q.Scheme + "://" + strings.ToLower(q.Host) + q.Path + "?" + rest[:at]
+		f, err = parseFields(rawQuery[fieldsStart:], "&")
+		uriBeforeFields = q.Scheme + "://" + strings.ToLower(q.Host) + q.Path + "?" + rawQuery[:fieldsStart]
 	}
 	if err != nil {
 		return g, err
@@ -117,43 +118,44 @@
 	if f.prefix == "" && c.From == token.InCookie {
 		return g, token.Reject(token.Malformed, "URLPrefix: missing")
 	}
-	at, ok := token.Number(f.expires, 40)
+	expires, ok := token.Number(f.expires, 40)
 	if !ok {
 		return g, token.Reject(token.Malformed, "Expires: no date")
 	}
-	key, err := keys.Find(f.key)
+	key, err := keys.Find(f.keyName)
 	if err != nil {
 		return g, err
 	}
 	signed := f.signed
 	if f.prefix == "" {
-		signed = whole + signed
+		signed = uriBeforeFields + signed
 	}
-	if !token.Same(f.sum, mac(key.Shared, signed)) {
+	if !token.Same(f.signature, mac(key.Shared, signed)) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
-	g = token.Grant{Key: key.ID, ID: token.IDOf(signed), Until: float64(at)}
+	g = token.Grant{Key: key.ID, ID: token.IDOf(signed), Until: float64(expires)}
 	if f.prefix == "" { // the signature covers the URI with its query
 		g.Query = true
 		g.URIs, err = token.Compile(token.Pattern{Form: token.Exact, Text: q.URI(params...), Less: params})
 		return g, err
 	}
 	prefix, err := base64.URLEncoding.Strict().DecodeString(f.prefix)
-	if err != nil || !usable(string(prefix)) {
+	if err != nil || !validPrefix(string(prefix)) {
 		return g, token.Reject(token.Malformed, "URLPrefix: no prefix with scheme and host")
 	}
 	g.URIs, err = token.Compile(token.Pattern{Form: token.Prefix, Text: string(prefix)})
 	return g, err
 }
 
-// usable tells whether a prefix can be signed: a scheme and a whole host, no query and no fragment.
-func usable(prefix string) bool {
+// validPrefix reports whether a prefix can be signed: it needs a scheme and a complete host, and has no query or fragment.
+func validPrefix(prefix string) bool {
 	u, err := url.Parse(prefix)
 	return err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != "" && strings.HasPrefix(u.Path, "/") &&
 		!strings.ContainsAny(prefix, "?#")
 }
 
-// Issue signs one URI, or a prefix of URIs: with a URI as its parameters, without one as the cookie's value.
+// Issue signs a single URI, or a prefix of URIs. The result is a URL with the fields in its query if the terms have a URI,
+// otherwise the value of the signed cookie.
 func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
 	if t.Address != "" || t.From > 0 {
 		return out, fmt.Errorf("address and after: not with kind cloudcdn")
@@ -162,20 +164,20 @@
 	if err != nil {
 		return out, err
 	}
-	ends := ParamExpires + "=" + strconv.FormatInt(int64(t.Until), 10)
-	name := ParamKey + "=" + k.ID
+	expires := ParamExpires + "=" + strconv.FormatInt(int64(t.Until), 10)
+	keyName := ParamKey + "=" + k.ID
 	if t.Cover == "" {
-		signed := token.Join(u, ends+"&"+name)
+		signed := token.Join(u, expires+"&"+keyName)
 		return token.Issued{ID: token.IDOf(signed), URL: signed + "&" + ParamSignature + "=" + mac(k.Shared, signed)}, nil
 	}
-	if !usable(t.Cover) {
+	if !validPrefix(t.Cover) {
 		return out, fmt.Errorf("cover: a prefix with scheme and host, without query")
 	}
 	prefix := ParamPrefix + "=" + base64.URLEncoding.EncodeToString([]byte(t.Cover))
 	if t.URI == "" {
-		signed := prefix + ":" + ends + ":" + name
+		signed := prefix + ":" + expires + ":" + keyName
 		return token.Issued{ID: token.IDOf(signed), Token: signed + ":" + ParamSignature + "=" + mac(k.Shared, signed)}, nil
 	}
-	signed := prefix + "&" + ends + "&" + name
+	signed := prefix + "&" + expires + "&" + keyName
 	return token.Issued{ID: token.IDOf(signed), URL: token.Join(u, signed+"&"+ParamSignature+"="+mac(k.Shared, signed))}, nil
 }
--- a/token/cloudfront/cloudfront.go
+++ b/token/cloudfront/cloudfront.go
@@ -1,4 +1,4 @@
-// Package cloudfront is the dialect of CloudFront's signed URLs and signed cookies, with canned and custom policies.
+// Package cloudfront implements the dialect of CloudFront: signed URLs and signed cookies, with canned and custom policies.
 package cloudfront
 
 import (
@@ -7,7 +7,7 @@
 	"crypto/ecdsa"
 	"crypto/rand"
 	"crypto/rsa"
-	"crypto/sha1" //nolint:gosec // the specification's
+	"crypto/sha1" //nolint:gosec // required by the specification
 	"crypto/sha256"
 	"encoding/base64"
 	"encoding/json"
@@ -21,7 +21,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Names of the query's parameters; a cookie's is CookiePrefix and the name.
+// Names of the query parameters. The name of a cookie is CookiePrefix followed by the name of the parameter.
 const (
 	ParamExpires   = "Expires"
 	ParamPolicy    = "Policy"
@@ -30,11 +30,12 @@
 	CookiePrefix   = "CloudFront-"
 )
 
+// params are the query parameters that belong to a token.
 var params = []string{ParamExpires, ParamPolicy, ParamSignature, ParamKey}
 
-const policyMost = 4 << 10
+const maxPolicyBytes = 4 << 10
 
-// Algorithms, as a key's alg names them. The published one is RSA with SHA-1.
+// Values of a key's alg. CloudFront's published algorithm is RS1: RSA with SHA-1.
 const (
 	RS1   = "RS1"
 	RS256 = "RS256"
@@ -44,10 +45,10 @@
 // Dialect implements token.Dialect.
 type Dialect struct{}
 
-// Kind is "cloudfront".
+// Kind returns "cloudfront".
 func (Dialect) Kind() token.Kind { return token.CloudFront }
 
-// Ready takes a key pair; the key's id is the Key-Pair-Id.
+// Ready requires a key pair. The key's id is the Key-Pair-Id.
 func (Dialect) Ready(k token.Key) (token.Material, error) {
 	switch k.Alg {
 	case "", RS1, RS256:
@@ -58,7 +59,7 @@
 	return token.Material{}, fmt.Errorf("alg: %q does not go with kind cloudfront", k.Alg)
 }
 
-// Find gives the parameters of a signed URL, else the cookies.
+// Find looks for a signed URL, then for signed cookies. The text of the token is the Key-Pair-Id.
 func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
 	if id := q.Query.Get(ParamKey); id != "" {
 		return token.Carried{Text: id, Params: params}, true
@@ -67,7 +68,7 @@
 	return token.Carried{Text: id, From: token.InCookie}, id != ""
 }
 
-// policy is the document that is signed.
+// policy is the signed JSON document.
 type policy struct {
 	Statement []statement
 }
@@ -78,63 +79,65 @@
 }
 
 type condition struct {
-	DateLessThan    *epoch  `json:",omitempty"`
-	DateGreaterThan *epoch  `json:",omitempty"`
-	IPAddress       *source `json:"IpAddress,omitempty"`
+	DateLessThan    *epochTime `json:",omitempty"`
+	DateGreaterThan *epochTime `json:",omitempty"`
+	IPAddress       *sourceIP  `json:"IpAddress,omitempty"`
 }
 
-type epoch struct {
+type epochTime struct {
 	Time int64 `json:"AWS:EpochTime"`
 }
 
-type source struct {
+type sourceIP struct {
 	IP string `json:"AWS:SourceIp"`
 }
 
-// encoding is base64 with the three characters replaced that a URL can't carry; one text has one spelling.
-var encoding = base64.NewEncoding("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-~").WithPadding('_').Strict()
+// urlEncoding is base64 with -, ~ and _ in place of +, / and =, which are not safe in URLs. It is strict, so that each text
+// has only one encoding.
+var urlEncoding = base64.NewEncoding("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-~").WithPadding('_').Strict()
 
-// canned is the policy that a URL without one stands for: byte for byte as published.
-func canned(resource, expires string) string {
+// cannedPolicy returns the policy that a URL without Policy implies, byte for byte in the published form.
+func cannedPolicy(resource, expires string) string {
 	return `{"Statement":[{"Resource":"` + resource + `","Condition":{"DateLessThan":{"AWS:EpochTime":` + expires + `}}}]}`
 }
 
 // Open authenticates a signed URL or signed cookies.
 func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
-	get := q.Query.Get
+	getField := q.Query.Get
 	if c.From == token.InCookie {
-		get = func(name string) string { return q.CookieOf(CookiePrefix + name) }
+		getField = func(name string) string { return q.CookieOf(CookiePrefix + name) }
 	}
-	expires, text := get(ParamExpires), get(ParamPolicy)
-	if (expires == "") == (text == "") || len(text) > policyMost {
+	expires, policyText := getField(ParamExpires), getField(ParamPolicy)
+	if (expires == "") == (policyText == "") || len(policyText) > maxPolicyBytes {
 		return g, token.Reject(token.Malformed, "either Expires or Policy, and not too long")
 	}
 	signed := []byte(nil)
 	uri := q.URI(c.Params...)
-	if text != "" {
-		if signed, err = encoding.DecodeString(text); err != nil {
+	if policyText != "" {
+		if signed, err = urlEncoding.DecodeString(policyText); err != nil {
 			return g, token.Reject(token.Malformed, "Policy: can't be read")
 		}
 	} else {
 		if _, ok := token.Number(expires, 40); !ok || strings.ContainsAny(uri, `"\`) {
 			return g, token.Reject(token.Malformed, "Expires: no date")
 		}
-		signed = []byte(canned(uri, expires))
+		signed = []byte(cannedPolicy(uri, expires))
 	}
 	key, err := keys.Find(c.Text)
 	if err != nil {
 		return g, err
 	}
-	sig, err := encoding.DecodeString(get(ParamSignature))
+	sig, err := urlEncoding.DecodeString(getField(ParamSignature))
 	if err != nil {
 		return g, token.Reject(token.Malformed, "Signature: can't be read")
 	}
 	if !verify(key, signed, sig) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
-	return grant(key.ID, signed, c.Params, text == "")
+	return policyGrant(key.ID, signed, c.Params, policyText == "")
 }
 
+// digest returns the hash function of an algorithm and the digest of a text.
 func digest(alg string, text []byte) (crypto.Hash, []byte) {
 	if alg == "" || alg == RS1 {
 		sum := sha1.Sum(text)
@@ -155,10 +158,10 @@
 	return false
 }
 
-// grant words an authentic policy. What of it is unknown is refused, as it might limit the grant.
-func grant(key string, text []byte, params []string, one bool) (g token.Grant, err error) {
+// policyGrant converts an authentic policy to a grant. It rejects unknown fields, because they might restrict the grant.
+func policyGrant(key string, document []byte, params []string, isCanned bool) (g token.Grant, err error) {
 	var p policy
-	d := json.NewDecoder(bytes.NewReader(text))
+	d := json.NewDecoder(bytes.NewReader(document))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&p); err != nil || len(p.Statement) != 1 {
 		return g, token.Reject(token.Malformed, "the policy can't be read, or has not one statement")
@@ -170,31 +173,31 @@
 	if s.Condition.DateLessThan == nil {
 		return g, token.Reject(token.BadClaim, "DateLessThan: missing")
 	}
-	g = token.Grant{Key: key, ID: token.IDOf(string(text)), Until: float64(s.Condition.DateLessThan.Time)}
+	g = token.Grant{Key: key, ID: token.IDOf(string(document)), Until: float64(s.Condition.DateLessThan.Time)}
 	if s.Condition.DateGreaterThan != nil {
 		g.From = float64(s.Condition.DateGreaterThan.Time)
 	}
-	if from := s.Condition.IPAddress; from != nil && from.IP != "0.0.0.0/0" {
-		net, err := token.Net(from.IP)
+	if address := s.Condition.IPAddress; address != nil && address.IP != "0.0.0.0/0" {
+		net, err := token.Net(address.IP)
 		if err != nil {
 			return g, err
 		}
 		g.Nets = []netip.Prefix{net}
 	}
 	resource := token.Pattern{Form: token.Glob, Text: s.Resource, Less: params}
-	if s.Resource == "" { // every URI
+	if s.Resource == "" { // no Resource: all URIs
 		resource.Text = "*"
 	}
-	if one { // a URL without a policy names one URI, also where that holds a star
+	if isCanned { // a canned policy is for a single URI, even if the URI contains a wildcard
 		resource.Form = token.Exact
 	}
-	g.Query = one || !strings.ContainsAny(resource.Text, "*?")
+	g.Query = isCanned || !strings.ContainsAny(resource.Text, "*?")
 	g.URIs, err = token.Compile(resource)
 	return g, err
 }
 
-// Issue signs a URL with the canned policy, or with a custom one where the terms need it. The token, apart from a URL,
-// is the cookies, joined as in a Cookie header.
+// Issue signs a URL with a canned policy, or with a custom policy if the terms have a pattern, a start or an address. The
+// Token of the result contains the signed cookies, joined as in a Cookie header.
 func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
 	u, err := t.Whole(true)
 	if err != nil {
@@ -204,17 +207,17 @@
 	if strings.ContainsAny(uri, `"\`) {
 		return out, fmt.Errorf("uri: can't stand in a policy")
 	}
-	signed, first := canned(uri, expires), token.Pair{Name: ParamExpires, Value: expires}
+	signed, policyParam := cannedPolicy(uri, expires), token.Pair{Name: ParamExpires, Value: expires}
 	if t.Cover != "" || t.From > 0 || t.Address != "" {
-		s := statement{Resource: t.Cover, Condition: condition{DateLessThan: &epoch{int64(t.Until)}}}
+		s := statement{Resource: t.Cover, Condition: condition{DateLessThan: &epochTime{int64(t.Until)}}}
 		if s.Resource == "" {
 			s.Resource = uri
 		}
 		if t.From > 0 {
-			s.Condition.DateGreaterThan = &epoch{int64(t.From)}
+			s.Condition.DateGreaterThan = &epochTime{int64(t.From)}
 		}
 		if t.Address != "" {
-			s.Condition.IPAddress = &source{t.Address}
+			s.Condition.IPAddress = &sourceIP{t.Address}
 		}
 		var b bytes.Buffer
 		e := json.NewEncoder(&b)
@@ -223,14 +226,14 @@
 			return out, fmt.Errorf("cover: %w", err)
 		}
 		signed = strings.TrimSuffix(b.String(), "\n")
-		first = token.Pair{Name: ParamPolicy, Value: encoding.EncodeToString([]byte(signed))}
+		policyParam = token.Pair{Name: ParamPolicy, Value: urlEncoding.EncodeToString([]byte(signed))}
 	}
 	hash, sum := digest(k.Alg, []byte(signed))
 	sig, err := k.Signer.Sign(rand.Reader, sum, hash)
 	if err != nil {
 		return out, fmt.Errorf("token: %w", err)
 	}
-	parts := token.Query{first, {Name: ParamSignature, Value: encoding.EncodeToString(sig)}, {Name: ParamKey, Value: k.ID}}
+	parts := token.Query{policyParam, {Name: ParamSignature, Value: urlEncoding.EncodeToString(sig)}, {Name: ParamKey, Value: k.ID}}
 	out.ID = token.IDOf(signed)
 	for i, p := range parts {
 		if i > 0 {
--- a/token/hmacurl/hmacurl.go
+++ b/token/hmacurl/hmacurl.go
@@ -1,5 +1,5 @@
-// Package hmacurl is turnfork's own dialect: URLs signed with HMAC-SHA256 over path, expiry, key, nonce and all other
-// parameters.
+// Package hmacurl implements turnfork's own dialect: URLs signed with HMAC-SHA256 over path, expiry, key id, nonce and all
+// other parameters.
 package hmacurl
 
 import (
@@ -14,7 +14,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Names of the query's parameters.
+// Names of the query parameters.
 const (
 	ParamExpires   = "expires"
 	ParamKey       = "keyid"
@@ -22,15 +22,16 @@
 	ParamSignature = "signature"
 )
 
+// params are the query parameters that belong to a token.
 var params = []string{ParamExpires, ParamKey, ParamNonce, ParamSignature}
 
 // Dialect implements token.Dialect.
 type Dialect struct{}
 
-// Kind is "hmac".
+// Kind returns "hmac".
 func (Dialect) Kind() token.Kind { return token.HMAC }
 
-// Ready takes a secret in base64, 32 bytes at least.
+// Ready requires a secret of at least 32 bytes in base64.
 func (Dialect) Ready(k token.Key) (token.Material, error) {
 	if k.Alg != "" && k.Alg != "HS256" {
 		return token.Material{}, fmt.Errorf("alg: %q does not go with kind hmac", k.Alg)
@@ -39,13 +40,14 @@
 	return token.Material{Shared: secret, Signs: true}, err
 }
 
-// Find gives the signature, which each signed URL has.
+// Find returns the signature parameter, which every signed URL has.
 func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
 	return token.Carried{Text: q.Query.Get(ParamSignature), Params: params}, q.Query.Get(ParamSignature) != ""
 }
 
-// toSign is what a URL's signature covers: path, expiry, key and nonce, then all other parameters sorted by name.
-func toSign(path, expires, key, nonce string, rest token.Query) []byte {
+// signingInput returns the text that the signature covers: path, expiry, key id and nonce, then all other parameters sorted
+// by name.
+func signingInput(path, expires, key, nonce string, rest token.Query) []byte {
 	rest = append(token.Query(nil), rest...)
 	sort.Slice(rest, func(i, j int) bool { return rest[i].Name < rest[j].Name })
 	return []byte("turnfork-url-v1\n" + path + "\n" + expires + "\n" + key + "\n" + nonce + "\n" + rest.String())
@@ -59,11 +61,11 @@
 
 // Open authenticates a signed URL.
 func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
-	if q.RawQuery != q.Query.String() { // the signature covers what the query says, so it may be spelled in one way alone
+	if q.RawQuery != q.Query.String() { // the signature covers the decoded parameters, so only one encoding of them may be accepted
 		return g, token.Reject(token.Malformed, "the query is not in canonical form")
 	}
 	expires, nonce := q.Query.Get(ParamExpires), q.Query.Get(ParamNonce)
-	at, ok := token.Number(expires, 40)
+	expiry, ok := token.Number(expires, 40)
 	if !ok || nonce == "" || len(nonce) > token.IDMost {
 		return g, token.Reject(token.Malformed, "the signed URL lacks a field or can't be read")
 	}
@@ -71,15 +73,15 @@
 	if err != nil {
 		return g, err
 	}
-	if !token.Same(c.Text, mac(key.Shared, toSign(q.Path, expires, key.ID, nonce, q.Query.Without(params...)))) {
+	if !token.Same(c.Text, mac(key.Shared, signingInput(q.Path, expires, key.ID, nonce, q.Query.Without(params...)))) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
 	return token.Grant{
-		Key: key.ID, ID: nonce, Until: float64(at), Query: true, URIs: []token.Pattern{{Form: token.Exact, Text: q.Path, On: token.OnPath}},
+		Key: key.ID, ID: nonce, Until: float64(expiry), Query: true, URIs: []token.Pattern{{Form: token.Exact, Text: q.Path, On: token.OnPath}},
 	}, nil
 }
 
-// Issue signs a path and its parameters; the URL comes without scheme and host where the terms have none.
+// Issue signs a path and its parameters. The URL has a scheme and a host only if the URI of the terms has them.
 func (Dialect) Issue(key *token.Ready, t token.Terms) (out token.Issued, err error) {
 	u, err := url.Parse(t.URI)
 	if err != nil {
@@ -94,9 +96,9 @@
 	case !(t.Until > 0 && t.Until < 1<<40):
 		return out, fmt.Errorf("expires: out of range")
 	}
-	when := strconv.FormatUint(uint64(t.Until), 10)
-	sum := mac(key.Shared, toSign(u.Path, when, key.ID, t.ID, rest))
-	u.RawQuery = append(rest, token.Pair{Name: ParamExpires, Value: when}, token.Pair{Name: ParamKey, Value: key.ID},
+	expires := strconv.FormatUint(uint64(t.Until), 10)
+	sum := mac(key.Shared, signingInput(u.Path, expires, key.ID, t.ID, rest))
+	u.RawQuery = append(rest, token.Pair{Name: ParamExpires, Value: expires}, token.Pair{Name: ParamKey, Value: key.ID},
 		token.Pair{Name: ParamNonce, Value: t.ID}, token.Pair{Name: ParamSignature, Value: sum}).String()
 	return token.Issued{ID: t.ID, URL: u.String()}, nil
 }
--- a/token/presign/presign.go
+++ b/token/presign/presign.go
@@ -1,4 +1,4 @@
-// Package presign is the dialect of URLs signed in the query with AWS Signature Version 4.
+// Package presign implements the dialect of presigned URLs: AWS Signature Version 4 in query parameters.
 package presign
 
 import (
@@ -14,7 +14,7 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Names of the query's parameters.
+// Names of the query parameters.
 const (
 	ParamAlgorithm  = "X-Amz-Algorithm"
 	ParamCredential = "X-Amz-Credential"
@@ -25,20 +25,21 @@
 	ParamSignature  = "X-Amz-Signature"
 )
 
+// params are the query parameters that belong to a token.
 var params = []string{ParamAlgorithm, ParamCredential, ParamDate, ParamExpires, ParamHeaders, ParamPayload, ParamSignature}
 
 const (
-	longest     = 7 * 24 * 3600 // s
-	headersMost = 16
+	maxValiditySeconds = 7 * 24 * 3600
+	maxSignedHeaders   = 16
 )
 
 // Dialect implements token.Dialect.
 type Dialect struct{}
 
-// Kind is "presign".
+// Kind returns "presign".
 func (Dialect) Kind() token.Kind { return token.Presign }
 
-// Ready takes the secret key as it is written; the key's id is the access key.
+// Ready uses the text of the secret as it is. The key's id is the access key id.
 func (Dialect) Ready(k token.Key) (token.Material, error) {
 	switch {
 	case len(k.Secret) < 16:
@@ -55,7 +56,7 @@
 	return token.Material{Shared: []byte(k.Secret), Signs: true}, nil
 }
 
-// Find gives the signature of a presigned URL.
+// Find returns the signature of a presigned URL.
 func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
 	text := q.Query.Get(ParamSignature)
 	return token.Carried{Text: text, Params: params}, text != ""
@@ -63,7 +64,7 @@
 
 // Open authenticates a presigned URL.
 func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
-	date, lasts, err := terms(q)
+	date, validity, err := parseTerms(q)
 	if err != nil {
 		return g, err
 	}
@@ -76,24 +77,25 @@
 	if scope != sigv4.Scope(stamp, key.Region, key.Service) {
 		return g, token.Reject(token.BadClaim, "X-Amz-Credential: another date, region or service")
 	}
-	headers, err := headersOf(q)
+	headers, err := canonicalHeaders(q)
 	if err != nil {
 		return g, err
 	}
-	canonical := sigv4.Canonical(q.Method, q.Path, query(q.Query.Without(ParamSignature)), headers, q.Query.Get(ParamHeaders),
+	canonical := sigv4.Canonical(q.Method, q.Path, canonicalQuery(q.Query.Without(ParamSignature)), headers, q.Query.Get(ParamHeaders),
 		sigv4.UnsignedPayload)
 	if !token.Same(c.Text, sigv4.Sign(string(key.Shared), stamp, key.Region, key.Service, canonical)) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
-	at := float64(date.Unix())
+	issuedAt := float64(date.Unix())
 	return token.Grant{
-		Key: key.ID, ID: token.IDOf(stamp + "\n" + canonical), Issued: at, Until: at + float64(lasts), Query: true,
+		Key: key.ID, ID: token.IDOf(stamp + "\n" + canonical), Issued: issuedAt, Until: issuedAt + float64(validity), Query: true,
 		Methods: []string{q.Method}, URIs: []token.Pattern{{Form: token.Exact, Text: q.Path, On: token.OnPath}},
 	}, nil
 }
 
-// terms reads what a presigned URL says of itself, in the one spelling.
-func terms(q *token.Request) (date time.Time, lasts uint64, err error) {
+// parseTerms validates the parameters of a presigned URL, whose query must be in canonical encoding, and returns the date
+// and the validity in seconds.
+func parseTerms(q *token.Request) (date time.Time, validity uint64, err error) {
 	malformed := func(text string) error { return token.Reject(token.Malformed, text) }
 	for item := range strings.SplitSeq(q.RawQuery, "&") {
 		name, value, ok := strings.Cut(item, "=")
@@ -102,7 +104,7 @@
 			return date, 0, malformed("the query is not in canonical form")
 		}
 	}
-	for _, p := range q.Query { // one that is not known might limit the grant
+	for _, p := range q.Query { // an unknown parameter might restrict the grant
 		if strings.HasPrefix(p.Name, "X-Amz-") && !slices.Contains(params, p.Name) {
 			return date, 0, token.Reject(token.BadClaim, "a parameter of the signature is not understood")
 		}
@@ -116,17 +118,17 @@
 	if date, err = time.Parse(sigv4.Time, q.Query.Get(ParamDate)); err != nil {
 		return date, 0, malformed("X-Amz-Date: no date")
 	}
-	lasts, ok := token.Number(q.Query.Get(ParamExpires), 32)
-	if !ok || lasts == 0 || lasts > longest {
+	validity, ok := token.Number(q.Query.Get(ParamExpires), 32)
+	if !ok || validity == 0 || validity > maxValiditySeconds {
 		return date, 0, malformed("X-Amz-Expires: 1 second to 7 days")
 	}
-	return date, lasts, nil
+	return date, validity, nil
 }
 
-// headersOf gives the canonical lines of the signed headers; host must be one of them.
-func headersOf(q *token.Request) (string, error) {
+// canonicalHeaders returns the canonical lines of the signed headers, which must include host.
+func canonicalHeaders(q *token.Request) (string, error) {
 	names := strings.Split(q.Query.Get(ParamHeaders), ";")
-	if len(names) > headersMost || !sort.StringsAreSorted(names) {
+	if len(names) > maxSignedHeaders || !sort.StringsAreSorted(names) {
 		return "", token.Reject(token.Malformed, "X-Amz-SignedHeaders: too many, or not sorted")
 	}
 	var b strings.Builder
@@ -148,7 +150,8 @@
 	return b.String(), nil
 }
 
-func query(q token.Query) string {
+// canonicalQuery returns the canonical form of a query.
+func canonicalQuery(q token.Query) string {
 	var pairs [][2]string
 	for _, p := range q {
 		pairs = append(pairs, [2]string{p.Name, p.Value})
@@ -156,7 +159,7 @@
 	return sigv4.Query(pairs)
 }
 
-// Issue signs one URI for one method, with host as the only signed header.
+// Issue signs a single URI for a single method, with host as the only signed header.
 func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
 	u, err := t.Whole(false)
 	switch {
@@ -167,27 +170,27 @@
 	case t.From > 0:
 		return out, fmt.Errorf("after: not with kind presign")
 	}
-	rest, err := token.ParseQuery(u.RawQuery)
+	uriParams, err := token.ParseQuery(u.RawQuery)
 	if err != nil {
 		return out, fmt.Errorf("uri: %w", err)
 	}
-	at := time.Unix(int64(t.Now), 0).UTC()
-	lasts := int64(t.Until) - at.Unix()
-	if lasts < 1 || lasts > longest {
+	issuedAt := time.Unix(int64(t.Now), 0).UTC()
+	validity := int64(t.Until) - issuedAt.Unix()
+	if validity < 1 || validity > maxValiditySeconds {
 		return out, fmt.Errorf("seconds: 7 days at most with kind presign")
 	}
-	method, stamp := t.Method, at.Format(sigv4.Time)
+	method, stamp := t.Method, issuedAt.Format(sigv4.Time)
 	if method == "" {
 		method = "GET"
 	}
-	q := append(rest,
+	q := append(uriParams,
 		token.Pair{Name: ParamAlgorithm, Value: sigv4.Algorithm},
 		token.Pair{Name: ParamCredential, Value: k.ID + "/" + sigv4.Scope(stamp, k.Region, k.Service)},
 		token.Pair{Name: ParamDate, Value: stamp},
-		token.Pair{Name: ParamExpires, Value: strconv.FormatInt(lasts, 10)},
+		token.Pair{Name: ParamExpires, Value: strconv.FormatInt(validity, 10)},
 		token.Pair{Name: ParamHeaders, Value: "host"})
-	canonical := sigv4.Canonical(method, u.Path, query(q), "host:"+u.Host+"\n", "host", sigv4.UnsignedPayload)
+	canonical := sigv4.Canonical(method, u.Path, canonicalQuery(q), "host:"+u.Host+"\n", "host", sigv4.UnsignedPayload)
 	sum := sigv4.Sign(string(k.Shared), stamp, k.Region, k.Service, canonical)
-	u.RawQuery = query(q) + "&" + ParamSignature + "=" + sum
+	u.RawQuery = canonicalQuery(q) + "&" + ParamSignature + "=" + sum
 	return token.Issued{ID: token.IDOf(stamp + "\n" + canonical), URL: u.String()}, nil
 }
