--- a/scale/child.go
+++ b/scale/child.go
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// roleVariable is the environment variable that makes this program a child in a role.
+// roleVariable is the environment variable that holds the role of a child process.
 const roleVariable = "TURNFORK_SCALE_ROLE"
 
-// childExitTimeout bounds the end of a child whose standard input has ended.
+// childExitTimeout limits how long a child may take to shut down once its standard input is closed.
 const childExitTimeout = 8 * time.Second
 
 var errUnknownMethod = errors.New("scale: unknown method")
 
-// worker carries out the requests of one role.
+// worker handles the requests to a child process of one role.
 type worker interface {
-	// handle carries out one request; but for the start, several run at once.
+	// handle executes one request. Calls may be concurrent, but methodStart completes before later requests are read.
 	handle(ctx context.Context, method string, body json.RawMessage) (any, error)
-	// close ends all that was started.
+	// close stops everything that the worker has started.
 	close() error
 }
 
-// ChildMain serves as a child where a parent started this program as one, and ends the process then. Otherwise it
-// returns at once. A program that uses the rig calls it first.
+// ChildMain runs the process as a child if a parent started it as one, and then exits. Otherwise it returns at once. A
+// program that uses the rig must call it first in main.
 func ChildMain() {
 	role := Role(os.Getenv(roleVariable))
 	if role == "" {
@@ -53,7 +53,7 @@
 	return nil, fmt.Errorf("scale: unknown role %q", role)
 }
 
-// serveChild carries out requests until in ends, and then ends all that they started.
+// serveChild handles requests until in is closed, and then closes the worker.
 func serveChild(role Role, in io.Reader, out io.Writer) error {
 	worker, err := newWorker(role)
 	if err != nil {
@@ -69,22 +69,22 @@
 	)
 	for {
 		var req request
-		if decoder.Decode(&req) != nil { // the parent is done, or gone
+		if decoder.Decode(&req) != nil { // the parent has closed the pipe or exited
 			break
 		}
 		respond := func() {
 			resp := handleRequest(ctx, worker, req)
 			writing.Lock()
 			defer writing.Unlock()
-			encoder.Encode(resp) // fails only where the parent is gone
+			encoder.Encode(resp) // fails only if the parent has exited
 		}
-		if req.Method == methodStart { // what it sets up is there for all that follow
+		if req.Method == methodStart { // handled synchronously, as later requests depend on it
 			respond()
 			continue
 		}
 		running.Go(respond)
 	}
-	// Guards against a child that outlives its parent.
+	// Forces the exit if a request or the worker hangs, so that no child outlives its parent.
 	time.AfterFunc(childExitTimeout, func() { os.Exit(1) })
 	cancel()
 	running.Wait()
@@ -103,7 +103,7 @@
 	return resp
 }
 
-// decodeBody reads a request's body.
+// decodeBody decodes the JSON body of a request.
 func decodeBody[T any](body json.RawMessage) (value T, err error) {
 	if err = json.Unmarshal(body, &value); err != nil {
 		err = fmt.Errorf("scale: request: %w", err)
--- a/scale/cluster.go
+++ b/scale/cluster.go
@@ -20,24 +20,24 @@
 	startTimeout        = 90 * time.Second
 	pollInterval        = 200 * time.Millisecond
 	gatewaysPerProcess  = 500
-	minGatewayProcesses = 2 // so that a fault of one leaves others
+	minGatewayProcesses = 2 // so that a fault in one process leaves other gateways unaffected
 	maxGatewayProcesses = 12
 )
 
 var errNoRelay = errors.New("scale: the cluster has no relay")
 
-// clusterOptions are what a cluster is made of.
+// clusterOptions configure a cluster.
 type clusterOptions struct {
 	topology  Topology
 	voters    int
 	endpoints int
 	seed      uint64
-	relay     bool      // between gateways and voters, for faults of the network
+	relay     bool      // between gateways and voters, for network faults
 	dir       string    // for the voters' files
-	log       io.Writer // what the children say
+	log       io.Writer // for the children's standard error
 }
 
-// cluster is the set of processes of a run.
+// cluster is the set of child processes of a run.
 type cluster struct {
 	options   clusterOptions
 	authority *Authority
@@ -49,20 +49,20 @@
 	voters []*voterProcess
 }
 
-// voterProcess is a voter's process; a voter that was killed has none.
+// voterProcess is a voter with its process, which is nil while the voter is down.
 type voterProcess struct {
 	id      string
 	setup   voterSetup
 	process *Process
 }
 
-// gatewayProcess runs some of the gateways.
+// gatewayProcess is a process that runs some of the gateways.
 type gatewayProcess struct {
 	process *Process
-	numbers []int // of its gateways, in the topology
+	numbers []int // its gateways' numbers in the topology
 }
 
-// startCluster starts all processes and waits until every gateway is fresh. It ends them all where that fails.
+// startCluster starts all processes and waits until every gateway is fresh. On failure it stops all processes.
 func startCluster(ctx context.Context, options clusterOptions, progress *progress) (c *cluster, err error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -97,13 +97,13 @@
 	return c, nil
 }
 
-// voterIP and relayIP are the loopback addresses of a voter, and of the relay in front of it. They differ from the one
-// that outgoing connections come from, so that none of those can take a voter's port while it is down.
+// voterIP and relayIP are the loopback addresses of a voter and of the relay in front of it. They differ from the source
+// address of outgoing connections, so that no such connection can occupy a voter's port while the voter is down.
 func voterIP(voter int) string { return fmt.Sprintf("127.0.1.%d", voter+1) }
 func relayIP(voter int) string { return fmt.Sprintf("127.0.2.%d", voter+1) }
 
-// freeAddresses finds a port that is free at each of some IP addresses. All are held until the last is found, so that they
-// differ.
+// freeAddresses returns an address with a free port for each IP address. All ports stay open until the last one is found,
+// so that they differ.
 func freeAddresses(ips []string) (addresses []string, err error) {
 	var listeners []net.Listener
 	defer func() {
@@ -114,7 +114,7 @@
 	for _, ip := range ips {
 		listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 		if err != nil {
-			return nil, fmt.Errorf("scale: a port: %w", err)
+			return nil, fmt.Errorf("scale: find a free port: %w", err)
 		}
 		listeners = append(listeners, listener)
 		addresses = append(addresses, listener.Addr().String())
@@ -154,7 +154,7 @@
 	return err
 }
 
-// startVoter starts a voter, for the first time or anew with the files that it left.
+// startVoter starts a voter for the first time, or restarts it with its existing files.
 func (c *cluster) startVoter(ctx context.Context, voter int) error {
 	process, err := StartProcess(RoleVoters, c.options.log)
 	if err != nil {
@@ -167,7 +167,7 @@
 	return process.Call(ctx, methodStart, setup, nil)
 }
 
-// killVoter ends a voter as a crash does.
+// killVoter kills a voter's process, as in a crash.
 func (c *cluster) killVoter(voter int) {
 	if process := c.voterProcess(voter); process != nil {
 		c.mu.Lock()
@@ -177,14 +177,14 @@
 	}
 }
 
-// voterProcess gives a voter's process; nil: it is down.
+// voterProcess returns a voter's process, or nil while the voter is down.
 func (c *cluster) voterProcess(voter int) *Process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.voters[voter].process
 }
 
-// awaitLeader waits for a leader and gives its number.
+// awaitLeader waits until a voter leads and returns its index.
 func (c *cluster) awaitLeader(ctx context.Context) (int, error) {
 	for {
 		for voter := range c.voters {
@@ -198,12 +198,12 @@
 			}
 		}
 		if !sleep(ctx, pollInterval) {
-			return 0, fmt.Errorf("scale: no leader: %w", ctx.Err())
+			return 0, fmt.Errorf("scale: no leader elected: %w", ctx.Err())
 		}
 	}
 }
 
-// startRelay starts the relay where there is one, and gives the addresses at which each site reaches the voters.
+// startRelay starts the relay if the run uses one, and returns the addresses at which each site reaches the voters.
 func (c *cluster) startRelay(ctx context.Context) (routes relayRoutes, err error) {
 	if !c.options.relay {
 		for range c.options.topology.Sites {
@@ -250,7 +250,7 @@
 	return group.Wait()
 }
 
-// states asks all gateways what they hold.
+// states returns the replicated state of all gateways.
 func (c *cluster) states(ctx context.Context) ([]State, error) {
 	parts := make([][]State, len(c.gateways))
 	var group errgroup.Group
@@ -267,7 +267,7 @@
 	return all, nil
 }
 
-// lastPosition gives the position of the last change that a voter holds.
+// lastPosition returns the highest position among the running voters.
 func (c *cluster) lastPosition(ctx context.Context) (last distribution.Position, err error) {
 	for voter := range c.voters {
 		process := c.voterProcess(voter)
@@ -287,7 +287,7 @@
 	return last, nil
 }
 
-// awaitFresh waits until every gateway holds a lease.
+// awaitFresh waits until every gateway is fresh, which means that it holds a lease.
 func (c *cluster) awaitFresh(ctx context.Context, progress *progress) error {
 	for {
 		states, err := c.states(ctx)
@@ -310,7 +310,7 @@
 	}
 }
 
-// restartGateways has gateways end and start anew, all at once.
+// restartGateways restarts the given gateways concurrently.
 func (c *cluster) restartGateways(ctx context.Context, numbers []int) error {
 	selected := map[int]bool{}
 	for _, number := range numbers {
@@ -331,7 +331,7 @@
 	return group.Wait()
 }
 
-// setLink sets the network between sites and voters.
+// setLink sets the condition of the network between sites and voters.
 func (c *cluster) setLink(ctx context.Context, condition linkCondition) error {
 	if c.relay == nil {
 		return errNoRelay
@@ -339,7 +339,7 @@
 	return c.relay.Call(ctx, methodLink, condition, nil)
 }
 
-// stop ends all processes and removes nothing: the folder is the caller's.
+// stop stops all processes. It keeps the files, as the directory belongs to the caller.
 func (c *cluster) stop() {
 	var processes []*Process
 	for _, part := range c.gateways {
@@ -360,16 +360,16 @@
 	stopping.Wait()
 }
 
-// temporaryDir makes a folder for a run.
+// makeTempDir creates a temporary directory for a run.
 func makeTempDir() (string, error) {
 	dir, err := os.MkdirTemp("", "turnfork-scale-")
 	if err != nil {
-		return "", fmt.Errorf("scale: folder: %w", err)
+		return "", fmt.Errorf("scale: create temporary directory: %w", err)
 	}
 	return filepath.Clean(dir), nil
 }
 
-// pause waits, and tells whether ctx still runs.
+// sleep waits for the duration. It returns false if ctx is canceled first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -381,7 +381,7 @@
 	}
 }
 
-// progress prints lines with the time since a run began.
+// progress prints progress messages with the time since the run began.
 type progress struct {
 	begin time.Time
 	out   io.Writer
--- a/scale/counting.go
+++ b/scale/counting.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// byteCounter counts the bytes of connections.
+// byteCounter counts the bytes received and sent on connections.
 type byteCounter struct{ in, out atomic.Int64 }
 
 // countingListener counts the bytes of the connections that it accepts.
@@ -14,7 +14,7 @@
 	bytes *byteCounter
 }
 
-// Accept takes a connection.
+// Accept accepts a connection whose bytes are counted.
 func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -23,20 +23,20 @@
 	return &countingConn{Conn: conn, bytes: l.bytes}, nil
 }
 
-// countingConn counts its bytes.
+// countingConn counts the bytes that are read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	bytes *byteCounter
 }
 
-// Read reads and counts.
+// Read implements net.Conn.
 func (c *countingConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
 	c.bytes.in.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write implements net.Conn.
 func (c *countingConn) Write(content []byte) (int, error) {
 	n, err := c.Conn.Write(content)
 	c.bytes.out.Add(int64(n))
--- a/scale/driver.go
+++ b/scale/driver.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	proposalTimeout    = 3 * time.Second  // of one attempt at one voter
-	operationTimeout   = 15 * time.Second // after which its proposer gives up
+	proposalTimeout    = 3 * time.Second  // for one attempt at one voter
+	operationTimeout   = 15 * time.Second // for an operation with all its attempts
 	proposalRetryPause = 50 * time.Millisecond
 )
 
-// driver proposes the operations of a load at their times, each at a voter drawn for it, and again at another one where
-// that fails. To propose a change twice is harmless.
+// driver proposes the operations of a load at their scheduled times, each to a random voter. A failed attempt is retried
+// at the next voter. Proposing a change twice is harmless, so the failed attempt may have been committed.
 type driver struct {
 	cluster *cluster
 	random  *rand.Rand
@@ -23,7 +23,7 @@
 	mu           sync.Mutex
 	acked        []AckedChange
 	acknowledged int
-	failed       int // given up
+	failed       int // not acknowledged within operationTimeout
 	retried      int
 }
 
@@ -31,7 +31,7 @@
 	return &driver{cluster: c, random: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// run proposes until the last operation has ended.
+// run proposes all operations and waits until each was acknowledged or has failed.
 func (d *driver) run(ctx context.Context, operations []Operation) {
 	begin := time.Now()
 	var proposals sync.WaitGroup
@@ -45,7 +45,7 @@
 	proposals.Wait()
 }
 
-// propose turns to one voter after the other until an operation is acknowledged.
+// propose tries one voter after the other until the operation is acknowledged or its timeout has expired.
 func (d *driver) propose(ctx context.Context, operation Operation, voter int) {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
@@ -93,7 +93,8 @@
 	*counter++
 }
 
-// acknowledgedChanges gives what was acknowledged and can be observed, in that order.
+// acknowledgedChanges returns the acknowledged operations that can be observed at gateways, in the order of their
+// acknowledgements.
 func (d *driver) acknowledgedChanges() []AckedChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,7 +103,7 @@
 	return out
 }
 
-// counts gives how many operations were acknowledged and given up, and how many attempts were repeated.
+// counts returns the number of operations that were acknowledged and that failed, and the number of failed attempts.
 func (d *driver) counts() (acknowledged, failed, retried int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/scale/fit.go
+++ b/scale/fit.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Figure is a figure of reports that is looked at over the number of gateways.
+// Figure is a measurement in reports that is tabulated and plotted over the number of gateways.
 type Figure struct {
 	Name string
 	Unit string
@@ -19,7 +19,7 @@
 
 const mebibyte = 1 << 20
 
-// Figures are those of the table and the plot.
+// Figures lists the rows of the table, which are also the panels of the plot.
 var Figures = []Figure{
 	{"purge everywhere, p99", "ms", func(r *Report) float64 { return r.Classes[ClassPurge].Everywhere.P99 }},
 	{"purge everywhere, max", "ms", func(r *Report) float64 { return r.Classes[ClassPurge].Everywhere.Max }},
@@ -33,14 +33,14 @@
 	{"a gateway, both ways", "KB/s", func(r *Report) float64 { return (r.Traffic.GatewayBytesIn + r.Traffic.GatewayBytesOut) / 1000 }},
 }
 
-// Fit is a straight line through a figure over the number of gateways, by least squares.
+// Fit is a linear least-squares fit of a figure over the number of gateways.
 type Fit struct {
 	Intercept float64
-	Slope     float64 // for each gateway
-	Residual  float64 // root of the mean of the squares of what the line leaves
+	Slope     float64 // per gateway
+	Residual  float64 // root mean square of the residuals
 }
 
-// FitFigure fits a line. With fewer than two reports it is flat.
+// FitFigure fits a line to a figure of the reports. With fewer than two reports the line is horizontal.
 func FitFigure(figure Figure, reports []*Report) Fit {
 	x, y := points(figure, reports)
 	if len(x) < 2 {
@@ -55,7 +55,7 @@
 	return Fit{Intercept: intercept, Slope: slope, Residual: math.Sqrt(sumOfSquares / float64(len(x)))}
 }
 
-// points gives a figure over the number of gateways.
+// points returns the numbers of gateways (x) and the values of the figure (y).
 func points(figure Figure, reports []*Report) (x, y []float64) {
 	for _, report := range reports {
 		x = append(x, float64(report.Gateways))
@@ -64,13 +64,13 @@
 	return x, y
 }
 
-// SortByGateways puts reports in the order of their numbers of gateways.
+// SortByGateways sorts reports by ascending number of gateways.
 func SortByGateways(reports []*Report) {
 	slices.SortFunc(reports, func(a, b *Report) int { return cmp.Compare(a.Gateways, b.Gateways) })
 }
 
-// Table words the figures of reports as a table in Markdown, with the slope of each for a thousand gateways and what the
-// line leaves.
+// Table formats the figures of reports as a Markdown table, with the slope per thousand gateways and the residual of
+// each figure's fit.
 func Table(reports []*Report) string {
 	var text strings.Builder
 	text.WriteString("| figure |")
@@ -89,7 +89,7 @@
 	return text.String()
 }
 
-// number writes a figure with three digits at least.
+// formatValue formats a value with more decimal places the smaller it is.
 func formatValue(value float64) string {
 	switch magnitude := math.Abs(value); {
 	case magnitude >= 100:
--- a/scale/full_gateway_test.go
+++ b/scale/full_gateway_test.go
@@ -21,12 +21,13 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// wholeVariable makes the test's program a whole gateway with the operator's file that it names.
+// fullGatewayVariable is the environment variable that makes the test binary run a full gateway. Its value is the path of
+// the operator configuration.
 const fullGatewayVariable = "TURNFORK_SCALE_TEST_GATEWAY"
 
 const fullGatewaySecret = "a secret for this test alone"
 
-// serveWholeGateway runs a gateway as it ships until its standard input ends, and prints the addresses that it listens at.
+// serveFullGateway runs a gateway as in production until its standard input is closed, and prints its listen addresses.
 func serveFullGateway(file string) error {
 	operator, err := config.LoadOperator(file)
 	if err != nil {
@@ -43,7 +44,7 @@
 	})
 }
 
-// wholeGateway is a whole gateway in a process of its own.
+// fullGateway is a gateway as in production, data plane included, in its own process.
 type fullGateway struct {
 	t                       *testing.T
 	command                 *exec.Cmd
@@ -82,12 +83,12 @@
 	})
 	g := &fullGateway{t: t, command: command}
 	if _, err := fmt.Fscan(stdout, &g.signedAddr, &g.consoleAddr); err != nil {
-		t.Fatal("the whole gateway does not listen:", err)
+		t.Fatal("the full gateway printed no listen addresses:", err)
 	}
 	return g
 }
 
-// subscription tells how the gateway's subscription stands.
+// subscription returns the status of the gateway's subscription, from its console.
 func (g *fullGateway) subscription() adminapi.Subscription {
 	g.t.Helper()
 	resp, err := http.Get("http://" + g.consoleAddr + "/ready")
@@ -97,12 +98,12 @@
 	defer resp.Body.Close()
 	var state adminapi.State
 	if err := json.NewDecoder(resp.Body).Decode(&state); err != nil || state.Subscription == nil {
-		g.t.Fatalf("the console tells of no subscription: %+v, %v", state, err)
+		g.t.Fatalf("the console reports no subscription: %+v, %v", state, err)
 	}
 	return *state.Subscription
 }
 
-// newestKey is the key by which the gateway signs.
+// signingKey returns the ID of the key that the gateway signs tokens with.
 func (g *fullGateway) signingKey() string {
 	g.t.Helper()
 	body := strings.NewReader(`{"kind":"hmac","uri":"/v1/firmware/0000000000000001/0","seconds":60}`)
--- a/scale/gateway_worker.go
+++ b/scale/gateway_worker.go
@@ -35,7 +35,7 @@
 
 var _ worker = (*gatewayWorker)(nil)
 
-// runningGateway is one hollow gateway with its history across restarts.
+// runningGateway is a hollow gateway with the history of all its incarnations. A restart begins a new incarnation.
 type runningGateway struct {
 	spec    gatewaySpec
 	history leaseHistory
@@ -43,7 +43,7 @@
 	mu              sync.Mutex
 	gateway         *hollow.Gateway
 	subscriber      *replica.Subscriber
-	lastStatus      replica.SubscriberStatus // when it was last asked for
+	lastStatus      replica.SubscriberStatus // most recent sample
 	previousTraffic Traffic                  // of earlier incarnations
 }
 
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// open starts an incarnation of a gateway.
+// openGateway starts a new incarnation of a gateway.
 func (w *gatewayWorker) openGateway(index int, running *runningGateway) error {
 	running.history.started(time.Now())
 	gateway, err := hollow.New(hollow.Options{
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// restart closes gateways and starts them anew, all at once, as after the end of their processes.
+// restart closes the given gateways and starts new incarnations concurrently, as if their processes had been restarted.
 func (w *gatewayWorker) restart(indices []int) error {
 	var group errgroup.Group
 	for _, index := range indices {
@@ -137,7 +137,7 @@
 	return group.Wait()
 }
 
-// stop ends the present incarnation.
+// stop ends the current incarnation.
 func (r *runningGateway) stop() error {
 	r.history.stopped(time.Now())
 	r.mu.Lock()
@@ -165,7 +165,7 @@
 	return errors.Join(failed...)
 }
 
-// traffic sums up what all gateways have counted.
+// traffic returns the total traffic of all gateways.
 func (w *gatewayWorker) traffic() (sum Traffic) {
 	for _, running := range w.gateways {
 		running.mu.Lock()
--- a/scale/histogram.go
+++ b/scale/histogram.go
@@ -17,7 +17,7 @@
 	return hdrhistogram.New(1, maxHistogramDuration.Microseconds(), histogramSignificantDigits)
 }
 
-// recordDuration enters a duration; what is out of range counts as the nearest that is in.
+// recordDuration records a duration. Durations outside of the histogram's range are clamped to it.
 func recordDuration(histogram *hdrhistogram.Histogram, duration time.Duration) {
 	duration = min(max(duration, time.Microsecond), maxHistogramDuration)
 	if err := histogram.RecordValue(duration.Microseconds()); err != nil {
@@ -25,7 +25,7 @@
 	}
 }
 
-// Distribution sums a histogram up, in milliseconds.
+// Distribution summarizes a histogram, in milliseconds.
 type Distribution struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -34,7 +34,6 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// summarize sums a histogram up.
 func summarize(histogram *hdrhistogram.Histogram) Distribution {
 	quantile := func(percent float64) float64 { return float64(histogram.ValueAtQuantile(percent)) / 1000 }
 	return Distribution{
--- a/scale/history.go
+++ b/scale/history.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// leaseHistory is what a gateway claimed about its own freshness in the course of a run.
+// leaseHistory records when a gateway was fresh, and its claims of freshness, during a run.
 type leaseHistory struct {
 	mu        sync.Mutex
-	startedAt time.Time // of the present incarnation
-	caughtUp  bool      // the present incarnation has held a lease
+	startedAt time.Time // of the current incarnation
+	caughtUp  bool      // the current incarnation has held a lease
 	stale     []interval
-	isStale   bool // the last interval is open
+	isStale   bool // the last interval of stale has not ended
 	claims    []freshnessClaim
 }
 
-// interval is a time during which a gateway knew itself not to be fresh.
+// interval is a period in which a gateway knew that it was not fresh; a zero end means that it lasts on.
 type interval struct{ from, to time.Time }
 
-// freshnessClaim says that at a time, with all that had come before handled, the state was called complete up to another.
+// freshnessClaim is a gateway's claim that its state is complete up to completeAt. At the time at, its core had handled
+// all changes received before the claim.
 type freshnessClaim struct{ at, completeAt time.Time }
 
-// started begins an incarnation, which is stale until it has its first lease.
+// started begins an incarnation, which is stale until it holds its first lease.
 func (h *leaseHistory) started(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -37,7 +38,8 @@
 	h.setFresh(false, now)
 }
 
-// observe enters whether the lease holds now. For the first lease of an incarnation it tells how long that took.
+// observeLease records whether the gateway holds a lease now. For the first lease of an incarnation it returns the time
+// since the start of the incarnation.
 func (h *leaseHistory) observeLease(fresh bool, now time.Time) (catchUp time.Duration, first bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,14 +61,14 @@
 	h.isStale = !fresh
 }
 
-// claim enters a claim of freshness.
+// addClaim records a claim of freshness.
 func (h *leaseHistory) addClaim(at, completeAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.claims = append(h.claims, freshnessClaim{at, completeAt})
 }
 
-// freshThrough tells whether the gateway was fresh from one time to another; a zero end is the present.
+// freshThroughout reports whether the gateway was fresh during the whole period; a zero end stands for the present.
 func (h *leaseHistory) freshThroughout(from, to time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,7 +82,8 @@
 	return true
 }
 
-// firstClaimFor gives the first claim by which a change acknowledged at a time had to be known.
+// firstClaimFor returns the first claim that covers changes acknowledged at the given time. When the gateway made this
+// claim, such a change had to be in force.
 func (h *leaseHistory) firstClaimFor(acked time.Time) (freshnessClaim, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -93,7 +96,7 @@
 	return h.claims[index], true
 }
 
-// incarnation gives when the present incarnation began.
+// incarnationStart returns the start time of the current incarnation.
 func (h *leaseHistory) incarnationStart() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/scale/hollow_match_test.go
+++ b/scale/hollow_match_test.go
@@ -17,7 +17,7 @@
 	"turnfork.dev/turnfork/internal/hollow"
 )
 
-// processUse is what a process has used of a core, and its memory.
+// processUsage is the consumed processor time and the resident memory of a process.
 type processUsage struct {
 	cpu time.Duration
 	rss int64
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	_, afterName, _ := strings.Cut(string(stat), ") ")
-	fields := strings.Fields(afterName) // from the third of proc(5) on
+	fields := strings.Fields(afterName) // begins with field 3 of proc(5)
 	parse := func(field string) int64 {
 		value, err := strconv.ParseInt(field, 10, 64)
 		if err != nil {
@@ -48,23 +48,23 @@
 	t.Helper()
 	for deadline := time.Now().Add(60 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// Limits of how far a hollow gateway may be from a whole one.
+// Limits of the differences between a hollow gateway and a full one.
 const (
-	maxRecordDifference = 4    // a mark and a batch more at each end of the time that is looked at
-	maxBytesFactor      = 1.02 // either way, as the others
+	maxRecordDifference = 4    // one more mark and batch at each end of the observation
+	maxBytesFactor      = 1.02 // factors hold in both directions
 	maxCPUFactor        = 2
 	maxRSSFactor        = 1.5
 )
 
-// maxLoads bounds the loads that are tried until one goes undisturbed.
+// maxLoadAttempts limits how often the load is repeated until one run is undisturbed.
 const maxLoadAttempts = 4
 
-// pair is a whole gateway and a hollow one, each in a process of its own, before the voters of a cluster.
+// gatewayPair is a full gateway and a hollow one, each in its own process, that subscribe to the voters of a cluster.
 type gatewayPair struct {
 	t       *testing.T
 	ctx     context.Context
@@ -76,7 +76,7 @@
 	fullVoters, hollowVoters *meteredVoters
 }
 
-// observation is what is compared of a gateway over a time.
+// observation contains the quantities that are compared between the gateways.
 type observation struct {
 	records, bytes float64
 	cpuMS, rss     float64
@@ -90,7 +90,7 @@
 	}
 	p := &gatewayPair{t: t, ctx: ctx, cluster: cluster}
 	p.fullVoters, p.hollowVoters = meterVoters(t, cluster.members), meterVoters(t, cluster.members)
-	p.full = startFullGateway(t, "gateway-w", p.fullVoters.members, identity) // names of one length make messages of one
+	p.full = startFullGateway(t, "gateway-w", p.fullVoters.members, identity) // names of equal length, so that messages have equal length
 	if p.hollow, err = StartProcess(RoleGateways, testLog{t}); err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 	if err := p.hollow.Call(ctx, methodStart, setup, nil); err != nil {
 		t.Fatal(err)
 	}
-	awaitCondition(t, "both are fresh", func() bool { return p.full.subscription().Fresh && p.hollowState().Fresh })
+	awaitCondition(t, "both gateways are fresh", func() bool { return p.full.subscription().Fresh && p.hollowState().Fresh })
 	return p
 }
 
@@ -115,7 +115,7 @@
 	return states[0]
 }
 
-// observe gives the counts so far, of the whole gateway and of the hollow one.
+// observeBoth returns the counts so far of the full gateway and of the hollow one.
 func (p *gatewayPair) observeBoth() (full, hollow observation) {
 	p.t.Helper()
 	of := func(voters *meteredVoters, pid int) observation {
@@ -128,11 +128,11 @@
 	return of(p.fullVoters, p.full.command.Process.Pid), of(p.hollowVoters, p.hollow.PID())
 }
 
-// checkState checks that both come to the cluster's last state, in which a key ring is in force.
+// checkState checks that both gateways reach the cluster's last state and that the given key ring is in force.
 func (p *gatewayPair) checkState(ring string) {
 	p.t.Helper()
-	awaitCondition(p.t, "all hold the last change", func() bool {
-		last, err := p.cluster.lastPosition(p.ctx) // it may move on, by an attempt that was given up and still came through
+	awaitCondition(p.t, "all gateways hold the last change", func() bool {
+		last, err := p.cluster.lastPosition(p.ctx) // may still advance: an attempt that timed out can be committed later
 		if err != nil {
 			p.t.Fatal(err)
 		}
@@ -144,16 +144,16 @@
 	}
 	for _, state := range states {
 		if digest := p.hollowState().Digest; state.Digest != digest {
-			p.t.Errorf("%+v holds another state than %x", state, digest)
+			p.t.Errorf("state %+v differs from the hollow gateway's digest %x", state, digest)
 		}
 	}
 	if key := p.full.signingKey(); !strings.HasPrefix(key, ring) {
-		p.t.Errorf("the whole gateway signs by %s, the last ring was %s", key, ring)
+		p.t.Errorf("the full gateway signs with key %s, want a key of the last ring %s", key, ring)
 	}
 }
 
-// load proposes for some seconds, and a last key ring behind all else. It gives the start of that ring's names of keys, and
-// tells whether nothing went wrong under way: no attempt was repeated and no gateway connected anew.
+// runLoad proposes a load for some seconds, followed by a final key ring. It returns the common prefix of that ring's key
+// IDs, and whether the run was undisturbed: no attempt was retried and neither gateway reconnected.
 func (p *gatewayPair) runLoad(seed uint64) (ring string, undisturbed bool) {
 	p.t.Helper()
 	before := p.reconnects()
@@ -166,7 +166,7 @@
 	return fmt.Sprintf("key-%d-", last.serial), failed+retried == 0 && p.reconnects() == before
 }
 
-// reconnects counts how often either connected anew.
+// reconnects returns the total number of reconnections of both gateways.
 func (p *gatewayPair) reconnects() int64 {
 	p.t.Helper()
 	var stats ProcessStats
@@ -176,7 +176,7 @@
 	return stats.Traffic.Reconnects + int64(p.full.subscription().Reconnects)
 }
 
-// clusterAt tells whether the cluster's own gateways hold a position.
+// clusterHoldsPosition reports whether the cluster's own gateways are at a position.
 func (p *gatewayPair) clusterHoldsPosition(position distribution.Position) bool {
 	p.t.Helper()
 	states, err := p.cluster.states(p.ctx)
@@ -188,14 +188,14 @@
 
 func checkRatio(t *testing.T, what string, full, hollow, limit float64) {
 	t.Helper()
-	t.Logf("%s: whole %.0f, hollow %.0f", what, full, hollow)
+	t.Logf("%s: full %.0f, hollow %.0f", what, full, hollow)
 	if ratio := hollow / full; ratio > limit || ratio < 1/limit || math.IsNaN(ratio) {
-		t.Errorf("%s: whole %.0f, hollow %.0f, limit a factor of %.2f", what, full, hollow, limit)
+		t.Errorf("%s: full %.0f, hollow %.0f, limit a factor of %.2f", what, full, hollow, limit)
 	}
 }
 
-// A hollow gateway is like a whole one on the same stream: it comes to the same state, has the same messages and bytes from
-// its voters, and uses processor time and memory within a factor.
+// A hollow gateway matches a full one that receives the same changes: it reaches the same state, receives the same number
+// of TLS records and bytes from its voters, and uses processor time and memory within a factor of the full gateway's.
 func TestHollowGatewayMatchesFullGateway(t *testing.T) {
 	checkNoLeaks(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
@@ -217,12 +217,12 @@
 			compareObservations(t, full.since(fullBefore), hollow.since(hollowBefore))
 			return
 		}
-		t.Log("the machine was too busy for the voters: their streams can't be compared")
+		t.Log("attempts were retried or a gateway reconnected, so the streams can't be compared; repeating the load")
 	}
-	t.Fatalf("none of %d loads went undisturbed", maxLoadAttempts)
+	t.Fatalf("all %d loads were disturbed by retries or reconnections", maxLoadAttempts)
 }
 
-// since gives what was counted after an earlier observation, with the memory as it is.
+// since returns the counts since an earlier observation, with the current memory.
 func (o observation) since(earlier observation) observation {
 	return observation{
 		records: o.records - earlier.records, bytes: o.bytes - earlier.bytes, cpuMS: o.cpuMS - earlier.cpuMS, rss: o.rss,
@@ -231,9 +231,9 @@
 
 func compareObservations(t *testing.T, full, hollow observation) {
 	t.Helper()
-	t.Logf("records: whole %.0f, hollow %.0f", full.records, hollow.records)
+	t.Logf("records: full %.0f, hollow %.0f", full.records, hollow.records)
 	if math.Abs(full.records-hollow.records) > maxRecordDifference {
-		t.Errorf("records: whole %.0f, hollow %.0f, limit %d apart", full.records, hollow.records, maxRecordDifference)
+		t.Errorf("records: full %.0f, hollow %.0f, limit is a difference of %d", full.records, hollow.records, maxRecordDifference)
 	}
 	checkRatio(t, "bytes", full.bytes, hollow.bytes, maxBytesFactor)
 	checkRatio(t, "processor ms", full.cpuMS, hollow.cpuMS, maxCPUFactor)
--- a/scale/identity.go
+++ b/scale/identity.go
@@ -18,17 +18,17 @@
 	"turnfork.dev/turnfork/internal/hollow"
 )
 
-// certificateTTL is how long the certificates of a run last.
+// certificateTTL is the validity of the certificates of a run.
 const certificateTTL = 24 * time.Hour
 
-// Identity is a process's certificate and key with the authority that it trusts, in DER.
+// Identity is the DER-encoded certificate and key of a process, with the certificate authority that it trusts.
 type Identity struct {
 	Authority   []byte `json:"authority"`
 	Certificate []byte `json:"certificate"`
 	Key         []byte `json:"key"`
 }
 
-// TLS gives the configuration of mutual TLS with the identity.
+// TLS returns a configuration for mutual TLS with the identity.
 func (i Identity) TLS() (*tls.Config, error) {
 	key, err := x509.ParsePKCS8PrivateKey(i.Key)
 	if err != nil {
@@ -46,7 +46,7 @@
 	}, nil
 }
 
-// writeFiles writes the identity to a folder, under the names that hollow gateways' operator's files have.
+// writeFiles writes the identity to a directory, under the file names that hollow.SubscriptionText refers to.
 func (i Identity) writeFiles(dir string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("scale: identity: %w", err)
@@ -63,14 +63,14 @@
 	return nil
 }
 
-// Authority issues the certificates of a run.
+// Authority is a certificate authority for the processes of a run.
 type Authority struct {
 	key         *ecdsa.PrivateKey
 	certificate *x509.Certificate
 	addresses   []net.IP
 }
 
-// NewAuthority makes an authority whose certificates hold at the given addresses.
+// NewAuthority creates an authority whose certificates are valid for the given IP addresses.
 func NewAuthority(addresses []net.IP) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return &Authority{key: key, certificate: certificate, addresses: addresses}, nil
 }
 
-// Issue makes an identity under a name.
+// Issue creates an identity with the given common name.
 func (a *Authority) Issue(name string) (Identity, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/scale/load.go
+++ b/scale/load.go
@@ -16,19 +16,19 @@
 	"turnfork.dev/turnfork/token"
 )
 
-// Load is what a run proposes.
+// Load describes the operations that a run proposes.
 type Load struct {
 	Purges        float64       `json:"purges_per_s"`
 	ChangesPerDay float64       `json:"changes_per_day"`
-	Burst         int           `json:"burst"` // changes within a second, in the middle of the run
+	Burst         int           `json:"burst"` // configuration changes within one second, in the middle of the run
 	Revocations   float64       `json:"revocations_per_s"`
-	StoreInterval time.Duration `json:"store_interval"` // between changes of the store list; 0: none
+	StoreInterval time.Duration `json:"store_interval"` // between changes of the endpoint list; 0: none
 }
 
 const (
-	groupPurgeShare           = 0.02 // of the purges, that void a whole group
-	keyRingShare              = 0.2  // of the changes, that replace the key ring
-	policyShare               = 0.3  // of the changes, that replace the policy; the others are of names that gateways keep
+	groupPurgeShare           = 0.02 // of the purges: purge a group of objects
+	keyRingShare              = 0.2  // of the changes: replace the key ring
+	policyShare               = 0.3  // of the changes: replace the policy; the remaining ones set names that gateways don't interpret
 	keysPerRing               = 8
 	keySecretBytes            = 32
 	otherNameCount            = 200
@@ -42,7 +42,7 @@
 	policyLeewayRangeMs       = 300000
 )
 
-// PurgeKey identifies a purge where it comes into force.
+// PurgeKey returns the key by which a gateway's observer identifies a purge.
 func PurgeKey(object uint64, group uint16) uint64 {
 	if object == 0 {
 		return groupKeyBit | uint64(group)
@@ -50,7 +50,7 @@
 	return object
 }
 
-// ConfigKey identifies a piece of configuration by its content.
+// ConfigKey returns the key by which a gateway's observer identifies a configuration value: a hash of name and content.
 func ConfigKey(name string, value []byte) uint64 {
 	hash := xxhash.New()
 	hash.WriteString(name)
@@ -59,7 +59,7 @@
 	return hash.Sum64() & configKeyBits
 }
 
-// Operations draws what a load proposes for a duration, in the order of time. The same seed gives the same operations.
+// Operations generates the operations of a load for a duration, in chronological order. Equal seeds give equal operations.
 func (l Load) Operations(duration time.Duration, seed uint64) []Operation {
 	g := &generator{random: rand.New(rand.NewPCG(seed, 0)), groups: map[uint16]bool{}}
 	var all []Operation
@@ -83,20 +83,20 @@
 	return all
 }
 
-// drawing draws operations that are all different.
+// generator generates operations with unique keys.
 type generator struct {
 	random *rand.Rand
 	groups map[uint16]bool
 	serial int
 }
 
-// arrivals draws operations that arrive independently of each other at a rate.
-func (d *generator) poissonArrivals(perSecond float64, duration time.Duration, draw func() Operation) (out []Operation) {
+// poissonArrivals generates operations that arrive independently of each other at a mean rate (a Poisson process).
+func (g *generator) poissonArrivals(perSecond float64, duration time.Duration, draw func() Operation) (out []Operation) {
 	if perSecond <= 0 {
 		return nil
 	}
 	mean := float64(time.Second) / perSecond
-	for at := d.random.ExpFloat64() * mean; at < float64(duration); at += d.random.ExpFloat64() * mean {
+	for at := g.random.ExpFloat64() * mean; at < float64(duration); at += g.random.ExpFloat64() * mean {
 		operation := draw()
 		operation.At = time.Duration(at)
 		out = append(out, operation)
@@ -104,82 +104,82 @@
 	return out
 }
 
-func (d *generator) purge() Operation {
+func (g *generator) purge() Operation {
 	operation := Operation{Kind: distribution.KindPurge}
-	if d.random.Float64() < groupPurgeShare {
-		operation.Group = d.newGroup()
+	if g.random.Float64() < groupPurgeShare {
+		operation.Group = g.newGroup()
 	} else {
-		operation.Object = d.random.Uint64N(groupKeyBit-1) + 1
+		operation.Object = g.random.Uint64N(groupKeyBit-1) + 1
 	}
 	operation.Key = PurgeKey(operation.Object, operation.Group)
 	return operation
 }
 
-// newGroup draws a group that no earlier purge names, so that each purge has a key of its own.
-func (d *generator) newGroup() uint16 {
+// newGroup returns a random group that no earlier purge names, so that each purge has a unique key.
+func (g *generator) newGroup() uint16 {
 	for {
-		group := uint16(d.random.Uint32())
-		if group != 0 && !d.groups[group] {
-			d.groups[group] = true
+		group := uint16(g.random.Uint32())
+		if group != 0 && !g.groups[group] {
+			g.groups[group] = true
 			return group
 		}
 	}
 }
 
-func (d *generator) change() Operation {
-	d.serial++
-	switch share := d.random.Float64(); {
+func (g *generator) change() Operation {
+	g.serial++
+	switch share := g.random.Float64(); {
 	case share < keyRingShare:
-		return newPut(signed.ConfigKeys, d.keyRing())
+		return newPut(signed.ConfigKeys, g.keyRing())
 	case share < keyRingShare+policyShare:
 		return newPut(signed.ConfigPolicy, signed.Policy{
-			LeewayMs: float64(d.serial % policyLeewayRangeMs), TokenSeconds: initialPolicyTokenSeconds + float64(d.serial),
+			LeewayMs: float64(g.serial % policyLeewayRangeMs), TokenSeconds: initialPolicyTokenSeconds + float64(g.serial),
 		})
 	}
-	name := fmt.Sprintf("notes/%03d", d.random.IntN(otherNameCount))
-	return newPut(name, otherValue{Serial: d.serial, Text: base64.StdEncoding.EncodeToString(d.randomBytes(otherValueBytes * 3 / 4))})
+	name := fmt.Sprintf("notes/%03d", g.random.IntN(otherNameCount))
+	return newPut(name, otherValue{Serial: g.serial, Text: base64.StdEncoding.EncodeToString(g.randomBytes(otherValueBytes * 3 / 4))})
 }
 
-// otherValue is the value of a name that gateways keep without reading it.
+// otherValue is the value of a configuration name that gateways store without interpreting it.
 type otherValue struct {
 	Serial int    `json:"serial"`
 	Text   string `json:"text"`
 }
 
-func (d *generator) keyRing() (keys []token.Key) {
+func (g *generator) keyRing() (keys []token.Key) {
 	for i := range keysPerRing {
 		keys = append(keys, token.Key{
-			ID: fmt.Sprintf("key-%d-%d", d.serial, i), Kind: "hmac", Secret: base64.StdEncoding.EncodeToString(d.randomBytes(keySecretBytes)),
+			ID: fmt.Sprintf("key-%d-%d", g.serial, i), Kind: "hmac", Secret: base64.StdEncoding.EncodeToString(g.randomBytes(keySecretBytes)),
 		})
 	}
 	return keys
 }
 
-func (d *generator) randomBytes(n int) []byte {
+func (g *generator) randomBytes(n int) []byte {
 	out := make([]byte, n)
 	for i := range out {
-		out[i] = byte(d.random.Uint32())
+		out[i] = byte(g.random.Uint32())
 	}
 	return out
 }
 
-func (d *generator) endpointChange() Operation {
+func (g *generator) endpointChange() Operation {
 	var change hollow.StoreChange
 	for range endpointsPerChange {
-		d.serial++
+		g.serial++
 		change.Stores = append(change.Stores, hollow.StoreEntry{
-			ID: uint32(1 + d.random.IntN(hollow.DefaultStores/2)), Addr: "127.0.0.1:9", Zone: 1, Weight: 1 + float64(d.serial)/1000,
+			ID: uint32(1 + g.random.IntN(hollow.DefaultStores/2)), Addr: "127.0.0.1:9", Zone: 1, Weight: 1 + float64(g.serial)/1000,
 		})
 	}
 	return newPut(hollow.ConfigStores, change)
 }
 
-func (d *generator) revocation() Operation {
-	d.serial++
-	return Operation{Kind: distribution.KindRevoke, Name: fmt.Sprintf("try-url/%d", d.serial)}
+func (g *generator) revocation() Operation {
+	g.serial++
+	return Operation{Kind: distribution.KindRevoke, Name: fmt.Sprintf("try-url/%d", g.serial)}
 }
 
-// put words a change of configuration. Its values are of types that JSON has.
+// newPut returns an operation that sets a configuration name. The value must be of a type that JSON can encode.
 func newPut(name string, value any) Operation {
 	content, err := json.Marshal(value)
 	if err != nil {
--- a/scale/load_test.go
+++ b/scale/load_test.go
@@ -15,15 +15,16 @@
 
 var fullLoad = Load{Purges: 46, ChangesPerDay: 8100, Burst: 100, Revocations: 0.5, StoreInterval: 20 * time.Second}
 
-// The same seed draws the same operations, another seed others; each can be told from all others where it comes into force.
+// The same seed generates the same operations and another seed different ones, in chronological order. Each operation that
+// is observed at gateways has a unique key.
 func TestOperationsAreReproducibleFromSeed(t *testing.T) {
 	const duration = 10 * time.Minute
 	operations := fullLoad.Operations(duration, 7)
 	if !reflect.DeepEqual(operations, fullLoad.Operations(duration, 7)) {
-		t.Error("the same seed drew other operations")
+		t.Error("the same seed generated different operations")
 	}
 	if reflect.DeepEqual(operations, fullLoad.Operations(duration, 8)) {
-		t.Error("another seed drew the same operations")
+		t.Error("another seed generated the same operations")
 	}
 	counts := map[distribution.Kind]int{}
 	keys := map[uint64]bool{}
@@ -42,12 +43,12 @@
 			t.Errorf("%d operations of kind %s, want %d to %d", n, kind, least, most)
 		}
 	}
-	within(distribution.KindPurge, 26000, 29000)        // 27,600
-	within(distribution.KindPut, 100+30+20, 100+30+100) // a burst, 30 store lists and about 56 more
-	within(distribution.KindRevoke, 200, 400)           // 300
+	within(distribution.KindPurge, 26000, 29000)        // mean 27,600
+	within(distribution.KindPut, 100+30+20, 100+30+100) // a burst, 30 changes of the endpoint list and a mean of 56 more
+	within(distribution.KindRevoke, 200, 400)           // mean 300
 }
 
-// What is drawn is what gateways accept.
+// Generated configuration values are valid for the parsers of gateways, and keys, policy and endpoint list all occur.
 func TestGeneratedValuesAreValid(t *testing.T) {
 	seen := map[string]bool{}
 	for _, operation := range fullLoad.Operations(5*time.Minute, 1) {
@@ -56,7 +57,7 @@
 		}
 		seen[operation.Name] = true
 		if operation.Key != ConfigKey(operation.Name, operation.Value) {
-			t.Errorf("the key of %s is not that of its content", operation.Name)
+			t.Errorf("the key of %s does not match its content", operation.Name)
 		}
 		switch operation.Name {
 		case signed.ConfigKeys:
@@ -81,12 +82,12 @@
 	}
 	for _, name := range []string{signed.ConfigKeys, signed.ConfigPolicy, hollow.ConfigStores} {
 		if !seen[name] {
-			t.Errorf("no change of %s was drawn", name)
+			t.Errorf("no change of %s was generated", name)
 		}
 	}
 }
 
-// Sites, zones and regions nest, and every gateway is in one process.
+// Every site is in one zone, every zone in one region, and split assigns every gateway to one process.
 func TestTopologyNestsAndSplits(t *testing.T) {
 	topology := Topology{Gateways: FullGateways, Sites: FullSites}
 	sites := 0
--- a/scale/metered_test.go
+++ b/scale/metered_test.go
@@ -10,14 +10,14 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// meteredVoters are addresses that lead to the voters and count what comes back from there.
+// meteredVoters are proxies of the voters that count the data sent by the voters.
 type meteredVoters struct {
 	members        []replica.Member
 	bytes, records atomic.Int64
 	tasks          sync.WaitGroup
 }
 
-// meterVoters listens at the relay's addresses, which the voters' certificates name.
+// meterVoters starts proxies of the voters. They listen at the relay's addresses, as the voters' certificates include them.
 func meterVoters(t *testing.T, voters []replica.Member) *meteredVoters {
 	t.Helper()
 	m := &meteredVoters{}
@@ -55,11 +55,11 @@
 	}
 }
 
-// carry brings what a voter sends to a gateway, and counts its bytes and TLS records. A message of the protocol makes a
-// record or, where it is long, several.
+// forwardCounted forwards data from a voter to a gateway, and counts its bytes and TLS records. A protocol message takes
+// one record, or several if it is long.
 func (m *meteredVoters) forwardCounted(to io.Writer, from io.Reader) {
 	for {
-		var header [5]byte // of a record: its length is in the last two bytes (RFC 8446, 5.1)
+		var header [5]byte // of a TLS record: the last two bytes are its length (RFC 8446, 5.1)
 		if _, err := io.ReadFull(from, header[:]); err != nil {
 			return
 		}
--- a/scale/monitor.go
+++ b/scale/monitor.go
@@ -11,7 +11,7 @@
 	statsTimeout    = 900 * time.Millisecond
 )
 
-// monitor asks all processes of a cluster for their use of the machine, each second.
+// monitor samples the resource usage of all processes of a cluster, once per monitorInterval.
 type monitor struct {
 	cluster *cluster
 
@@ -22,7 +22,7 @@
 
 // usageSeries are the samples of one process.
 type usageSeries struct {
-	gateways int // how many it runs
+	gateways int // number of gateways in the process
 	samples  []ProcessStats
 }
 
@@ -30,7 +30,7 @@
 	return &monitor{cluster: c, series: map[Role][]*usageSeries{}, byPID: map[int]*usageSeries{}}
 }
 
-// run samples until ctx ends.
+// run takes samples until ctx is canceled.
 func (m *monitor) run(ctx context.Context) {
 	for {
 		m.sample(ctx)
@@ -40,7 +40,7 @@
 	}
 }
 
-// sample asks all processes at once. One that does not answer, as it is paused or down, is left out.
+// sample polls all processes concurrently. Processes that don't answer, because they are paused or down, are skipped.
 func (m *monitor) sample(ctx context.Context) {
 	var polls sync.WaitGroup
 	poll := func(process *Process, gateways int) {
@@ -79,19 +79,19 @@
 	series.samples = append(series.samples, stats)
 }
 
-// Usage is what processes of one role used, in all and at the most. Processor time is in percent of a core.
+// Usage is the resource usage of the processes of one role. Processor time is in percent of a core.
 type Usage struct {
-	CPUMean        float64 `json:"cpu_mean_percent"`         // of all together
-	CPUPeak        float64 `json:"cpu_peak_percent"`         // of the one that used most, within a second
-	CPUHighestMean float64 `json:"cpu_highest_mean_percent"` // of the one that used most over its time
-	RSSMax         int64   `json:"rss_max_bytes"`            // of all together
-	RSSHighest     int64   `json:"rss_highest_bytes"`        // of the one that held most
+	CPUMean        float64 `json:"cpu_mean_percent"`         // sum of the means of all processes
+	CPUPeak        float64 `json:"cpu_peak_percent"`         // highest value of any process between two samples
+	CPUHighestMean float64 `json:"cpu_highest_mean_percent"` // highest mean of any process
+	RSSMax         int64   `json:"rss_max_bytes"`            // sum of the peaks of all processes
+	RSSHighest     int64   `json:"rss_highest_bytes"`        // highest peak of any process
 	Descriptors    int     `json:"descriptors_highest"`
 	Goroutines     int     `json:"goroutines_highest"`
 	Processes      int     `json:"processes"`
 }
 
-// usage sums up the processes of a role over the time that was sampled.
+// usage aggregates the samples of all processes of a role.
 func (m *monitor) usage(role Role) (out Usage) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -112,7 +112,7 @@
 	return out
 }
 
-// gatewayPeak is the most processor time that gateways used within a second, in percent of a core for each.
+// gatewayPeak returns the highest processor usage per gateway of any process between two samples, in percent of a core.
 func (m *monitor) gatewayPeak() (peak float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -123,7 +123,7 @@
 	return peak
 }
 
-// processor gives the mean use of a core in percent, and the highest between two samples.
+// cpuUsage returns the mean processor usage and the highest between two samples, in percent of a core.
 func (s *usageSeries) cpuUsage() (mean, peak float64) {
 	for i := 1; i < len(s.samples); i++ {
 		peak = max(peak, corePercent(s.samples[i-1], s.samples[i]))
@@ -145,21 +145,21 @@
 	return 100 * float64(to.CPU-from.CPU) / float64(to.At.Sub(from.At))
 }
 
-// TrafficReport is what the connections between gateways and voters carried.
+// TrafficReport is the traffic on the connections between gateways and voters.
 type TrafficReport struct {
-	GatewayBytesIn     float64   `json:"gateway_bytes_in_per_s"` // of one gateway on average
+	GatewayBytesIn     float64   `json:"gateway_bytes_in_per_s"` // mean per gateway
 	GatewayBytesOut    float64   `json:"gateway_bytes_out_per_s"`
 	GatewayMessagesIn  float64   `json:"gateway_messages_in_per_s"`
 	GatewayMessagesOut float64   `json:"gateway_messages_out_per_s"`
-	GatewayBytesPeak   float64   `json:"gateway_bytes_peak_per_s"` // both ways, on average in a process, in the second with most
+	GatewayBytesPeak   float64   `json:"gateway_bytes_peak_per_s"` // both directions, mean per gateway of the busiest process between two samples
 	Reconnects         int64     `json:"reconnects"`
 	Snapshots          int64     `json:"snapshots"`
-	VoterBytesIn       []float64 `json:"voter_bytes_in_per_s"` // by process, other voters' connections included
+	VoterBytesIn       []float64 `json:"voter_bytes_in_per_s"` // by process, including connections of other voters
 	VoterBytesOut      []float64 `json:"voter_bytes_out_per_s"`
 	VoterSubscribers   []int64   `json:"voter_subscribers_max"`
 }
 
-// traffic sums up what gateways and voters counted, for a number of gateways.
+// traffic aggregates the traffic counts of gateways and voters. The means are over the given number of gateways.
 func (m *monitor) traffic(gateways int) (out TrafficReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -188,7 +188,7 @@
 	return out
 }
 
-// rate is the traffic of a process between two samples: each second, but for the counts of reconnects and snapshots.
+// rate is the traffic of a process between two samples: per second, except reconnects and snapshots, which are totals.
 type rate struct {
 	bytesIn, bytesOut, messagesIn, messagesOut float64
 
@@ -206,7 +206,7 @@
 	}
 }
 
-// bytesPeak is the most that a process carried both ways within a second.
+// bytesPeak returns the highest traffic between two samples, in bytes per second, both directions together.
 func (s *usageSeries) bytesPeak() (peak float64) {
 	for i := 1; i < len(s.samples); i++ {
 		rate := trafficRate(s.samples[i-1], s.samples[i])
--- a/scale/plot.go
+++ b/scale/plot.go
@@ -10,11 +10,11 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
-	_ "gonum.org/v1/plot/vg/vgimg" // draws png
-	_ "gonum.org/v1/plot/vg/vgsvg" // draws svg
+	_ "gonum.org/v1/plot/vg/vgimg" // registers the png format
+	_ "gonum.org/v1/plot/vg/vgsvg" // registers the svg format
 )
 
-// The plot's size, in panels and on the page.
+// Layout of the plot: the panels per row, and their size and spacing.
 const (
 	plotColumns = 2
 	panelWidth  = 10 * vg.Centimeter
@@ -22,8 +22,8 @@
 	panelGap    = 6 * vg.Millimeter
 )
 
-// PlotFile plots the figures of reports over the number of gateways, each with its fitted line, in the format that the
-// name of the file ends in: svg or png.
+// PlotFile plots the figures of reports over the number of gateways, each with its fitted line. The file extension selects
+// the format: svg or png.
 func PlotFile(path string, reports []*Report) error {
 	rows := (len(Figures) + plotColumns - 1) / plotColumns
 	panels := make([][]*plot.Plot, rows)
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// newPanel plots one figure.
+// newPanel creates the plot of one figure.
 func newPanel(figure Figure, reports []*Report) (*plot.Plot, error) {
 	panel := plot.New()
 	panel.Title.Text = figure.Name
@@ -85,6 +85,6 @@
 	line := plotter.NewFunction(func(gateways float64) float64 { return fit.Intercept + fit.Slope*gateways })
 	line.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
 	panel.Add(plotter.NewGrid(), scatter, line)
-	panel.X.Min, panel.Y.Min = 0, 0 // beside the data, the origin
+	panel.X.Min, panel.Y.Min = 0, 0 // both axes start at 0, whatever range Add has set
 	return panel, nil
 }
--- a/scale/process.go
+++ b/scale/process.go
@@ -13,18 +13,18 @@
 	"time"
 )
 
-// processStopTimeout bounds the orderly end of a child, before it is killed.
+// processStopTimeout limits the graceful shutdown of a child. After it the child is killed.
 const processStopTimeout = 10 * time.Second
 
-// ErrProcessEnded tells that a child process ended under a call.
-var ErrProcessEnded = errors.New("scale: the child process has ended")
+// ErrProcessEnded is returned by a call whose child process has exited.
+var ErrProcessEnded = errors.New("scale: child process has exited")
 
 // Process is a child process of the rig.
 type Process struct {
 	Role    Role
 	command *exec.Cmd
 	stdin   io.WriteCloser
-	exited  chan struct{} // closed once the process has ended
+	exited  chan struct{} // closed once the process has exited
 
 	writing sync.Mutex
 	encoder *json.Encoder
@@ -34,25 +34,25 @@
 	pending map[uint64]chan response
 }
 
-// StartProcess starts this program as a child in a role. What it says on standard error goes to log.
+// StartProcess starts this executable as a child process with a role. The child's standard error goes to log.
 func StartProcess(role Role, log io.Writer) (*Process, error) {
 	program, err := os.Executable()
 	if err != nil {
-		return nil, fmt.Errorf("scale: own program: %w", err)
+		return nil, fmt.Errorf("scale: locate own executable: %w", err)
 	}
 	command := exec.Command(program)
 	command.Env = append(os.Environ(), roleVariable+"="+string(role))
 	command.Stderr = log
 	stdin, err := command.StdinPipe()
 	if err != nil {
-		return nil, fmt.Errorf("scale: child: %w", err)
+		return nil, fmt.Errorf("scale: child's standard input: %w", err)
 	}
 	stdout, err := command.StdoutPipe()
 	if err != nil {
-		return nil, fmt.Errorf("scale: child: %w", err)
+		return nil, fmt.Errorf("scale: child's standard output: %w", err)
 	}
 	if err := command.Start(); err != nil {
-		return nil, fmt.Errorf("scale: child %s: %w", role, err)
+		return nil, fmt.Errorf("scale: start child %s: %w", role, err)
 	}
 	p := &Process{
 		Role: role, command: command, stdin: stdin, exited: make(chan struct{}), encoder: json.NewEncoder(stdin),
@@ -62,7 +62,7 @@
 	return p, nil
 }
 
-// receive hands answers to their callers until the process ends.
+// dispatchResponses forwards responses to the calls that wait for them, until the process exits.
 func (p *Process) dispatchResponses(stdout io.Reader) {
 	decoder := json.NewDecoder(stdout)
 	for {
@@ -75,17 +75,17 @@
 		delete(p.pending, resp.ID)
 		p.mu.Unlock()
 		if caller != nil {
-			caller <- resp // has room for it
+			caller <- resp // doesn't block: the channel is buffered and gets one response
 		}
 	}
-	p.command.Wait() // how it ended shows in the calls
+	p.command.Wait() // the exit status is not needed: pending calls fail with ErrProcessEnded
 	close(p.exited)
 }
 
-// PID is the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Call has the process carry out a method. Result may be nil.
+// Call sends a request to the process, waits for the response and decodes it into result, which may be nil.
 func (p *Process) Call(ctx context.Context, method string, body, result any) error {
 	content, err := json.Marshal(body)
 	if err != nil {
@@ -134,21 +134,21 @@
 	return nil
 }
 
-// Kill ends the process at once, as a crash does.
+// Kill kills the process, as in a crash, and waits for its exit.
 func (p *Process) Kill() {
-	p.command.Process.Signal(syscall.SIGKILL) // it may have ended already
+	p.command.Process.Signal(syscall.SIGKILL) // fails if it has already exited
 	<-p.exited
 }
 
-// Pause stops the process where it is, and Resume has it go on.
+// Pause suspends the process until Resume.
 func (p *Process) Pause() error { return p.command.Process.Signal(syscall.SIGSTOP) }
 
-// Resume has a paused process go on.
+// Resume resumes a suspended process.
 func (p *Process) Resume() error { return p.command.Process.Signal(syscall.SIGCONT) }
 
-// Stop ends the process in good order, or kills it after a while.
+// Stop shuts the process down gracefully, or kills it after processStopTimeout.
 func (p *Process) Stop() {
-	p.command.Process.Signal(syscall.SIGCONT) // where it is paused
+	p.command.Process.Signal(syscall.SIGCONT) // it may be paused
 	p.stdin.Close()
 	select {
 	case <-p.exited:
--- a/scale/protocol.go
+++ b/scale/protocol.go
@@ -9,17 +9,17 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// Role is what a child process does.
+// Role is the task of a child process.
 type Role string
 
 // The roles.
 const (
 	RoleVoters   Role = "voters"   // members of the replicated log
 	RoleGateways Role = "gateways" // hollow gateways
-	RoleRelay    Role = "relay"    // the network between gateways and voters, with its faults
+	RoleRelay    Role = "relay"    // relay between gateways and voters, which injects network faults
 )
 
-// request asks a child to carry out a method. response answers the request of the same ID.
+// request is a call of a method of a child process. The response has the same ID.
 type request struct {
 	ID     uint64          `json:"id"`
 	Method string          `json:"method"`
@@ -35,31 +35,31 @@
 // Methods of the children.
 const (
 	methodStart   = "start"
-	methodStats   = "stats"   // of every role
-	methodPropose = "propose" // of voters
+	methodStats   = "stats"   // all roles
+	methodPropose = "propose" // voters
 	methodLeads   = "leads"
-	methodStates  = "states"  // of gateways and voters: positions and digests
-	methodRestart = "restart" // of gateways
+	methodStates  = "states"  // gateways and voters: positions and digests
+	methodRestart = "restart" // gateways
 	methodResults = "results"
-	methodLink    = "link" // of the relay
+	methodLink    = "link" // the relay
 )
 
-// empty is a body without content.
+// empty is the body of requests and responses without content.
 type empty struct{}
 
-// voterSetup starts members in a process. Each has a folder of its own below Dir.
+// voterSetup configures the members that a process runs. Each member has its own directory below Dir.
 type voterSetup struct {
 	LocalIDs     []string         `json:"own"` // IDs of the members of this process
 	Members      []replica.Member `json:"members"`
 	Dir          string           `json:"dir"`
 	Identity     Identity         `json:"identity"`
-	RecordConfig bool             `json:"observe"` // record when configuration comes into force at the members
+	RecordConfig bool             `json:"observe"` // record when configuration takes effect at the members
 }
 
-// Operation is a change to be proposed.
+// Operation is a change to propose.
 type Operation struct {
 	At     time.Duration     `json:"at"`  // since the load began
-	Key    uint64            `json:"key"` // identifies it where it comes into force; 0: that is not observed
+	Key    uint64            `json:"key"` // identifies the change at observers; 0: not observed
 	Kind   distribution.Kind `json:"kind"`
 	Name   string            `json:"name,omitempty"`
 	Value  json.RawMessage   `json:"value,omitempty"`
@@ -68,23 +68,23 @@
 	Burst  bool              `json:"burst,omitempty"`
 }
 
-// proposal asks one member of a process to propose an operation.
+// proposeRequest requests that a member of a process proposes an operation.
 type proposeRequest struct {
 	Member    string    `json:"member"`
 	Operation Operation `json:"operation"`
 }
 
-// acknowledgement tells when a proposer learned that an operation was agreed on.
+// acknowledgement is the time at which the proposing member learned that an operation was committed.
 type acknowledgement struct {
 	At time.Time `json:"at"`
 }
 
-// leadership names the member of a process that leads; "": none does.
+// leadership is the ID of the member of a process that leads; "": none.
 type leadership struct {
 	Leader string `json:"leader"`
 }
 
-// AckedChange is an operation that was acknowledged.
+// AckedChange is an acknowledged operation.
 type AckedChange struct {
 	Key   uint64            `json:"key"`
 	Kind  distribution.Kind `json:"kind"`
@@ -96,24 +96,24 @@
 // gatewaySpec describes one hollow gateway.
 type gatewaySpec struct {
 	Name   string           `json:"name"`
-	Voters []replica.Member `json:"voters"` // at the addresses of its site
+	Voters []replica.Member `json:"voters"` // with the addresses for the gateway's site
 }
 
-// gatewaysSetup starts hollow gateways in a process.
+// gatewaysSetup configures the hollow gateways that a process runs.
 type gatewaysSetup struct {
 	Gateways  []gatewaySpec `json:"gateways"`
 	Endpoints int           `json:"stores"`
 	Seed      uint64        `json:"seed"`
-	Dir       string        `json:"dir"` // for the files that the operator's file names
+	Dir       string        `json:"dir"` // for the TLS files of the operator configuration
 	Identity  Identity      `json:"identity"`
 }
 
-// restartRequest has gateways of a process closed and started anew, with nothing kept.
+// restartRequest requests a restart of gateways of a process. No state of the earlier incarnations is kept.
 type restartRequest struct {
-	Gateways []int `json:"gateways"` // their places in the setup
+	Gateways []int `json:"gateways"` // their indices in the setup
 }
 
-// State is what a gateway or a voter holds.
+// State is the replicated state of a gateway or a voter.
 type State struct {
 	Name     string                `json:"name"`
 	Position distribution.Position `json:"position"`
@@ -121,67 +121,67 @@
 	Fresh    bool                  `json:"fresh"`
 }
 
-// resultsRequest asks gateways for their latencies from the acknowledgements.
+// resultsRequest requests the latencies of the given changes.
 type resultsRequest struct {
 	Acked []AckedChange `json:"acked"`
 }
 
-// Results are what the gateways of one process measured.
+// Results are the measurements of the gateways of one process.
 type Results struct {
 	Latencies map[string]*Latencies  `json:"latencies"` // by class of change
 	Everyone  map[uint64]ChangeReach `json:"everyone"`  // by the change's key
-	Staleness *hdrhistogram.Snapshot `json:"staleness"` // ages of what was known to be complete, in microseconds
+	Staleness *hdrhistogram.Snapshot `json:"staleness"` // ages of the states known to be complete, in microseconds
 	CatchUp   *hdrhistogram.Snapshot `json:"catch_up"`  // from a gateway's start to its first lease, in microseconds
 	Violation []Violation            `json:"violation,omitempty"`
-	Violated  int                    `json:"violated"` // how many there were, beyond those listed
-	Claims    int                    `json:"claims"`   // claims of freshness that were checked
+	Violated  int                    `json:"violated"` // number of violations, including those not listed
+	Claims    int                    `json:"claims"`   // number of checks of a claim against a change
 }
 
-// Latencies are the times from acknowledged to in force at each gateway, in microseconds.
+// Latencies are the times from a change's acknowledgement until it is in force at each gateway, in microseconds.
 type Latencies struct {
-	Fresh        *hdrhistogram.Snapshot `json:"fresh"` // at gateways whose lease held all the while
-	Stale        *hdrhistogram.Snapshot `json:"stale"` // at gateways that knew themselves to be cut off, or restarted
+	Fresh        *hdrhistogram.Snapshot `json:"fresh"` // at gateways that held a lease throughout
+	Stale        *hdrhistogram.Snapshot `json:"stale"` // at gateways that were without a lease or restarted meanwhile
 	MissingFresh int                    `json:"missing_fresh"`
 	MissingStale int                    `json:"missing_stale"`
 }
 
-// ChangeReach tells how one change reached the gateways of a process.
+// ChangeReach is how far one change reached the gateways of a process. It covers gateways that held a lease throughout.
 type ChangeReach struct {
-	Slowest time.Duration `json:"slowest"` // among those whose lease held
-	Missing int           `json:"missing"` // of those whose lease held
+	Slowest time.Duration `json:"slowest"` // latency at the slowest gateway
+	Missing int           `json:"missing"` // gateways at which it did not come into force
 }
 
-// Violation is a claim of freshness by a gateway that lacked a change acknowledged before.
+// Violation is a false claim of freshness: a change acknowledged up to CompleteAt was not in force at ClaimedAt.
 type Violation struct {
 	Gateway    string    `json:"gateway"`
 	Key        uint64    `json:"key"`
 	Acked      time.Time `json:"acked"`
 	CompleteAt time.Time `json:"complete_at"`
 	ClaimedAt  time.Time `json:"claimed_at"`
-	InForceAt  time.Time `json:"in_force_at"` // zero: never
+	InForceAt  time.Time `json:"in_force_at"` // zero: never in force
 }
 
-// linkCondition is a state of the network between a site and the voters.
+// linkCondition is a condition of the network between sites and the voters.
 type linkCondition struct {
 	Sites []int         `json:"sites"`
-	Cut   bool          `json:"cut"`   // connections end and none is taken
-	Stall bool          `json:"stall"` // connections stay and carry nothing
-	Delay time.Duration `json:"delay"` // added to every piece carried
+	Cut   bool          `json:"cut"`   // close connections and reject new ones
+	Stall bool          `json:"stall"` // keep connections open but forward no data
+	Delay time.Duration `json:"delay"` // for each chunk of data that is read and forwarded
 }
 
-// relaySetup starts a relay between sites and voters.
+// relaySetup configures the relay between sites and voters.
 type relaySetup struct {
 	Sites  int              `json:"sites"`
 	Voters []replica.Member `json:"voters"`
-	IPs    []string         `json:"ips"` // on which the relay listens, one for each voter
+	IPs    []string         `json:"ips"` // the relay's listen addresses, one per voter
 }
 
-// relayRoutes are the addresses at which a site reaches the voters.
+// relayRoutes are the addresses at which the sites reach the voters.
 type relayRoutes struct {
-	Sites [][]replica.Member `json:"sites"` // by site, then by voter
+	Sites [][]replica.Member `json:"sites"` // by site and voter
 }
 
-// ProcessStats are a process's use of the machine since its start.
+// ProcessStats is the resource usage of a process: processor time and traffic since its start, otherwise at the time At.
 type ProcessStats struct {
 	PID         int           `json:"pid"`
 	At          time.Time     `json:"at"`
@@ -192,20 +192,20 @@
 	Traffic     Traffic       `json:"traffic,omitzero"`
 }
 
-// Traffic counts what was carried between gateways and voters: bytes within TCP, and the protocol's messages. A gateway
-// process counts for all its gateways. A voter counts the bytes of the connections that it accepted, those of other voters
-// included, and no messages.
+// Traffic counts the bytes in TCP streams and the protocol messages between gateways and voters. A gateway process counts
+// for all its gateways. A voter process counts the bytes of connections that it accepted, including those of other voters,
+// and counts no messages.
 type Traffic struct {
 	BytesIn     int64 `json:"bytes_in"`
 	BytesOut    int64 `json:"bytes_out"`
 	MessagesIn  int64 `json:"messages_in"`
 	MessagesOut int64 `json:"messages_out"`
-	Reconnects  int64 `json:"reconnects"`  // of gateways
+	Reconnects  int64 `json:"reconnects"`  // by gateways
 	Snapshots   int64 `json:"snapshots"`   // received by gateways
-	Subscribers int64 `json:"subscribers"` // of a voter, now
+	Subscribers int64 `json:"subscribers"` // currently connected to a voter
 }
 
-// add adds the counts of another.
+// add adds the counts of other, except Subscribers.
 func (t *Traffic) add(other Traffic) {
 	t.BytesIn += other.BytesIn
 	t.BytesOut += other.BytesOut
--- a/scale/recorder.go
+++ b/scale/recorder.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Times are kept in 32 bits, as units since a recorder's start: enough for hours at a hundredth of a millisecond.
+// timestampUnit is the resolution of recorded times. They are stored in 32 bits as units since the recorder's start, which
+// lasts for almost 6 hours.
 const timestampUnit = 10 * time.Microsecond
 
-// recorder keeps when each change came into force at each gateway of a process.
+// recorder records when each change came into force at each gateway of a process.
 type recorder struct {
 	start    time.Time
 	gateways int
 
 	mu   sync.Mutex
-	rows map[uint64][]int32 // by the change's key: a time for each gateway; 0: not yet
+	rows map[uint64][]int32 // by the change's key: the time at each gateway; 0: not yet in force
 }
 
 func newRecorder(gateways int) *recorder {
 	return &recorder{start: time.Now(), gateways: gateways, rows: map[uint64][]int32{}}
 }
 
-// record enters the first time at which a change came into force at a gateway.
+// record records that a change came into force at a gateway. Only the first time counts.
 func (r *recorder) record(key uint64, gateway int, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,7 +36,7 @@
 	}
 }
 
-// times gives when a change came into force at each gateway; a zero time stands for never.
+// inForceTimes returns the time at which a change came into force at each gateway; the zero time means never.
 func (r *recorder) inForceTimes(key uint64) []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,7 +49,7 @@
 	return out
 }
 
-// gatewayObserver enters what one gateway reports.
+// gatewayObserver records the notifications of one gateway.
 type gatewayObserver struct {
 	recorder *recorder
 	gateway  int
--- a/scale/relay.go
+++ b/scale/relay.go
@@ -19,7 +19,7 @@
 	acceptRetryPause = 10 * time.Millisecond
 )
 
-// relayWorker carries connections between sites and voters, and holds them up or ends them as it is told.
+// relayWorker forwards connections between sites and voters, and delays, stalls or closes them as methodLink requests.
 type relayWorker struct {
 	mu        sync.Mutex
 	sites     []*siteLink
@@ -49,7 +49,7 @@
 	return nil, fmt.Errorf("%w: %s", errUnknownMethod, method)
 }
 
-// start listens for each site and voter on a port of its own.
+// start opens a listener for each pair of a site and a voter.
 func (r *relayWorker) start(setup relaySetup) (relayRoutes, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,7 @@
 	mu    sync.Mutex
 	cut   bool
 	delay time.Duration
-	flow  chan struct{} // closed while the link carries data
+	flow  chan struct{} // closed while the link forwards data, open while it is stalled
 	conns map[net.Conn]struct{}
 }
 
@@ -116,7 +116,7 @@
 	return &siteLink{flow: open, conns: map[net.Conn]struct{}{}}
 }
 
-// set puts a condition into force.
+// set applies a condition. A cut closes all connections of the link.
 func (s *siteLink) set(condition linkCondition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +131,7 @@
 	}
 }
 
-// setStalled stops the flow or opens it. The caller holds the lock.
+// setStalled blocks or unblocks the forwarding of data. The caller must hold s.mu.
 func (s *siteLink) setStalled(stalled bool) {
 	flowing := false
 	select {
@@ -147,7 +147,7 @@
 	}
 }
 
-// admit enters a connection, unless the link is cut.
+// register adds a connection to the link. It returns false if the link is cut.
 func (s *siteLink) register(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,6 +158,7 @@
 	return true
 }
 
+// closeConn closes a connection and removes it from the link.
 func (s *siteLink) closeConn(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
@@ -165,7 +166,7 @@
 	delete(s.conns, conn)
 }
 
-// passage waits until the link carries data.
+// awaitFlow waits while the link is stalled, and then for its delay.
 func (s *siteLink) awaitFlow() {
 	s.mu.Lock()
 	delay, flow := s.delay, s.flow
@@ -176,14 +177,14 @@
 	}
 }
 
-// accept takes connections for a voter until the listener is closed.
+// accept accepts and forwards connections to a voter until the listener is closed.
 func (s *siteLink) accept(listener net.Listener, voter string, tasks *sync.WaitGroup) {
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // no descriptor is free
+		if err != nil { // such as when the process is out of file descriptors
 			time.Sleep(acceptRetryPause)
 			continue
 		}
@@ -191,7 +192,7 @@
 	}
 }
 
-// carry joins a connection to a voter until either side ends.
+// forward connects a gateway's connection to a voter, and forwards data in both directions until either side closes.
 func (s *siteLink) forward(gatewayConn net.Conn, voter string) {
 	defer s.closeConn(gatewayConn)
 	if !s.register(gatewayConn) {
@@ -211,7 +212,8 @@
 	both.Wait()
 }
 
-// copy carries data one way, and ends both ways with it.
+// copyOneWay forwards data in one direction. When it returns it closes both connections, which also ends the other
+// direction.
 func (s *siteLink) copyOneWay(to, from net.Conn) {
 	defer to.Close()
 	defer from.Close()
--- a/scale/relay_test.go
+++ b/scale/relay_test.go
@@ -11,7 +11,7 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// echoThroughRelay gives a relay of two sites before a server that sends back what it reads, and its routes.
+// startEchoRelay starts a relay for two sites in front of an echo server, and returns it with its routes.
 func startEchoRelay(t *testing.T) (*relayWorker, relayRoutes) {
 	t.Helper()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,7 +56,7 @@
 	return conn
 }
 
-// echo sends a byte and waits for it to come back.
+// echo sends a byte and waits until the server has sent it back.
 func echo(conn net.Conn, within time.Duration) error {
 	conn.SetDeadline(time.Now().Add(within))
 	if _, err := conn.Write([]byte{1}); err != nil {
@@ -76,7 +76,8 @@
 
 const echoTimeout = 20 * time.Second
 
-// A site that is cut off loses its connections and gets none, another keeps its own, and all is well once it is healed.
+// A cut closes a site's connections and rejects new ones, without affecting another site. New connections work again once
+// the cut has ended.
 func TestRelayCutsASite(t *testing.T) {
 	checkNoLeaks(t)
 	relay, routes := startEchoRelay(t)
@@ -86,21 +87,21 @@
 	}
 	setLinkCondition(t, relay, linkCondition{Sites: []int{0}, Cut: true})
 	if err := echo(cut, echoTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a connection of a site that is cut off: %v", err)
+		t.Errorf("existing connection of the cut site: %v", err)
 	}
 	if err := echo(dialSite(t, routes, 0), echoTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a new connection of a site that is cut off: %v", err)
+		t.Errorf("new connection of the cut site: %v", err)
 	}
 	if err := echo(other, echoTimeout); err != nil {
-		t.Errorf("another site: %v", err)
+		t.Errorf("connection of another site: %v", err)
 	}
 	setLinkCondition(t, relay, linkCondition{Sites: []int{0}})
 	if err := echo(dialSite(t, routes, 0), echoTimeout); err != nil {
-		t.Errorf("once healed: %v", err)
+		t.Errorf("new connection after the cut: %v", err)
 	}
 }
 
-// A site whose links stand still keeps its connections, and gets what was held up once they go on.
+// A stall keeps a site's connections open. The data that was held back is delivered once the stall has ended.
 func TestRelayStallsASite(t *testing.T) {
 	checkNoLeaks(t)
 	relay, routes := startEchoRelay(t)
@@ -110,20 +111,20 @@
 	}
 	setLinkCondition(t, relay, linkCondition{Sites: []int{0}, Stall: true})
 	if err := echo(conn, 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("while the link stands still: %v", err)
+		t.Errorf("during the stall: %v", err)
 	}
 	setLinkCondition(t, relay, linkCondition{Sites: []int{0}})
 	conn.SetDeadline(time.Now().Add(echoTimeout))
 	var back [1]byte
 	if _, err := io.ReadFull(conn, back[:]); err != nil {
-		t.Errorf("once it goes on: %v", err)
+		t.Errorf("after the stall: %v", err)
 	}
 	if err := relay.setCondition(linkCondition{Sites: []int{2}}); err == nil {
-		t.Error("a site that is not there was set")
+		t.Error("the condition of an unknown site was set")
 	}
 }
 
-// A delay is added each way.
+// A delay is added in each direction.
 func TestRelayDelaysASite(t *testing.T) {
 	checkNoLeaks(t)
 	relay, routes := startEchoRelay(t)
@@ -135,6 +136,6 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(begin); took < 2*delay {
-		t.Errorf("there and back took %v, want %v at least", took, 2*delay)
+		t.Errorf("the round trip took %v, want at least %v", took, 2*delay)
 	}
 }
--- a/scale/report.go
+++ b/scale/report.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Limits that the operators set for the deployment.
+// Limits that the operators require of the deployment.
 const (
 	PurgeLimit       = 7 * time.Second
 	ChangeLimit      = 12 * time.Second
-	CPULimitPercent  = 2.9 // of a core, for a gateway's control
+	CPULimitPercent  = 2.9 // of a core, for a gateway's control plane
 	MemoryLimitBytes = 256 << 20
-	TrafficLimit     = 10_000 // bytes a second of a gateway, both ways
+	TrafficLimit     = 10_000 // bytes per second of a gateway, both directions together
 )
 
 // Report is the outcome of a run.
@@ -37,7 +37,7 @@
 	CatchUp   Distribution           `json:"catch_up"` // from a gateway's start to its first lease
 	Proposed  int                    `json:"proposed"`
 	Acked     int                    `json:"acknowledged"`
-	Failed    int                    `json:"failed"` // given up by their proposer
+	Failed    int                    `json:"failed"` // not acknowledged before the proposer's timeout
 	Retried   int                    `json:"retried"`
 
 	Gateway GatewayUsage   `json:"gateway"`
@@ -52,36 +52,36 @@
 	Checks      []Check     `json:"checks"`
 }
 
-// Machine is what a run was made on.
+// Machine describes the machine of a run.
 type Machine struct {
 	Cores  int    `json:"cores"`
 	Go     string `json:"go"`
-	Loaded string `json:"load_before"` // the load average when it began
+	Loaded string `json:"load_before"` // /proc/loadavg at the start of the run
 }
 
-// ClassReport is about one class of changes.
+// ClassReport summarizes the latencies of one class of changes.
 type ClassReport struct {
 	Changes      int          `json:"changes"`
-	Fresh        Distribution `json:"fresh"`      // acknowledged to in force at each gateway that was fresh throughout
-	Everywhere   Distribution `json:"everywhere"` // and at the last of them, for each change
-	Stale        Distribution `json:"stale"`      // at gateways that knew themselves to be stale, or were down, meanwhile
+	Fresh        Distribution `json:"fresh"`      // from acknowledged to in force, at gateways that were fresh throughout
+	Everywhere   Distribution `json:"everywhere"` // the slowest of these for each change
+	Stale        Distribution `json:"stale"`      // at gateways that knew that they were stale, or were down, for a part of the time
 	MissingFresh int          `json:"missing_fresh"`
 	MissingStale int          `json:"missing_stale"`
 }
 
-// GatewayUsage is what one gateway used on average, and the most.
+// GatewayUsage is the mean and peak resource usage per gateway.
 type GatewayUsage struct {
 	CPUMean  float64 `json:"cpu_mean_percent"`
-	CPUPeak  float64 `json:"cpu_peak_percent"` // the average within the process and the second with most
+	CPUPeak  float64 `json:"cpu_peak_percent"` // mean per gateway of the busiest process between two samples
 	RSSBytes float64 `json:"rss_bytes"`
 }
 
-// Convergence tells whether all gateways came to hold the same.
+// Convergence describes the states of the gateways after the load, which should all be equal.
 type Convergence struct {
-	Gateways  int     `json:"gateways"`  // fresh ones
-	Positions int     `json:"positions"` // how many different ones, with that of the voters' last change
+	Gateways  int     `json:"gateways"`  // number of fresh gateways
+	Positions int     `json:"positions"` // number of different positions, including the voters' last position
 	Digests   int     `json:"digests"`
-	Seconds   float64 `json:"seconds"` // after the load
+	Seconds   float64 `json:"seconds"` // from the end of the load until convergence or its timeout
 }
 
 // Check compares a figure with its limit.
@@ -92,7 +92,7 @@
 	OK    bool    `json:"ok"`
 }
 
-// Passed tells whether all checks passed.
+// Passed reports whether all checks passed.
 func (r *Report) Passed() bool {
 	for _, check := range r.Checks {
 		if !check.OK {
@@ -102,7 +102,7 @@
 	return true
 }
 
-// check compares the figures with the operators' limits.
+// runChecks compares the results with the operators' limits.
 func (r *Report) runChecks() {
 	atMost := func(name string, value, limit float64) {
 		r.Checks = append(r.Checks, Check{Name: name, Value: value, Limit: limit, OK: value <= limit})
@@ -156,7 +156,7 @@
 	return report, nil
 }
 
-// WriteBenchmark writes the report's figures as lines of Go's benchmark format, which benchstat compares.
+// WriteBenchmark writes the results in Go's benchmark format, for benchstat.
 func (r *Report) WriteBenchmark(out io.Writer) error {
 	scenario := strings.ReplaceAll(r.Scenario, " ", "-")
 	prefix := fmt.Sprintf("BenchmarkScale/scenario=%s/gateways=%d", scenario, r.Gateways)
--- a/scale/report_test.go
+++ b/scale/report_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// reportOf is a report of a number of gateways, with a voter's use that follows a line.
+// newTestReport returns a report for a number of gateways, in which the voters' processor usage depends linearly on it.
 func newTestReport(gateways int) *Report {
 	return &Report{
 		Mode: ModeWatch, Scenario: ScenarioQuiet, Gateways: gateways,
@@ -22,7 +22,8 @@
 	}
 }
 
-// The line through a figure has its slope and intercept, and the residual is what it leaves.
+// A fit has the slope and intercept of linear data without residual, and a residual for data that is not linear. The
+// table shows the values with slope and residual.
 func TestFit(t *testing.T) {
 	reports := []*Report{newTestReport(100), newTestReport(300), newTestReport(1000), newTestReport(3400)}
 	fit := FitFigure(Figure{Of: func(r *Report) float64 { return r.Usage[RoleVoters].CPUHighestMean }}, reports)
@@ -32,7 +33,7 @@
 	calls := 0.0
 	fit = FitFigure(Figure{Of: func(*Report) float64 { calls++; return math.Mod(calls, 2) }}, reports)
 	if fit.Residual < 0.4 {
-		t.Errorf("what is no line leaves %v", fit.Residual)
+		t.Errorf("residual of nonlinear data: %v", fit.Residual)
 	}
 	table := Table(reports)
 	if !strings.Contains(table, "| busiest voter, processor, % of a core | 11.00 | 13.00 | 20.00 | 44.00 | 10.00 | 0.0000 |") {
@@ -40,7 +41,7 @@
 	}
 }
 
-// A report comes back from its file, and is plotted.
+// A report can be read back from its file and plotted as svg and png. Other plot formats are rejected.
 func TestReportFileRoundTripAndPlot(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "below", "report.json")
@@ -61,11 +62,11 @@
 		}
 	}
 	if PlotFile(filepath.Join(dir, "plot.xyz"), []*Report{read}) == nil {
-		t.Error("a plot of no known format was written")
+		t.Error("a plot in an unknown format was written")
 	}
 }
 
-// The figures are worded as lines that benchstat reads.
+// The benchmark output has the format that benchstat reads.
 func TestBenchmarkLines(t *testing.T) {
 	var out bytes.Buffer
 	if err := newTestReport(100).WriteBenchmark(&out); err != nil {
@@ -74,7 +75,7 @@
 	line := regexp.MustCompile(`^Benchmark\S+ \d+( [0-9.]+ \S+)+$`)
 	for text := range strings.Lines(out.String()) {
 		if !line.MatchString(strings.TrimSuffix(text, "\n")) {
-			t.Errorf("no benchmark line: %q", text)
+			t.Errorf("not a benchmark line: %q", text)
 		}
 	}
 	if !strings.Contains(out.String(), "BenchmarkScale/scenario=quiet/gateways=100/purge 1 ") {
@@ -82,7 +83,7 @@
 	}
 }
 
-// Each limit is checked.
+// A report within all limits passes, and each single violation of a limit fails it.
 func TestChecks(t *testing.T) {
 	good := newTestReport(100)
 	good.runChecks()
--- a/scale/results.go
+++ b/scale/results.go
@@ -8,17 +8,17 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// Classes of changes, by which latencies are reported.
+// Classes of changes, for which latencies are reported separately.
 const (
 	ClassPurge  = "purge"
 	ClassChange = "change"
-	ClassBurst  = "burst" // changes of configuration that come many at once
+	ClassBurst  = "burst" // configuration changes of Load.Burst
 )
 
-// maxViolations bounds the violations that are listed.
+// maxViolations limits the number of violations that are listed; all are counted.
 const maxViolations = 20
 
-// class tells under which class a change is reported.
+// class returns the class in which a change is reported.
 func (c AckedChange) class() string {
 	switch {
 	case c.Kind == distribution.KindPurge:
@@ -29,7 +29,8 @@
 	return ClassChange
 }
 
-// results compares what was acknowledged, in that order, with what came into force at the gateways.
+// results compares the acknowledged changes with the times at which they came into force at the gateways. The changes are
+// in the order of their acknowledgements.
 func (w *gatewayWorker) results(acked []AckedChange) Results {
 	out := Results{Latencies: map[string]*Latencies{}, Everyone: map[uint64]ChangeReach{}}
 	tallies := map[string]*latencyTally{}
@@ -53,11 +54,12 @@
 	return out
 }
 
-// superseding holds, by name, when the latest value of a piece of configuration so far came into force at each gateway.
+// laterValues holds, by configuration name, the times at which the next value came into force at each gateway. It is
+// filled while the changes are processed from the last to the first.
 type laterValues map[string][]time.Time
 
-// cover gives when a change or a later one of the same name came into force at each gateway: one that received the state
-// as a whole never sees the values before the last. The changes are covered from the last to the first.
+// fillSuperseded returns when a change or a later one of the same name came into force at each gateway: a gateway that
+// received a snapshot of the state sees only the last value of a name. It must be called from the last change to the first.
 func (s laterValues) fillSuperseded(change AckedChange, times []time.Time) []time.Time {
 	if change.Name == "" {
 		return times
@@ -71,7 +73,8 @@
 	return times
 }
 
-// checkClaims checks that no gateway claimed to be complete beyond a change that was not in force there.
+// checkClaims checks each gateway's first claim of completeness that covers the change: the change must have been in force
+// at the gateway by the time of the claim.
 func (w *gatewayWorker) checkClaims(out *Results, change AckedChange, times []time.Time) {
 	for index, running := range w.gateways {
 		claim, claimed := running.history.firstClaimFor(change.At)
@@ -84,7 +87,7 @@
 			continue
 		}
 		if inForceAt.IsZero() && change.At.Before(running.history.incarnationStart()) {
-			continue // the process that claimed it has ended, and the next one holds the state without the event
+			continue // the incarnation that made the claim has ended, and the next one received the change in a snapshot
 		}
 		out.Violated++
 		if len(out.Violation) < maxViolations {
@@ -106,7 +109,7 @@
 	return &latencyTally{fresh: newHistogram(), stale: newHistogram()}
 }
 
-// enter enters one change, with when it came into force at each gateway.
+// add adds the latencies of a change, given the times at which it came into force at each gateway.
 func (t *latencyTally) add(change AckedChange, gateways []*runningGateway, times []time.Time) (reach ChangeReach) {
 	for index, running := range gateways {
 		inForceAt := times[index]
--- a/scale/results_test.go
+++ b/scale/results_test.go
@@ -7,12 +7,13 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// seconds gives a time on the tests' scale.
+// timeAfter returns the time s seconds after since.
 func timeAfter(since time.Time, s float64) time.Time {
 	return since.Add(time.Duration(s * float64(time.Second)))
 }
 
-// twoGateways is a worker without processes: the first gateway is fresh all the while, the second stale from 10 s to 20 s.
+// newTwoGatewayWorker returns a worker with the histories of two gateways that don't run: the first is always fresh, the
+// second is stale from 10 s to 20 s.
 func newTwoGatewayWorker(begin time.Time) *gatewayWorker {
 	w := &gatewayWorker{
 		recorder: newRecorder(2), staleness: newHistogram(), catchUp: newHistogram(),
@@ -32,7 +33,7 @@
 	return AckedChange{Key: key, Kind: distribution.KindPurge, At: at}
 }
 
-// What reaches a gateway while it knows itself to be stale is reported apart from what reaches a fresh one.
+// Latencies at gateways that know that they are stale are reported separately from those at fresh gateways.
 func TestLatenciesByFreshness(t *testing.T) {
 	begin := time.Now()
 	w := newTwoGatewayWorker(begin)
@@ -55,7 +56,7 @@
 	}
 }
 
-// A claim to be complete beyond a change that is not in force is found, whether the change comes late or never.
+// A claim of completeness beyond a change is a violation if the change comes into force after the claim or never.
 func TestFalseFreshnessClaimsAreDetected(t *testing.T) {
 	begin := time.Now()
 	for _, c := range []struct {
@@ -83,7 +84,8 @@
 	}
 }
 
-// A gateway that started anew after a change does not need to see it as an event. One that was there does.
+// A gateway that restarted after a change received it in the snapshot and needs no event of it. For a change after the
+// restart, a claim without the event is a violation.
 func TestFreshnessClaimsAfterRestart(t *testing.T) {
 	begin := time.Now()
 	w := newTwoGatewayWorker(begin)
@@ -98,7 +100,8 @@
 	}
 }
 
-// A value that was replaced before a gateway received the state is in force there with the one that replaced it.
+// A gateway that receives a snapshot sees only the last value of a name. An earlier value counts as in force from when the
+// value that replaced it is in force.
 func TestSupersededValuesCountAsInForce(t *testing.T) {
 	begin := time.Now()
 	w := newTwoGatewayWorker(begin)
@@ -110,10 +113,10 @@
 	}
 	got := w.results([]AckedChange{change(11, 1), change(12, 2), change(13, 3)})
 	changes := got.Latencies[ClassChange]
-	if changes.MissingFresh != 1 || changes.MissingStale != 1 { // the last one, at each gateway
+	if changes.MissingFresh != 1 || changes.MissingStale != 1 { // the last change, at both gateways
 		t.Errorf("%d and %d are missing", changes.MissingFresh, changes.MissingStale)
 	}
 	if slowest := got.Everyone[11].Slowest; slowest != 3*time.Second {
-		t.Errorf("the replaced value counts as in force after %v", slowest)
+		t.Errorf("the superseded value counts as in force after %v, want 3s", slowest)
 	}
 }
--- a/scale/run.go
+++ b/scale/run.go
@@ -16,13 +16,13 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// ModeWatch and ModeVoters are the modes of a run: gateways that subscribe, and members that all vote.
+// Modes of a run: ModeWatch runs gateways that subscribe to voters, ModeVoters runs members that all vote.
 const (
 	ModeWatch  = "watch"
 	ModeVoters = "voters"
 )
 
-// Options are what a run of gateways that subscribe is made of.
+// Options configure a run with gateways that subscribe to voters.
 type Options struct {
 	Gateways       int
 	Sites          int
@@ -31,33 +31,34 @@
 	Duration       time.Duration
 	Seed           uint64
 	Load           Load
-	RestartsPerDay float64 // of a deployment of FullGateways; scaled to the gateways that run
+	RestartsPerDay float64 // for a deployment of FullGateways; scaled to the number of gateways of the run
 	Scenario       string  // one of Scenarios
 	Progress       io.Writer
 }
 
 const (
-	settleDelay     = 2 * time.Second // between the last gateway's first lease and the load
+	settleDelay     = 2 * time.Second // between the last gateway's first lease and the start of the load
 	convergeTimeout = 40 * time.Second
 	resultsTimeout  = 2 * time.Minute
 )
 
-// ErrUnknownScenario tells that a scenario has no such name.
+// ErrUnknownScenario is returned for a scenario name that Scenarios doesn't list.
 var ErrUnknownScenario = errors.New("scale: unknown scenario")
 
-// check fills in what is left out.
+// validate checks the options and limits the number of sites to the number of gateways.
 func (o *Options) validate() error {
 	if _, known := scenarios[o.Scenario]; !known {
-		return fmt.Errorf("%w: %q is none of %v", ErrUnknownScenario, o.Scenario, Scenarios())
+		return fmt.Errorf("%w %q, must be one of %v", ErrUnknownScenario, o.Scenario, Scenarios())
 	}
 	if o.Gateways < 1 || o.Sites < 1 || o.Voters < 1 || o.Stores < 1 || o.Duration <= 0 {
-		return errors.New("scale: gateways, sites, voters, stores and the duration have to be above 0")
+		return errors.New("scale: gateways, sites, voters, stores and the duration must be positive")
 	}
 	o.Sites = min(o.Sites, o.Gateways)
 	return nil
 }
 
-// Run starts a cluster, drives a load through a scenario, and reports. All processes have ended when it returns.
+// Run starts a cluster, proposes a load during a fault scenario, and returns the report. All child processes have exited
+// when it returns.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -110,7 +111,7 @@
 	return Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), Loaded: strings.TrimSpace(string(load))}
 }
 
-// drive proposes the load while the scenario runs, and measures what the processes use.
+// runLoad proposes the load while the scenario runs, and samples the resource usage of the processes.
 func runLoad(ctx context.Context, c *cluster, driver *driver, options Options, report *Report, progress *progress) error {
 	operations := options.Load.Operations(options.Duration, options.Seed)
 	report.Proposed = len(operations)
@@ -145,7 +146,7 @@
 	return err
 }
 
-// reportProgress prints how far the load is, now and then.
+// reportProgress prints the progress of the load at intervals, until ctx is canceled.
 func reportProgress(ctx context.Context, driver *driver, operations int, progress *progress) {
 	const interval = 10 * time.Second
 	for sleep(ctx, interval) {
@@ -166,7 +167,8 @@
 	r.Traffic = m.traffic(r.Gateways)
 }
 
-// converge waits until all gateways are fresh and hold the voters' last change, and enters what they hold then.
+// awaitConvergence waits until all gateways are fresh and at the voters' last position, and records the outcome in the
+// report. It is no error if they don't converge within convergeTimeout: then the report's checks fail.
 func awaitConvergence(ctx context.Context, c *cluster, report *Report, progress *progress) error {
 	begin := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, convergeTimeout)
@@ -196,12 +198,12 @@
 			return nil
 		}
 		if !sleep(ctx, time.Second) {
-			return nil // the checks tell
+			return nil // the report's checks fail
 		}
 	}
 }
 
-// collect has all gateways compare what was acknowledged with what came into force.
+// collectResults collects the measurements of all gateways for the acknowledged changes.
 func collectResults(ctx context.Context, c *cluster, acked []AckedChange, report *Report) error {
 	ctx, cancel := context.WithTimeout(ctx, resultsTimeout)
 	defer cancel()
@@ -217,7 +219,7 @@
 	return nil
 }
 
-// merge sums up the results of all processes.
+// merge merges the results of all processes into the report.
 func (r *Report) merge(acked []AckedChange, results []Results) {
 	staleness, catchUp := newHistogram(), newHistogram()
 	for _, result := range results {
@@ -257,7 +259,7 @@
 	return out
 }
 
-// enterEverywhere enters when a change was in force at the last gateway that was fresh throughout.
+// recordEverywhere records the latency of a change at the slowest gateway that was fresh throughout.
 func recordEverywhere(into *hdrhistogram.Histogram, change AckedChange, results []Results) {
 	slowest := time.Duration(0)
 	for _, result := range results {
--- a/scale/sampler.go
+++ b/scale/sampler.go
@@ -7,11 +7,11 @@
 
 const (
 	leaseSampleInterval = 100 * time.Millisecond
-	statusIntervalTicks = 10              // of leaseSampleInterval between two looks at a gateway's whole status, which costs more
-	stallThreshold      = 2 * time.Second // without a sample: the process stood still, and so did its gateways
+	statusIntervalTicks = 10              // lease samples per sample of a gateway's full status, which costs more
+	stallThreshold      = 2 * time.Second // time between samples from which the process, with its gateways, counts as suspended
 )
 
-// sampleLeases follows the leases of all gateways until ctx ends.
+// sampleLeases samples the leases and statuses of all gateways until ctx is canceled.
 func (w *gatewayWorker) sampleLeases(ctx context.Context) {
 	ticker := time.NewTicker(leaseSampleInterval)
 	defer ticker.Stop()
@@ -36,7 +36,7 @@
 	}
 }
 
-// sampleLease enters whether a gateway's lease holds.
+// sampleLease records whether a gateway holds a lease.
 func (w *gatewayWorker) sampleLease(running *runningGateway) {
 	running.mu.Lock()
 	defer running.mu.Unlock()
@@ -52,8 +52,8 @@
 	recordDuration(w.catchUp, catchUp)
 }
 
-// sampleStatus enters a gateway's claim of freshness, and the age of what it knows to be complete. The claim counts from
-// when the core has handled all that came before it.
+// sampleStatus records a gateway's claim of freshness and the age of the state that it knows to be complete. The claim
+// counts from when the core has handled all changes received before it.
 func (w *gatewayWorker) sampleStatus(running *runningGateway) {
 	running.mu.Lock()
 	defer running.mu.Unlock()
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// testLog is a writer to the test's log.
+// testLog is an io.Writer that writes to the test's log.
 type testLog struct{ t *testing.T }
 
 func (l testLog) Write(line []byte) (int, error) {
@@ -33,7 +33,7 @@
 	return len(line), nil
 }
 
-// ownChildren lists the processes that this one has started and that have not ended.
+// childProcesses returns the IDs of the running child processes of this process.
 func childProcesses(t *testing.T) (children []int) {
 	t.Helper()
 	files, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -43,9 +43,9 @@
 	for _, file := range files {
 		content, err := os.ReadFile(file)
 		if err != nil {
-			continue // it has ended meanwhile
+			continue // the process has exited meanwhile
 		}
-		_, afterName, _ := strings.Cut(string(content), ") ") // the state and the parent's number follow
+		_, afterName, _ := strings.Cut(string(content), ") ") // followed by the state and the parent's process ID
 		fields := strings.Fields(afterName)
 		if len(fields) > 1 && fields[1] == strconv.Itoa(os.Getpid()) {
 			number, err := strconv.Atoi(filepath.Base(filepath.Dir(file)))
@@ -58,13 +58,13 @@
 	return children
 }
 
-// checkNothingLeft fails a test that leaves a process or a goroutine.
+// checkNoLeaks fails the test if it leaves a process or a goroutine running.
 func checkNoLeaks(t *testing.T) {
 	t.Helper()
 	before := runtime.NumGoroutine()
 	t.Cleanup(func() {
 		if left := childProcesses(t); len(left) > 0 {
-			t.Errorf("processes are left: %v", left)
+			t.Errorf("child processes still run: %v", left)
 		}
 		deadline := time.Now().Add(10 * time.Second)
 		for runtime.NumGoroutine() > before && time.Now().Before(deadline) {
@@ -77,8 +77,8 @@
 	})
 }
 
-// A hundred gateways keep the operators' limits while the leader is killed, a tenth of them starts anew, and the killed
-// voter comes back.
+// A hundred gateways stay within the operators' limits while the leader is killed, a tenth of the gateways restarts, and
+// the killed voter restarts.
 func TestHundredGatewaysThroughVoterDeath(t *testing.T) {
 	checkNoLeaks(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
@@ -87,7 +87,7 @@
 	report, err := Run(ctx, Options{
 		Gateways: gateways, Sites: 20, Voters: FullVoters, Stores: 560, Duration: duration, Seed: 1, Scenario: "voter-death",
 		Load: Load{Purges: 46, ChangesPerDay: 86400, Burst: 20, Revocations: 1, StoreInterval: 4 * time.Second},
-		// Some gateways start anew one by one, beside the tenth.
+		// On average one gateway restarts per second, in addition to the tenth of the scenario.
 		RestartsPerDay: 86400 * FullGateways / gateways, Progress: testLog{t},
 	})
 	if err != nil {
@@ -109,13 +109,14 @@
 		t.Errorf("%d purges at %d gateways make %d observations", purges.Changes, gateways, reached)
 	}
 	if report.Traffic.Reconnects == 0 || report.Restarts == 0 || report.Retried == 0 || report.Claims == 0 {
-		t.Errorf("nothing was seen of the faults: %d reconnects, %d restarts, %d attempts repeated, %d claims checked",
+		t.Errorf("the faults had no visible effect: %d reconnects, %d restarts, %d attempts retried, %d claims checked",
 			report.Traffic.Reconnects, report.Restarts, report.Retried, report.Claims)
 	}
 }
 
-// Gateways that are stopped and go on, and a leader that is, claim nothing that they don't know: what was sent to them meanwhile
-// counts from when they asked for it. In the end all hold the same.
+// Neither gateways that are suspended and resumed nor gateways of a suspended leader claim to be fresh without holding all
+// changes: data that was sent during the suspension counts from the time of the gateway's request for it. In the end all
+// gateways hold the same state.
 func TestPausedProcesses(t *testing.T) {
 	const gateways, duration = 20, 5 * time.Second
 	for _, scenario := range []string{"pause", "leader-pause"} {
@@ -136,13 +137,13 @@
 				}
 			}
 			if len(report.Violations) > 0 || report.Claims == 0 {
-				t.Errorf("%d claims, false: %+v", report.Claims, report.Violations)
+				t.Errorf("%d claims checked, violations: %+v", report.Claims, report.Violations)
 			}
 		})
 	}
 }
 
-// Members that all vote are measured, and leave nothing behind.
+// A cluster in which all members vote is measured without failures, and leaves no processes or goroutines.
 func TestVotersMode(t *testing.T) {
 	checkNoLeaks(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
@@ -161,7 +162,7 @@
 	}
 }
 
-// A child ends by itself once its standard input does, as when its parent has died.
+// A child exits once its standard input is closed, as when its parent has died. Calls to it fail then.
 func TestChildEndsWithItsInput(t *testing.T) {
 	checkNoLeaks(t)
 	for _, role := range []Role{RoleVoters, RoleGateways, RoleRelay} {
@@ -180,15 +181,15 @@
 		case <-process.exited:
 		case <-time.After(30 * time.Second):
 			process.Kill()
-			t.Errorf("%s: the child outlived its input", role)
+			t.Errorf("%s: the child did not exit after its standard input was closed", role)
 		}
 		if err := process.Call(ctx, methodStats, empty{}, nil); err == nil {
-			t.Errorf("%s: a child that has ended answered", role)
+			t.Errorf("%s: a call to an exited child succeeded", role)
 		}
 	}
 }
 
-// A scenario's name is checked before anything starts.
+// An unknown scenario is rejected, with its name in the error.
 func TestUnknownScenario(t *testing.T) {
 	if _, err := Run(t.Context(), Options{Gateways: 1, Sites: 1, Voters: 1, Stores: 1, Duration: 1, Scenario: "flood"}); err == nil ||
 		!strings.Contains(fmt.Sprint(err), "flood") {
--- a/scale/scenario.go
+++ b/scale/scenario.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// step is something that a scenario does at a share of the run.
+// step is an action of a scenario.
 type step struct {
 	at          float64
 	description string
@@ -18,24 +18,24 @@
 	needsRelay  bool // it needs the relay
 }
 
-// faults carries out the steps of a scenario.
+// faults executes the steps of a scenario.
 type faults struct {
 	cluster *cluster
 	random  *rand.Rand
-	down    []int // the voters that were killed, or paused
+	down    []int // indices of the voters that are killed or paused
 }
 
-// Sizes of the faults.
+// Extent of the faults.
 const (
-	reconnectDivisor = 10 // one gateway in this many starts anew at once
+	reconnectDivisor = 10 // one in this many gateways restarts at the same time
 	linkDelay        = 300 * time.Millisecond
 	slowReaderDelay  = 1500 * time.Millisecond
 )
 
-// ScenarioQuiet is the one without faults.
+// ScenarioQuiet is the scenario without faults.
 const ScenarioQuiet = "quiet"
 
-// scenarios are the faults by name.
+// scenarios are the steps of each scenario, in chronological order.
 var scenarios = map[string][]step{
 	ScenarioQuiet: nil,
 	"voter-death": {
@@ -70,14 +70,15 @@
 	},
 }
 
-// Scenarios names them.
+// Scenarios returns the sorted names of all scenarios.
 func Scenarios() []string { return slices.Sorted(maps.Keys(scenarios)) }
 
+// cutAndHeal closes the links of some sites for a period in the middle of the run.
 func cutAndHeal(description string, sites func(*faults) []int) []step {
 	return linkFault(description, linkCondition{Cut: true}, sites)
 }
 
-// linkFault puts the links of some sites into a condition for a time in the middle of the run.
+// linkFault puts the links of some sites into a condition for a period in the middle of the run.
 func linkFault(description string, condition linkCondition, sites func(*faults) []int) []step {
 	set := func(condition linkCondition) func(*faults, context.Context) error {
 		return func(f *faults, ctx context.Context) error {
@@ -91,7 +92,7 @@
 	}
 }
 
-// needsRelay tells whether a scenario changes the network.
+// needsRelay reports whether a scenario needs the relay, to inject network faults.
 func needsRelay(scenario string) bool {
 	return slices.ContainsFunc(scenarios[scenario], func(s step) bool { return s.needsRelay })
 }
@@ -102,7 +103,7 @@
 
 func (f *faults) topology() Topology { return f.cluster.options.topology }
 
-// run carries out a scenario within a duration.
+// run executes a scenario that is spread over a duration.
 func (f *faults) run(ctx context.Context, name string, duration time.Duration, progress *progress) error {
 	begin := time.Now()
 	for _, step := range scenarios[name] {
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// killMajority kills the leader and as many others as make a majority with it.
+// killMajority kills a majority of the voters, including the leader.
 func (f *faults) killMajority(ctx context.Context) error {
 	leader, err := f.cluster.awaitLeader(ctx)
 	if err != nil {
@@ -183,7 +184,8 @@
 func (f *faults) pauseGateways(context.Context) error  { return f.cluster.gateways[0].process.Pause() }
 func (f *faults) resumeGateways(context.Context) error { return f.cluster.gateways[0].process.Resume() }
 
-// restartSteadily starts single gateways anew at the rate of so many a day in the full deployment, and counts them.
+// restartAtRate restarts single gateways at random times, and returns the number of restarts. The rate is per day for the
+// full deployment, and is scaled to the number of gateways of the run.
 func (f *faults) restartAtRate(ctx context.Context, perDay float64, duration time.Duration) (restarts int, err error) {
 	begin := time.Now()
 	random := rand.New(rand.NewPCG(f.random.Uint64(), 3))
--- a/scale/topology.go
+++ b/scale/topology.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Sizes of the deployment that is planned for.
+// Sizes of the planned full deployment.
 const (
 	FullGateways = 3400
 	FullSites    = 140
@@ -14,31 +14,31 @@
 	zoneRegions  = 8
 )
 
-// Topology says where gateways stand: each at a site, a site in a zone, a zone in a region.
+// Topology assigns gateways to sites, sites to zones, and zones to regions.
 type Topology struct {
 	Gateways int
 	Sites    int
 }
 
-// Site is the site of a gateway.
+// Site returns the site of a gateway.
 func (t Topology) Site(gateway int) int { return gateway % t.Sites }
 
-// zones and regions are as many as in the full deployment, or fewer where there are fewer sites.
+// zones and regions return the numbers of the full deployment, but no more zones than sites and no more regions than zones.
 func (t Topology) zones() int   { return min(siteZones, t.Sites) }
 func (t Topology) regions() int { return min(zoneRegions, t.zones()) }
 
-// Zone is the zone of a site.
+// Zone returns the zone of a site.
 func (t Topology) Zone(site int) int { return site * t.zones() / t.Sites }
 
-// Region is the region of a site.
+// Region returns the region of a site.
 func (t Topology) Region(site int) int { return t.Zone(site) * t.regions() / t.zones() }
 
-// ZoneSites gives the sites of a zone.
+// ZoneSites returns the sites of a zone.
 func (t Topology) ZoneSites(zone int) []int {
 	return t.sitesWhere(func(site int) bool { return t.Zone(site) == zone })
 }
 
-// RegionSites gives the sites of a region.
+// RegionSites returns the sites of a region.
 func (t Topology) RegionSites(region int) []int {
 	return t.sitesWhere(func(site int) bool { return t.Region(site) == region })
 }
@@ -52,7 +52,7 @@
 	return sites
 }
 
-// split cuts the gateways into parts for processes, of about the same size.
+// split divides the gateways into parts of about equal size, one per process. Empty parts are omitted.
 func (t Topology) split(processes int) [][]int {
 	parts := make([][]int, processes)
 	for gateway := range t.Gateways {
--- a/scale/usage.go
+++ b/scale/usage.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// ownStats tells what this process has used so far.
+// readProcessStats returns the resource usage of the current process.
 func readProcessStats() (ProcessStats, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -30,7 +30,7 @@
 	}, nil
 }
 
-// residentBytes is this process's memory that is held in the machine's.
+// residentBytes returns the resident set size of the current process.
 func residentBytes() (int64, error) {
 	content, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/scale/voter_worker.go
+++ b/scale/voter_worker.go
@@ -16,10 +16,10 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// revocationTTL is how long the revocations of the load count.
+// revocationTTL is the lifetime of the revocations that the load proposes.
 const revocationTTL = time.Hour
 
-// voterWorker runs the members of one process.
+// voterWorker runs the voting members of one process.
 type voterWorker struct {
 	setup    voterSetup
 	stores   map[string]*replica.Store
@@ -103,7 +103,7 @@
 	return store, nil
 }
 
-// propose has a member propose an operation, and tells when it learned that it was agreed on.
+// propose proposes an operation at a member, and returns when the member learned that the operation was committed.
 func (w *voterWorker) propose(ctx context.Context, req proposeRequest) (acknowledgement, error) {
 	store := w.stores[req.Member]
 	if store == nil {
@@ -126,7 +126,7 @@
 	return acknowledgement{At: time.Now()}, err
 }
 
-// traffic tells what the connections carried that the members accepted.
+// traffic returns the traffic on connections that the members accepted, and the number of their subscribers.
 func (w *voterWorker) traffic() Traffic {
 	out := Traffic{BytesIn: w.bytes.in.Load(), BytesOut: w.bytes.out.Load()}
 	for _, store := range w.stores {
@@ -145,7 +145,7 @@
 	return leadership{}
 }
 
-// states tells the positions of the members.
+// states returns the positions of the members.
 func (w *voterWorker) states() (out []State) {
 	for id, store := range w.stores {
 		out = append(out, State{Name: id, Position: store.Position(), Fresh: true})
@@ -153,7 +153,7 @@
 	return out
 }
 
-// results gives the times from acknowledged to in force at the members of this process.
+// results returns the times from acknowledged to in force at the members of this process.
 func (w *voterWorker) results(acked []AckedChange) Results {
 	out := Results{Latencies: map[string]*Latencies{}, Everyone: map[uint64]ChangeReach{}}
 	tally := newLatencyTally()
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -19,25 +19,25 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// VotersOptions are what a run of the former state is made of: every gateway votes, and none subscribes.
+// VotersOptions configure runs of the earlier architecture: every gateway is a voting member, and none subscribes.
 type VotersOptions struct {
-	Counts   []int         // members, for each of which there is a run
-	Duration time.Duration // of the load of each run
+	Counts   []int         // numbers of members, one run each
+	Duration time.Duration // of the load, for each run
 	Seed     uint64
 	Progress io.Writer
 }
 
 const (
-	voterWriterCount   = 8 // that propose one change after the other
+	voterWriterCount   = 8 // each proposes one change after the other
 	maxVoterProcesses  = 15
 	votersStartTimeout = 45 * time.Second
-	votersRunMargin    = 90 * time.Second // beside the load
-	votersDrainDelay   = time.Second      // for the last changes to come into force
+	votersRunMargin    = 90 * time.Second // for a run, in addition to the load's duration
+	votersDrainDelay   = time.Second      // so that the last changes come into force
 	leaderPollInterval = 250 * time.Millisecond
 	maxFailedShare     = 0.5
 )
 
-// VotersReport is the outcome of runs of members that all vote.
+// VotersReport is the outcome of runs in which all members vote.
 type VotersReport struct {
 	Mode    string      `json:"mode"`
 	Seed    uint64      `json:"seed"`
@@ -45,13 +45,13 @@
 	Runs    []VotersRun `json:"runs"`
 }
 
-// VotersRun is the outcome for one number of members.
+// VotersRun is the outcome of the run with one number of members.
 type VotersRun struct {
 	Members       int          `json:"members"`
 	Processes     int          `json:"processes"`
 	Seconds       float64      `json:"seconds"`
 	ElectedMS     float64      `json:"elected_ms"` // from the start to the first leader
-	Leaders       int          `json:"leaders"`    // how often leadership was seen to change, the first leader included
+	Leaders       int          `json:"leaders"`    // observed changes of the leader, including the first leader
 	Acked         int          `json:"acknowledged"`
 	Failed        int          `json:"failed"`
 	PutsPerSecond float64      `json:"puts_per_s"`
@@ -61,10 +61,10 @@
 	Missing       int          `json:"missing"`
 	MemberCPU     float64      `json:"member_cpu_percent"` // of a core, on average
 	MemberRSS     float64      `json:"member_rss_bytes"`
-	Stopped       string       `json:"stopped,omitempty"` // why it went no further
+	Stopped       string       `json:"stopped,omitempty"` // why the run failed; no further clusters are measured then
 }
 
-// RunVoters measures clusters whose members all vote, of ascending size, until one does not hold.
+// RunVoters measures clusters in which all members vote, in the order of options.Counts, until one fails.
 func RunVoters(ctx context.Context, options VotersOptions) (*VotersReport, error) {
 	report := &VotersReport{Mode: ModeVoters, Seed: options.Seed, Machine: thisMachine()}
 	progress := newProgress(options.Progress)
@@ -87,7 +87,7 @@
 	return report, nil
 }
 
-// runVoters measures one cluster, as far as it holds.
+// runVoters measures one cluster. On failure the returned run contains the results so far.
 func runVoters(ctx context.Context, members int, options VotersOptions) (run VotersRun, err error) {
 	dir, err := makeTempDir()
 	if err != nil {
@@ -117,13 +117,13 @@
 	return run, err
 }
 
-// votersCluster is a set of members that all vote, some to a process.
+// votersCluster is a cluster in which all members vote; a process may run several of them.
 type votersCluster struct {
 	members         int
 	dir             string
 	log             io.Writer
 	processes       []*Process
-	memberProcesses []*Process // of each member
+	memberProcesses []*Process // by member
 }
 
 func (c *votersCluster) start(ctx context.Context, processes int) error {
@@ -169,7 +169,7 @@
 	stopping.Wait()
 }
 
-// leader gives the ID of the member that leads; "": none is known to.
+// leader returns the ID of the leading member, or "" if none is known to lead.
 func (c *votersCluster) leader(ctx context.Context) string {
 	for _, process := range c.processes {
 		var leads leadership
@@ -189,7 +189,7 @@
 	return true
 }
 
-// measure has writers propose for a duration, and compares what was acknowledged with what came into force.
+// measure proposes changes for a duration, and collects when the acknowledged changes came into force at the members.
 func (c *votersCluster) measure(ctx context.Context, options VotersOptions, run *VotersRun) error {
 	before, err := c.stats(ctx)
 	if err != nil {
@@ -234,7 +234,7 @@
 	}
 }
 
-// countLeaders counts how often another member was seen to lead.
+// countLeaders polls for the leader until ctx is canceled, and returns the number of observed changes.
 func (c *votersCluster) countLeaders(ctx context.Context) (changes int) {
 	for last := ""; ; {
 		if leader := c.leader(ctx); leader != "" && leader != last {
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// voterWriters propose changes of configuration, each writer one after the other.
+// voterWriters are concurrent writers that propose configuration changes.
 type voterWriters struct {
 	cluster *votersCluster
 
@@ -269,6 +269,7 @@
 	acknowledge *hdrhistogram.Histogram
 }
 
+// proposeInTurn proposes one change after the other, each at the next member, until ctx is canceled.
 func (w *voterWriters) proposeInTurn(ctx context.Context, writer int) {
 	for number := 0; ctx.Err() == nil; number++ {
 		name := fmt.Sprintf("notes/%d", writer)
@@ -277,7 +278,7 @@
 		operation := Operation{Kind: distribution.KindPut, Name: name, Value: value, Key: ConfigKey(name, value)}
 		var ack acknowledgement
 		begin := time.Now()
-		// Not bound to ctx: what is under way at the end still counts.
+		// Not canceled with ctx, so that the proposals in flight at the end of the load are counted.
 		attempt, cancel := context.WithTimeout(context.WithoutCancel(ctx), proposalTimeout)
 		err := w.cluster.memberProcesses[member].Call(attempt, methodPropose, proposeRequest{voterID(member), operation}, &ack)
 		cancel()
@@ -302,7 +303,7 @@
 // WriteFile writes the report as JSON.
 func (r *VotersReport) WriteFile(path string) error { return writeJSON(path, r) }
 
-// WriteBenchmark writes the report's figures as lines of Go's benchmark format, which benchstat compares.
+// WriteBenchmark writes the results in Go's benchmark format, for benchstat.
 func (r *VotersReport) WriteBenchmark(out io.Writer) error {
 	for _, run := range r.Runs {
 		if run.Acked == 0 {
