--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -81,7 +81,7 @@
 		return nil, fmt.Errorf("hollow: keys: %w", err)
 	}
 	for _, event := range node.Known {
-		gatewayCore.Handle(event) // nothing else runs yet
+		gatewayCore.Handle(event) // called directly, as the core is not running yet
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &Gateway{
