--- a/scale/hollow_match_test.go
+++ b/scale/hollow_match_test.go
@@ -56,7 +56,7 @@
 // Limits of the differences between a hollow gateway and a full one.
 const (
 	maxRecordDifference = 4    // one more mark and batch at each end of the observation
-	maxBytesFactor      = 1.02 // factors hold in both directions
+	maxBytesFactor      = 1.02 // whichever of the two gateways has more; this holds for the other factors as well
 	maxCPUFactor        = 2
 	maxRSSFactor        = 1.5
 )
@@ -90,7 +90,8 @@
 	}
 	p := &gatewayPair{t: t, ctx: ctx, cluster: cluster}
 	p.fullVoters, p.hollowVoters = meterVoters(t, cluster.members), meterVoters(t, cluster.members)
-	p.full = startFullGateway(t, "gateway-w", p.fullVoters.members, identity) // names of equal length, so that messages have equal length
+	// Both names have equal length, so that the messages have equal length.
+	p.full = startFullGateway(t, "gateway-w", p.fullVoters.members, identity)
 	if p.hollow, err = StartProcess(RoleGateways, testLog{t}); err != nil {
 		t.Fatal(err)
 	}
--- a/scale/results.go
+++ b/scale/results.go
@@ -87,7 +87,7 @@
 			continue
 		}
 		if inForceAt.IsZero() && change.At.Before(running.history.incarnationStart()) {
-			continue // the incarnation that made the claim has ended, and the next one received the change in a snapshot
+			continue // the claiming incarnation has ended, and the current one received the change in a snapshot, without an event
 		}
 		out.Violated++
 		if len(out.Violation) < maxViolations {
