--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -1,6 +1,7 @@
-// Package hollow is the control side of a gateway as it ships, without its data plane: the subscription to the
-// replicated log, the real core with its decision module and timers, and the real key ring and policy. It takes no
-// client and dials no store, so thousands fit into a few processes. The rig of package scale measures with it.
+// Package hollow runs the control plane of a production gateway without its data plane: the subscription to the
+// replicated log, the production core with its decision module and timers, and the production key ring and policy. It
+// accepts no client connections and opens none to endpoints, so that thousands of gateways fit into a few processes.
+// Package scale uses it for its measurements.
 package hollow
 
 import (
@@ -22,21 +23,21 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// Observer is told what has come into force at a gateway. Its methods must not block for long.
+// Observer is notified when purges and configuration take effect at a gateway. Its methods must not block for long.
 type Observer interface {
-	// PurgeInForce tells that the core holds a purge.
+	// PurgeInForce reports that the core has handled a purge.
 	PurgeInForce(object uint64, group uint16, at time.Time)
-	// ConfigInForce tells that a piece of configuration was taken in.
+	// ConfigInForce reports that a configuration value has been applied.
 	ConfigInForce(name string, value []byte, at time.Time)
 }
 
-// Options are what a hollow gateway is made of.
+// Options configure a hollow gateway.
 type Options struct {
-	Operator *config.Operator // as for a whole gateway
+	Operator *config.Operator // as for a production gateway
 	Seed     uint64
 	Clock    *clock.Clock
 	Log      zerolog.Logger
-	Observer Observer // nil: nobody is told
+	Observer Observer // optional
 }
 
 // Gateway is a hollow gateway.
@@ -45,24 +46,24 @@
 	log      zerolog.Logger
 	plane    *controlplane.Plane
 	core     *core.Core
-	front    *signed.Front
+	frontend *signed.Front
 	cancel   context.CancelFunc
 	done     chan struct{}
 
 	mu          sync.Mutex
-	checkpoints []func(at time.Time) // on their way through the plane's queue of events
+	checkpoints []func(at time.Time) // callbacks of checkpoint purges queued in the plane, oldest first
 
-	asked    chan func(at time.Time) // on their way through the core's, in order
-	answered chan core.Stats
+	callbacks chan func(at time.Time) // callbacks of the GetStats events queued in the core, in the same order
+	replies   chan core.Stats
 }
 
-// maxAsked bounds the questions to the core that are under way.
-const maxAsked = 256
+// maxPendingCallbacks limits the GetStats events that the core has not answered yet.
+const maxPendingCallbacks = 256
 
-// checkpointObject is the object of the purges that carry checkpoints through the plane's queue. No other purge has it.
+// checkpointObject is the object of the purges that mark checkpoints in the plane's event queue. It is reserved for them.
 const checkpointObject = math.MaxUint64
 
-// New starts a gateway, with the stores of its operator's file.
+// New starts a gateway with the endpoints listed in its operator configuration.
 func New(opt Options) (*Gateway, error) {
 	node := opt.Operator.Node(opt.Seed)
 	plane := controlplane.New(opt.Operator, opt.Clock, opt.Log)
@@ -80,14 +81,14 @@
 		return nil, fmt.Errorf("hollow: keys: %w", err)
 	}
 	for _, event := range node.Known {
-		gatewayCore.Handle(event) // nothing else runs yet
+		gatewayCore.Handle(event) // called directly, as the core is not running yet
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &Gateway{
 		observer: opt.Observer, log: opt.Log, plane: plane, core: gatewayCore, cancel: cancel, done: make(chan struct{}),
-		asked: make(chan func(time.Time), maxAsked), answered: make(chan core.Stats, maxAsked),
+		callbacks: make(chan func(time.Time), maxPendingCallbacks), replies: make(chan core.Stats, maxPendingCallbacks),
 	}
-	g.front = signed.New(signed.Options{
+	g.frontend = signed.New(signed.Options{
 		Post: gatewayCore.Post, Clock: opt.Clock, Log: opt.Log, Ring: ring, Claims: plane, Scheme: opt.Operator.Scheme,
 		Leeway: opt.Operator.LeewayS * 1000, TokenMost: opt.Operator.TokenS, Limits: opt.Operator.Limit.Options(),
 	})
@@ -95,22 +96,22 @@
 	if err := plane.Open(g.post); err != nil {
 		return nil, errors.Join(fmt.Errorf("hollow: control side: %w", err), g.Close())
 	}
-	plane.Configure(g.configure, signed.ConfigKeys, signed.ConfigPolicy)
+	plane.Configure(g.applyConfig, signed.ConfigKeys, signed.ConfigPolicy)
 	return g, nil
 }
 
 func (g *Gateway) run(ctx context.Context) {
 	defer close(g.done)
-	reported := make(chan struct{})
+	callbacksDone := make(chan struct{})
 	go func() {
-		defer close(reported)
-		g.report(ctx)
+		defer close(callbacksDone)
+		g.runCallbacks(ctx)
 	}()
-	g.core.Run(ctx) // it ends with ctx and returns no error
-	<-reported
+	g.core.Run(ctx) // returns when ctx is canceled, without an error
+	<-callbacksDone
 }
 
-// Close ends the gateway.
+// Close stops the gateway.
 func (g *Gateway) Close() error {
 	err := g.plane.Close()
 	g.cancel()
@@ -118,79 +119,79 @@
 	return err
 }
 
-// Subscriber gives the gateway's subscription; nil: its operator's file names no voters to subscribe to.
+// Subscriber returns the gateway's subscriber, or nil if its operator configuration lists no voters to subscribe to.
 func (g *Gateway) Subscriber() *replica.Subscriber {
 	subscriber, _ := g.plane.Control.(*replica.Subscriber)
 	return subscriber
 }
 
-// configure takes a piece of configuration in, as a whole gateway's signed front does.
-func (g *Gateway) configure(name string, value json.RawMessage) {
+// applyConfig applies a configuration value in the same way as the signed frontend of a production gateway.
+func (g *Gateway) applyConfig(name string, value json.RawMessage) {
 	if name == ConfigStores {
-		g.takeStores(value)
+		g.updateEndpoints(value)
 	} else {
-		g.front.Changed(name, value)
+		g.frontend.Changed(name, value)
 	}
 	if g.observer != nil {
 		g.observer.ConfigInForce(name, value, time.Now())
 	}
 }
 
-// post hands an event of the plane to the core. Behind a purge goes a question, whose answer shows that the core has
-// handled it. It is called for one event after the other.
+// post forwards an event of the plane to the core. For a purge it also queues a GetStats event, whose reply shows that
+// the core has handled the purge. Calls must not overlap.
 func (g *Gateway) post(event core.Event) {
 	purge, isPurge := event.(core.Purge)
 	if isPurge && purge.Object == checkpointObject {
-		g.ask(g.nextCheckpoint())
+		g.callWhenProcessed(g.popCheckpoint())
 		return
 	}
 	g.core.Post(event)
 	if isPurge && g.observer != nil {
-		g.ask(func(at time.Time) { g.observer.PurgeInForce(purge.Object, purge.Group, at) })
+		g.callWhenProcessed(func(at time.Time) { g.observer.PurgeInForce(purge.Object, purge.Group, at) })
 	}
 }
 
-// Checkpoint has reached called once the core has handled every change that the gateway had received before.
-func (g *Gateway) Checkpoint(reached func(at time.Time)) {
+// Checkpoint calls the callback once the core has handled every change that the gateway received before this call.
+func (g *Gateway) Checkpoint(callback func(at time.Time)) {
 	g.mu.Lock()
-	defer g.mu.Unlock() // keeps the checkpoints in the order of their purges
-	g.checkpoints = append(g.checkpoints, reached)
+	defer g.mu.Unlock() // held during Purged, so that the callbacks are in the order of their purges
+	g.checkpoints = append(g.checkpoints, callback)
 	g.plane.Purged(distribution.Change{Kind: distribution.KindPurge, Object: checkpointObject})
 }
 
-// nextCheckpoint takes out the oldest checkpoint.
-func (g *Gateway) nextCheckpoint() (reached func(at time.Time)) {
+// popCheckpoint removes the callback of the oldest checkpoint and returns it.
+func (g *Gateway) popCheckpoint() (callback func(at time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	reached = g.checkpoints[0]
+	callback = g.checkpoints[0]
 	g.checkpoints = g.checkpoints[1:]
-	return reached
+	return callback
 }
 
-// ask has reached called once the core has handled all that was posted to it so far.
-func (g *Gateway) ask(reached func(at time.Time)) {
+// callWhenProcessed calls the callback once the core has handled all events posted to it so far.
+func (g *Gateway) callWhenProcessed(callback func(at time.Time)) {
 	select {
-	case g.asked <- reached:
-		g.core.Post(core.GetStats{Reply: g.answered})
+	case g.callbacks <- callback:
+		g.core.Post(core.GetStats{Reply: g.replies})
 	case <-g.done:
 	}
 }
 
-// report follows the core's answers.
-func (g *Gateway) report(ctx context.Context) {
+// runCallbacks runs the oldest pending callback for each reply of the core, until ctx is canceled.
+func (g *Gateway) runCallbacks(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.answered:
-			reached := <-g.asked // queued ahead of its question
-			reached(time.Now())
+		case <-g.replies:
+			callback := <-g.callbacks // queued before its GetStats event was posted
+			callback(time.Now())
 		}
 	}
 }
 
-// Flush waits until the core has handled all that the gateway had received before, and tells whether it did before ctx
-// ended.
+// Flush waits until the core has handled every change that the gateway received before this call. It returns false if
+// ctx is canceled or the gateway is closed first.
 func (g *Gateway) Flush(ctx context.Context) bool {
 	flushed := make(chan struct{})
 	g.Checkpoint(func(time.Time) { close(flushed) })
--- a/internal/hollow/gateway_test.go
+++ b/internal/hollow/gateway_test.go
@@ -13,7 +13,7 @@
 	"turnfork.dev/turnfork/front/signed"
 )
 
-// recorder keeps what an observer is told.
+// recorder is an Observer that records its notifications.
 type recorder struct {
 	mu      sync.Mutex
 	purges  []uint64
@@ -50,10 +50,10 @@
 	return g
 }
 
-// Purges are reported in order once the core holds them, and a flush waits for all before it.
-func TestPurgesComeIntoForceInOrder(t *testing.T) {
-	var told recorder
-	g := newGateway(t, &told)
+// Purges are reported in order once the core has handled them, and Flush waits for all purges received before it.
+func TestPurgesAreReportedInOrder(t *testing.T) {
+	var recorded recorder
+	g := newGateway(t, &recorded)
 	const purges = 100
 	for i := range purges {
 		g.plane.Purged(distribution.Change{Kind: distribution.KindPurge, Object: uint64(i + 1), At: time.Now().UnixMilli()})
@@ -61,36 +61,37 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	if !g.Flush(ctx) {
-		t.Fatal("the core did not reach the purges")
+		t.Fatal("Flush returned before the core had handled the purges")
 	}
-	told.mu.Lock()
-	defer told.mu.Unlock()
-	if len(told.purges) != purges {
-		t.Fatalf("%d purges reported, want %d", len(told.purges), purges)
+	recorded.mu.Lock()
+	defer recorded.mu.Unlock()
+	if len(recorded.purges) != purges {
+		t.Fatalf("%d purges reported, want %d", len(recorded.purges), purges)
 	}
-	for i, object := range told.purges {
+	for i, object := range recorded.purges {
 		if object != uint64(i+1) {
 			t.Fatalf("purge %d is of object %d", i, object)
 		}
 	}
 }
 
-// Keys, policy and changes of the store list are taken in as values that the gateway's own parsers accept.
-func TestConfigurationIsTakenIn(t *testing.T) {
-	var told recorder
-	g := newGateway(t, &told)
+// Policy and changes of the endpoint list are applied and reported to the observer. A deletion of an unknown name is not
+// reported, and a gateway without voters in its configuration has no subscriber.
+func TestConfigurationIsApplied(t *testing.T) {
+	var recorded recorder
+	g := newGateway(t, &recorded)
 	g.plane.Configured(signed.ConfigPolicy, []byte(`{"leeway_ms":1000,"token_seconds":600}`))
 	g.plane.Configured(ConfigStores, []byte(`{"stores":[{"id":3,"addr":"127.0.0.1:9","zone":1,"kind":0,"weight":5}]}`))
 	g.plane.Configured("withdrawn", nil)
-	if len(told.configs) != 2 || told.configs[0] != signed.ConfigPolicy || told.configs[1] != ConfigStores {
-		t.Errorf("configuration reported: %v", told.configs)
+	if len(recorded.configs) != 2 || recorded.configs[0] != signed.ConfigPolicy || recorded.configs[1] != ConfigStores {
+		t.Errorf("configuration reported: %v", recorded.configs)
 	}
 	if g.Subscriber() != nil {
-		t.Error("a gateway without voters subscribes")
+		t.Error("gateway without voters has a subscriber")
 	}
 }
 
-// What a gateway costs at rest and at the deployment's rate of purges.
+// Measures the cost of a purge in the control plane, including its handling by the core.
 func BenchmarkPurge(b *testing.B) {
 	g := newGateway(b, nil)
 	for i := 0; b.Loop(); i++ {
--- a/scale/relay.go
+++ b/scale/relay.go
@@ -19,12 +19,12 @@
 	acceptRetryPause = 10 * time.Millisecond
 )
 
-// relayWorker carries connections between sites and voters, and holds them up or ends them as it is told.
+// relayWorker forwards connections between sites and voters, and delays, stalls or closes them as methodLink requests.
 type relayWorker struct {
-	mu    sync.Mutex
-	sites []*siteLink
-	ports []net.Listener
-	tasks sync.WaitGroup
+	mu        sync.Mutex
+	sites     []*siteLink
+	listeners []net.Listener
+	tasks     sync.WaitGroup
 }
 
 var _ worker = (*relayWorker)(nil)
@@ -44,12 +44,12 @@
 		}
 		return empty{}, r.setCondition(condition)
 	case methodStats:
-		return ownStats()
+		return readProcessStats()
 	}
 	return nil, fmt.Errorf("%w: %s", errUnknownMethod, method)
 }
 
-// start listens for each site and voter on a port of its own.
+// start opens a listener for each pair of a site and a voter.
 func (r *relayWorker) start(setup relaySetup) (relayRoutes, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +63,7 @@
 			if err != nil {
 				return routes, fmt.Errorf("scale: relay: %w", err)
 			}
-			r.ports = append(r.ports, listener)
+			r.listeners = append(r.listeners, listener)
 			r.tasks.Go(func() { link.accept(listener, voter.Addr, &r.tasks) })
 			port := listener.Addr().(*net.TCPAddr).Port
 			addresses = append(addresses, replica.Member{
@@ -91,7 +91,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var failed []error
-	for _, listener := range r.ports {
+	for _, listener := range r.listeners {
 		failed = append(failed, listener.Close())
 	}
 	for _, site := range r.sites {
@@ -106,17 +106,17 @@
 	mu    sync.Mutex
 	cut   bool
 	delay time.Duration
-	flow  chan struct{} // closed while the link carries data
-	open  map[net.Conn]struct{}
+	flow  chan struct{} // closed while the link forwards data, open while it is stalled
+	conns map[net.Conn]struct{}
 }
 
 func newSiteLink() *siteLink {
-	flowing := make(chan struct{})
-	close(flowing)
-	return &siteLink{flow: flowing, open: map[net.Conn]struct{}{}}
+	open := make(chan struct{})
+	close(open)
+	return &siteLink{flow: open, conns: map[net.Conn]struct{}{}}
 }
 
-// set puts a condition into force.
+// set applies a condition. A cut closes all connections of the link.
 func (s *siteLink) set(condition linkCondition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,12 +126,12 @@
 	if !s.cut {
 		return
 	}
-	for conn := range s.open {
+	for conn := range s.conns {
 		conn.Close()
 	}
 }
 
-// setStalled stops the flow or opens it. The caller holds the lock.
+// setStalled blocks or unblocks the forwarding of data. The caller must hold s.mu.
 func (s *siteLink) setStalled(stalled bool) {
 	flowing := false
 	select {
@@ -147,26 +147,27 @@
 	}
 }
 
-// admit enters a connection, unless the link is cut.
-func (s *siteLink) admit(conn net.Conn) bool {
+// register adds a connection to the link. It returns false if the link is cut.
+func (s *siteLink) register(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cut {
 		return false
 	}
-	s.open[conn] = struct{}{}
+	s.conns[conn] = struct{}{}
 	return true
 }
 
-func (s *siteLink) remove(conn net.Conn) {
+// closeConn closes a connection and removes it from the link.
+func (s *siteLink) closeConn(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, conn)
+	delete(s.conns, conn)
 }
 
-// passage waits until the link carries data.
-func (s *siteLink) passage() {
+// awaitFlow waits while the link is stalled, and then for its delay.
+func (s *siteLink) awaitFlow() {
 	s.mu.Lock()
 	delay, flow := s.delay, s.flow
 	s.mu.Unlock()
@@ -176,50 +177,51 @@
 	}
 }
 
-// accept takes connections for a voter until the listener is closed.
+// accept accepts and forwards connections to a voter until the listener is closed.
 func (s *siteLink) accept(listener net.Listener, voter string, tasks *sync.WaitGroup) {
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // no descriptor is free
+		if err != nil { // such as when the process is out of file descriptors
 			time.Sleep(acceptRetryPause)
 			continue
 		}
-		tasks.Go(func() { s.carry(conn, voter) })
+		tasks.Go(func() { s.forward(conn, voter) })
 	}
 }
 
-// carry joins a connection to a voter until either side ends.
-func (s *siteLink) carry(near net.Conn, voter string) {
-	defer s.remove(near)
-	if !s.admit(near) {
+// forward connects a gateway's connection to a voter, and forwards data in both directions until either side closes.
+func (s *siteLink) forward(gatewayConn net.Conn, voter string) {
+	defer s.closeConn(gatewayConn)
+	if !s.register(gatewayConn) {
 		return
 	}
-	far, err := net.DialTimeout("tcp", voter, relayDialTimeout)
+	voterConn, err := net.DialTimeout("tcp", voter, relayDialTimeout)
 	if err != nil {
 		return
 	}
-	defer s.remove(far)
-	if !s.admit(far) {
+	defer s.closeConn(voterConn)
+	if !s.register(voterConn) {
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { s.copy(far, near) })
-	s.copy(near, far)
+	both.Go(func() { s.copyOneWay(voterConn, gatewayConn) })
+	s.copyOneWay(gatewayConn, voterConn)
 	both.Wait()
 }
 
-// copy carries data one way, and ends both ways with it.
-func (s *siteLink) copy(to, from net.Conn) {
+// copyOneWay forwards data in one direction. When it returns it closes both connections, which also ends the other
+// direction.
+func (s *siteLink) copyOneWay(to, from net.Conn) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, relayBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			s.passage()
+			s.awaitFlow()
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
--- a/scale/relay_test.go
+++ b/scale/relay_test.go
@@ -11,8 +11,8 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// echoThroughRelay gives a relay of two sites before a server that sends back what it reads, and its routes.
-func echoThroughRelay(t *testing.T) (*relayWorker, relayRoutes) {
+// startEchoRelay starts a relay for two sites in front of an echo server, and returns it with its routes.
+func startEchoRelay(t *testing.T) (*relayWorker, relayRoutes) {
 	t.Helper()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,7 +56,7 @@
 	return conn
 }
 
-// echo sends a byte and waits for it to come back.
+// echo sends a byte and waits until the server has sent it back.
 func echo(conn net.Conn, within time.Duration) error {
 	conn.SetDeadline(time.Now().Add(within))
 	if _, err := conn.Write([]byte{1}); err != nil {
@@ -67,74 +67,75 @@
 	return err
 }
 
-func set(t *testing.T, relay *relayWorker, condition linkCondition) {
+func setLinkCondition(t *testing.T, relay *relayWorker, condition linkCondition) {
 	t.Helper()
 	if err := relay.setCondition(condition); err != nil {
 		t.Fatal(err)
 	}
 }
 
-const soon = 20 * time.Second
+const echoTimeout = 20 * time.Second
 
-// A site that is cut off loses its connections and gets none, another keeps its own, and all is well once it is healed.
+// A cut closes a site's connections and rejects new ones, without affecting another site. New connections work again once
+// the cut has ended.
 func TestRelayCutsASite(t *testing.T) {
-	checkNothingLeft(t)
-	relay, routes := echoThroughRelay(t)
+	checkNoLeaks(t)
+	relay, routes := startEchoRelay(t)
 	cut, other := dialSite(t, routes, 0), dialSite(t, routes, 1)
-	if err := errors.Join(echo(cut, soon), echo(other, soon)); err != nil {
+	if err := errors.Join(echo(cut, echoTimeout), echo(other, echoTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	set(t, relay, linkCondition{Sites: []int{0}, Cut: true})
-	if err := echo(cut, soon); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a connection of a site that is cut off: %v", err)
+	setLinkCondition(t, relay, linkCondition{Sites: []int{0}, Cut: true})
+	if err := echo(cut, echoTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("existing connection of the cut site: %v", err)
 	}
-	if err := echo(dialSite(t, routes, 0), soon); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a new connection of a site that is cut off: %v", err)
+	if err := echo(dialSite(t, routes, 0), echoTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("new connection of the cut site: %v", err)
 	}
-	if err := echo(other, soon); err != nil {
-		t.Errorf("another site: %v", err)
+	if err := echo(other, echoTimeout); err != nil {
+		t.Errorf("connection of another site: %v", err)
 	}
-	set(t, relay, linkCondition{Sites: []int{0}})
-	if err := echo(dialSite(t, routes, 0), soon); err != nil {
-		t.Errorf("once healed: %v", err)
+	setLinkCondition(t, relay, linkCondition{Sites: []int{0}})
+	if err := echo(dialSite(t, routes, 0), echoTimeout); err != nil {
+		t.Errorf("new connection after the cut: %v", err)
 	}
 }
 
-// A site whose links stand still keeps its connections, and gets what was held up once they go on.
+// A stall keeps a site's connections open. The data that was held back is delivered once the stall has ended.
 func TestRelayStallsASite(t *testing.T) {
-	checkNothingLeft(t)
-	relay, routes := echoThroughRelay(t)
+	checkNoLeaks(t)
+	relay, routes := startEchoRelay(t)
 	conn := dialSite(t, routes, 0)
-	if err := echo(conn, soon); err != nil {
+	if err := echo(conn, echoTimeout); err != nil {
 		t.Fatal(err)
 	}
-	set(t, relay, linkCondition{Sites: []int{0}, Stall: true})
+	setLinkCondition(t, relay, linkCondition{Sites: []int{0}, Stall: true})
 	if err := echo(conn, 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("while the link stands still: %v", err)
+		t.Errorf("during the stall: %v", err)
 	}
-	set(t, relay, linkCondition{Sites: []int{0}})
-	conn.SetDeadline(time.Now().Add(soon))
+	setLinkCondition(t, relay, linkCondition{Sites: []int{0}})
+	conn.SetDeadline(time.Now().Add(echoTimeout))
 	var back [1]byte
 	if _, err := io.ReadFull(conn, back[:]); err != nil {
-		t.Errorf("once it goes on: %v", err)
+		t.Errorf("after the stall: %v", err)
 	}
 	if err := relay.setCondition(linkCondition{Sites: []int{2}}); err == nil {
-		t.Error("a site that is not there was set")
+		t.Error("the condition of an unknown site was set")
 	}
 }
 
-// A delay is added each way.
+// A delay is added in each direction.
 func TestRelayDelaysASite(t *testing.T) {
-	checkNothingLeft(t)
-	relay, routes := echoThroughRelay(t)
+	checkNoLeaks(t)
+	relay, routes := startEchoRelay(t)
 	conn := dialSite(t, routes, 0)
 	const delay = 50 * time.Millisecond
-	set(t, relay, linkCondition{Sites: []int{0}, Delay: delay})
+	setLinkCondition(t, relay, linkCondition{Sites: []int{0}, Delay: delay})
 	begin := time.Now()
-	if err := echo(conn, soon); err != nil {
+	if err := echo(conn, echoTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if took := time.Since(begin); took < 2*delay {
-		t.Errorf("there and back took %v, want %v at least", took, 2*delay)
+		t.Errorf("the round trip took %v, want at least %v", took, 2*delay)
 	}
 }
--- a/scale/results.go
+++ b/scale/results.go
@@ -8,17 +8,17 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// Classes of changes, by which latencies are reported.
+// Classes of changes, for which latencies are reported separately.
 const (
 	ClassPurge  = "purge"
 	ClassChange = "change"
-	ClassBurst  = "burst" // changes of configuration that come many at once
+	ClassBurst  = "burst" // configuration changes of Load.Burst
 )
 
-// maxViolations bounds the violations that are listed.
+// maxViolations limits the number of violations that are listed; all are counted.
 const maxViolations = 20
 
-// class tells under which class a change is reported.
+// class returns the class in which a change is reported.
 func (c AckedChange) class() string {
 	switch {
 	case c.Kind == distribution.KindPurge:
@@ -29,23 +29,24 @@
 	return ClassChange
 }
 
-// results compares what was acknowledged, in that order, with what came into force at the gateways.
+// results compares the acknowledged changes with the times at which they came into force at the gateways. The changes are
+// in the order of their acknowledgements.
 func (w *gatewayWorker) results(acked []AckedChange) Results {
 	out := Results{Latencies: map[string]*Latencies{}, Everyone: map[uint64]ChangeReach{}}
 	tallies := map[string]*latencyTally{}
-	later := superseding{}
+	later := laterValues{}
 	for _, change := range slices.Backward(acked) {
 		tally := tallies[change.class()]
 		if tally == nil {
 			tally = newLatencyTally()
 			tallies[change.class()] = tally
 		}
-		times := later.cover(change, w.recorder.times(change.Key))
-		out.Everyone[change.Key] = tally.enter(change, w.gateways, times)
+		times := later.fillSuperseded(change, w.recorder.inForceTimes(change.Key))
+		out.Everyone[change.Key] = tally.add(change, w.gateways, times)
 		w.checkClaims(&out, change, times)
 	}
 	for class, tally := range tallies {
-		out.Latencies[class] = tally.latencies()
+		out.Latencies[class] = tally.export()
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -53,12 +54,13 @@
 	return out
 }
 
-// superseding holds, by name, when the latest value of a piece of configuration so far came into force at each gateway.
-type superseding map[string][]time.Time
+// laterValues holds, by configuration name, the times at which the next value came into force at each gateway. It is
+// filled while the changes are processed from the last to the first.
+type laterValues map[string][]time.Time
 
-// cover gives when a change or a later one of the same name came into force at each gateway: one that received the state
-// as a whole never sees the values before the last. The changes are covered from the last to the first.
-func (s superseding) cover(change AckedChange, times []time.Time) []time.Time {
+// fillSuperseded returns when a change or a later one of the same name came into force at each gateway: a gateway that
+// received a snapshot of the state sees only the last value of a name. It must be called from the last change to the first.
+func (s laterValues) fillSuperseded(change AckedChange, times []time.Time) []time.Time {
 	if change.Name == "" {
 		return times
 	}
@@ -71,20 +73,21 @@
 	return times
 }
 
-// checkClaims checks that no gateway claimed to be complete beyond a change that was not in force there.
+// checkClaims checks each gateway's first claim of completeness that covers the change: the change must have been in force
+// at the gateway by the time of the claim.
 func (w *gatewayWorker) checkClaims(out *Results, change AckedChange, times []time.Time) {
-	for place, running := range w.gateways {
+	for index, running := range w.gateways {
 		claim, claimed := running.history.firstClaimFor(change.At)
 		if !claimed {
 			continue
 		}
 		out.Claims++
-		inForceAt := times[place]
+		inForceAt := times[index]
 		if !inForceAt.IsZero() && !inForceAt.After(claim.at) {
 			continue
 		}
-		if inForceAt.IsZero() && change.At.Before(running.history.incarnation()) {
-			continue // the process that claimed it has ended, and the next one holds the state without the event
+		if inForceAt.IsZero() && change.At.Before(running.history.incarnationStart()) {
+			continue // the claiming incarnation has ended, and the current one received the change in a snapshot, without an event
 		}
 		out.Violated++
 		if len(out.Violation) < maxViolations {
@@ -106,11 +109,11 @@
 	return &latencyTally{fresh: newHistogram(), stale: newHistogram()}
 }
 
-// enter enters one change, with when it came into force at each gateway.
-func (t *latencyTally) enter(change AckedChange, gateways []*runningGateway, times []time.Time) (reach ChangeReach) {
-	for place, running := range gateways {
-		inForceAt := times[place]
-		fresh := running.history.freshThrough(change.At, inForceAt)
+// add adds the latencies of a change, given the times at which it came into force at each gateway.
+func (t *latencyTally) add(change AckedChange, gateways []*runningGateway, times []time.Time) (reach ChangeReach) {
+	for index, running := range gateways {
+		inForceAt := times[index]
+		fresh := running.history.freshThroughout(change.At, inForceAt)
 		latency := inForceAt.Sub(change.At)
 		switch {
 		case inForceAt.IsZero() && fresh:
@@ -128,7 +131,7 @@
 	return reach
 }
 
-func (t *latencyTally) latencies() *Latencies {
+func (t *latencyTally) export() *Latencies {
 	return &Latencies{
 		Fresh: t.fresh.Export(), Stale: t.stale.Export(), MissingFresh: t.missingFresh, MissingStale: t.missingStale,
 	}
--- a/scale/sampler.go
+++ b/scale/sampler.go
@@ -7,11 +7,11 @@
 
 const (
 	leaseSampleInterval = 100 * time.Millisecond
-	statusTicks         = 10              // of leaseSampleInterval between two looks at a gateway's whole status, which costs more
-	standstill          = 2 * time.Second // without a sample: the process stood still, and so did its gateways
+	statusIntervalTicks = 10              // lease samples per sample of a gateway's full status, which costs more
+	stallThreshold      = 2 * time.Second // time between samples from which the process, with its gateways, counts as suspended
 )
 
-// sampleLeases follows the leases of all gateways until ctx ends.
+// sampleLeases samples the leases and statuses of all gateways until ctx is canceled.
 func (w *gatewayWorker) sampleLeases(ctx context.Context) {
 	ticker := time.NewTicker(leaseSampleInterval)
 	defer ticker.Stop()
@@ -23,12 +23,12 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		for place, running := range w.gateways {
-			if now.Sub(previous) > standstill {
-				running.history.observe(false, previous)
+		for index, running := range w.gateways {
+			if now.Sub(previous) > stallThreshold {
+				running.history.observeLease(false, previous)
 			}
 			w.sampleLease(running)
-			if place%statusTicks == tick%statusTicks {
+			if index%statusIntervalTicks == tick%statusIntervalTicks {
 				w.sampleStatus(running)
 			}
 		}
@@ -36,14 +36,14 @@
 	}
 }
 
-// sampleLease enters whether a gateway's lease holds.
+// sampleLease records whether a gateway holds a lease.
 func (w *gatewayWorker) sampleLease(running *runningGateway) {
 	running.mu.Lock()
 	defer running.mu.Unlock()
 	if running.subscriber == nil {
 		return
 	}
-	catchUp, first := running.history.observe(running.subscriber.Fresh(), time.Now())
+	catchUp, first := running.history.observeLease(running.subscriber.Fresh(), time.Now())
 	if !first {
 		return
 	}
@@ -52,21 +52,21 @@
 	recordDuration(w.catchUp, catchUp)
 }
 
-// sampleStatus enters a gateway's claim of freshness, and the age of what it knows to be complete. The claim counts from
-// when the core has handled all that came before it.
+// sampleStatus records a gateway's claim of freshness and the age of the state that it knows to be complete. The claim
+// counts from when the core has handled all changes received before it.
 func (w *gatewayWorker) sampleStatus(running *runningGateway) {
 	running.mu.Lock()
 	defer running.mu.Unlock()
 	if running.subscriber == nil {
 		return
 	}
-	running.status = running.subscriber.Status()
-	if running.status.CompleteAt.IsZero() {
+	running.lastStatus = running.subscriber.Status()
+	if running.lastStatus.CompleteAt.IsZero() {
 		return
 	}
 	w.mu.Lock()
-	recordDuration(w.staleness, running.status.CompleteAge)
+	recordDuration(w.staleness, running.lastStatus.CompleteAge)
 	w.mu.Unlock()
-	completeAt := running.status.CompleteAt
-	running.gateway.Checkpoint(func(at time.Time) { running.history.claim(at, completeAt) })
+	completeAt := running.lastStatus.CompleteAt
+	running.gateway.Checkpoint(func(at time.Time) { running.history.addClaim(at, completeAt) })
 }
--- a/scale/scenario.go
+++ b/scale/scenario.go
@@ -10,54 +10,54 @@
 	"time"
 )
 
-// step is something that a scenario does at a share of the run.
+// step is an action of a scenario.
 type step struct {
-	at      float64
-	what    string
-	do      func(f *faults, ctx context.Context) error
-	relayed bool // it needs the relay
+	at          float64
+	description string
+	do          func(f *faults, ctx context.Context) error
+	needsRelay  bool // it needs the relay
 }
 
-// faults carries out the steps of a scenario.
+// faults executes the steps of a scenario.
 type faults struct {
 	cluster *cluster
 	random  *rand.Rand
-	down    []int // the voters that were killed, or paused
+	down    []int // indices of the voters that are killed or paused
 }
 
-// Sizes of the faults.
+// Extent of the faults.
 const (
-	reconnectShare  = 10 // one gateway in this many starts anew at once
-	linkDelay       = 300 * time.Millisecond
-	slowReaderDelay = 1500 * time.Millisecond
+	reconnectDivisor = 10 // one in this many gateways restarts at the same time
+	linkDelay        = 300 * time.Millisecond
+	slowReaderDelay  = 1500 * time.Millisecond
 )
 
-// ScenarioQuiet is the one without faults.
+// ScenarioQuiet is the scenario without faults.
 const ScenarioQuiet = "quiet"
 
-// scenarios are the faults by name.
+// scenarios are the steps of each scenario, in chronological order.
 var scenarios = map[string][]step{
 	ScenarioQuiet: nil,
 	"voter-death": {
-		{at: 0.30, what: "the leader is killed", do: (*faults).killLeader},
-		{at: 0.50, what: "a tenth of the gateways starts anew", do: (*faults).restartTenth},
-		{at: 0.70, what: "the killed voter starts again", do: (*faults).reviveVoters},
+		{at: 0.30, description: "the leader is killed", do: (*faults).killLeader},
+		{at: 0.50, description: "a tenth of the gateways starts anew", do: (*faults).restartTenth},
+		{at: 0.70, description: "the killed voter starts again", do: (*faults).restartVoters},
 	},
 	"two-voters-death": {
-		{at: 0.30, what: "the leader is killed", do: (*faults).killLeader},
-		{at: 0.40, what: "the next leader is killed", do: (*faults).killLeader},
-		{at: 0.70, what: "the killed voters start again", do: (*faults).reviveVoters},
+		{at: 0.30, description: "the leader is killed", do: (*faults).killLeader},
+		{at: 0.40, description: "the next leader is killed", do: (*faults).killLeader},
+		{at: 0.70, description: "the killed voters start again", do: (*faults).restartVoters},
 	},
 	"quorum-loss": {
-		{at: 0.30, what: "a majority of the voters is killed", do: (*faults).killMajority},
-		{at: 0.45, what: "the killed voters start again", do: (*faults).reviveVoters},
+		{at: 0.30, description: "a majority of the voters is killed", do: (*faults).killMajority},
+		{at: 0.45, description: "the killed voters start again", do: (*faults).restartVoters},
 	},
 	"leader-pause": {
-		{at: 0.30, what: "the leader stands still", do: (*faults).pauseLeader},
-		{at: 0.60, what: "it goes on", do: (*faults).resumeVoters},
+		{at: 0.30, description: "the leader stands still", do: (*faults).pauseLeader},
+		{at: 0.60, description: "it goes on", do: (*faults).resumeVoters},
 	},
-	"reconnect":     {{at: 0.50, what: "a tenth of the gateways starts anew", do: (*faults).restartTenth}},
-	"reconnect-all": {{at: 0.50, what: "all gateways start anew", do: (*faults).restartAll}},
+	"reconnect":     {{at: 0.50, description: "a tenth of the gateways starts anew", do: (*faults).restartTenth}},
+	"reconnect-all": {{at: 0.50, description: "all gateways start anew", do: (*faults).restartAll}},
 	"site-cut":      cutAndHeal("a site is cut off", func(f *faults) []int { return []int{0} }),
 	"zone-cut":      cutAndHeal("a zone is cut off", func(f *faults) []int { return f.topology().ZoneSites(0) }),
 	"region-cut":    cutAndHeal("a region is cut off", func(f *faults) []int { return f.topology().RegionSites(0) }),
@@ -65,20 +65,21 @@
 	"delay":         linkFault("a region's links are slow", linkCondition{Delay: linkDelay}, func(f *faults) []int { return f.topology().RegionSites(0) }),
 	"slow-reader":   linkFault("a site reads slowly", linkCondition{Delay: slowReaderDelay}, func(f *faults) []int { return []int{0} }),
 	"pause": {
-		{at: 0.30, what: "a process of gateways stands still", do: (*faults).pauseGateways},
-		{at: 0.60, what: "it goes on", do: (*faults).resumeGateways},
+		{at: 0.30, description: "a process of gateways stands still", do: (*faults).pauseGateways},
+		{at: 0.60, description: "it goes on", do: (*faults).resumeGateways},
 	},
 }
 
-// Scenarios names them.
+// Scenarios returns the sorted names of all scenarios.
 func Scenarios() []string { return slices.Sorted(maps.Keys(scenarios)) }
 
-func cutAndHeal(what string, sites func(*faults) []int) []step {
-	return linkFault(what, linkCondition{Cut: true}, sites)
+// cutAndHeal closes the links of some sites for a period in the middle of the run.
+func cutAndHeal(description string, sites func(*faults) []int) []step {
+	return linkFault(description, linkCondition{Cut: true}, sites)
 }
 
-// linkFault puts the links of some sites into a condition for a time in the middle of the run.
-func linkFault(what string, condition linkCondition, sites func(*faults) []int) []step {
+// linkFault puts the links of some sites into a condition for a period in the middle of the run.
+func linkFault(description string, condition linkCondition, sites func(*faults) []int) []step {
 	set := func(condition linkCondition) func(*faults, context.Context) error {
 		return func(f *faults, ctx context.Context) error {
 			condition.Sites = sites(f)
@@ -86,14 +87,14 @@
 		}
 	}
 	return []step{
-		{at: 0.30, what: what, do: set(condition), relayed: true},
-		{at: 0.60, what: "that is over", do: set(linkCondition{}), relayed: true},
+		{at: 0.30, description: description, do: set(condition), needsRelay: true},
+		{at: 0.60, description: "that is over", do: set(linkCondition{}), needsRelay: true},
 	}
 }
 
-// needsRelay tells whether a scenario changes the network.
+// needsRelay reports whether a scenario needs the relay, to inject network faults.
 func needsRelay(scenario string) bool {
-	return slices.ContainsFunc(scenarios[scenario], func(s step) bool { return s.relayed })
+	return slices.ContainsFunc(scenarios[scenario], func(s step) bool { return s.needsRelay })
 }
 
 func newFaults(c *cluster, seed uint64) *faults {
@@ -102,16 +103,16 @@
 
 func (f *faults) topology() Topology { return f.cluster.options.topology }
 
-// run carries out a scenario within a duration.
+// run executes a scenario that is spread over a duration.
 func (f *faults) run(ctx context.Context, name string, duration time.Duration, progress *progress) error {
 	begin := time.Now()
 	for _, step := range scenarios[name] {
-		if !pause(ctx, time.Until(begin.Add(time.Duration(step.at*float64(duration))))) {
+		if !sleep(ctx, time.Until(begin.Add(time.Duration(step.at*float64(duration))))) {
 			return ctx.Err()
 		}
-		progress.print("fault: %s", step.what)
+		progress.print("fault: %s", step.description)
 		if err := step.do(f, ctx); err != nil {
-			return fmt.Errorf("scale: fault %q: %w", step.what, err)
+			return fmt.Errorf("scale: fault %q: %w", step.description, err)
 		}
 	}
 	return nil
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// killMajority kills the leader and as many others as make a majority with it.
+// killMajority kills a majority of the voters, including the leader.
 func (f *faults) killMajority(ctx context.Context) error {
 	leader, err := f.cluster.awaitLeader(ctx)
 	if err != nil {
@@ -144,7 +145,7 @@
 	f.cluster.killVoter(voter)
 }
 
-func (f *faults) reviveVoters(ctx context.Context) error {
+func (f *faults) restartVoters(ctx context.Context) error {
 	var failed []error
 	for _, voter := range f.down {
 		failed = append(failed, f.cluster.startVoter(ctx, voter))
@@ -173,7 +174,7 @@
 
 func (f *faults) restartTenth(ctx context.Context) error {
 	all := f.random.Perm(f.topology().Gateways)
-	return f.cluster.restartGateways(ctx, all[:max(1, len(all)/reconnectShare)])
+	return f.cluster.restartGateways(ctx, all[:max(1, len(all)/reconnectDivisor)])
 }
 
 func (f *faults) restartAll(ctx context.Context) error {
@@ -183,8 +184,9 @@
 func (f *faults) pauseGateways(context.Context) error  { return f.cluster.gateways[0].process.Pause() }
 func (f *faults) resumeGateways(context.Context) error { return f.cluster.gateways[0].process.Resume() }
 
-// restartSteadily starts single gateways anew at the rate of so many a day in the full deployment, and counts them.
-func (f *faults) restartSteadily(ctx context.Context, perDay float64, duration time.Duration) (restarts int, err error) {
+// restartAtRate restarts single gateways at random times, and returns the number of restarts. The rate is per day for the
+// full deployment, and is scaled to the number of gateways of the run.
+func (f *faults) restartAtRate(ctx context.Context, perDay float64, duration time.Duration) (restarts int, err error) {
 	begin := time.Now()
 	random := rand.New(rand.NewPCG(f.random.Uint64(), 3))
 	rate := perDay / day.Seconds() * float64(f.topology().Gateways) / FullGateways
@@ -197,7 +199,7 @@
 		if at >= duration {
 			return restarts, nil
 		}
-		if !pause(ctx, time.Until(begin.Add(at))) {
+		if !sleep(ctx, time.Until(begin.Add(at))) {
 			return restarts, ctx.Err()
 		}
 		if err := f.cluster.restartGateways(ctx, []int{random.IntN(f.topology().Gateways)}); err != nil {
--- a/scale/usage.go
+++ b/scale/usage.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// ownStats tells what this process has used so far.
-func ownStats() (ProcessStats, error) {
+// readProcessStats returns the resource usage of the current process.
+func readProcessStats() (ProcessStats, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return ProcessStats{}, fmt.Errorf("scale: processor time: %w", err)
 	}
-	resident, err := residentBytes()
+	rss, err := residentBytes()
 	if err != nil {
 		return ProcessStats{}, err
 	}
@@ -25,12 +25,12 @@
 		return ProcessStats{}, fmt.Errorf("scale: descriptors: %w", err)
 	}
 	return ProcessStats{
-		PID: os.Getpid(), At: time.Now(), CPU: time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), RSS: resident,
+		PID: os.Getpid(), At: time.Now(), CPU: time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), RSS: rss,
 		Descriptors: len(descriptors), Goroutines: runtime.NumGoroutine(),
 	}, nil
 }
 
-// residentBytes is this process's memory that is held in the machine's.
+// residentBytes returns the resident set size of the current process.
 func residentBytes() (int64, error) {
 	content, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -19,25 +19,25 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// VotersOptions are what a run of the former state is made of: every gateway votes, and none subscribes.
+// VotersOptions configure runs of the earlier architecture: every gateway is a voting member, and none subscribes.
 type VotersOptions struct {
-	Counts   []int         // members, for each of which there is a run
-	Duration time.Duration // of the load of each run
+	Counts   []int         // numbers of members, one run each
+	Duration time.Duration // of the load, for each run
 	Seed     uint64
 	Progress io.Writer
 }
 
 const (
-	votersWriters    = 8 // that propose one change after the other
-	votersProcesses  = 15
-	votersStartLimit = 45 * time.Second
-	votersRunLimit   = 90 * time.Second // beside the load
-	votersDrain      = time.Second      // for the last changes to come into force
-	leaderInterval   = 250 * time.Millisecond
-	failedShareLimit = 0.5
+	voterWriterCount   = 8 // each proposes one change after the other
+	maxVoterProcesses  = 15
+	votersStartTimeout = 45 * time.Second
+	votersRunMargin    = 90 * time.Second // for a run, in addition to the load's duration
+	votersDrainDelay   = time.Second      // so that the last changes come into force
+	leaderPollInterval = 250 * time.Millisecond
+	maxFailedShare     = 0.5
 )
 
-// VotersReport is the outcome of runs of members that all vote.
+// VotersReport is the outcome of runs in which all members vote.
 type VotersReport struct {
 	Mode    string      `json:"mode"`
 	Seed    uint64      `json:"seed"`
@@ -45,13 +45,13 @@
 	Runs    []VotersRun `json:"runs"`
 }
 
-// VotersRun is the outcome for one number of members.
+// VotersRun is the outcome of the run with one number of members.
 type VotersRun struct {
 	Members       int          `json:"members"`
 	Processes     int          `json:"processes"`
 	Seconds       float64      `json:"seconds"`
 	ElectedMS     float64      `json:"elected_ms"` // from the start to the first leader
-	Leaders       int          `json:"leaders"`    // how often leadership was seen to change, the first leader included
+	Leaders       int          `json:"leaders"`    // observed changes of the leader, including the first leader
 	Acked         int          `json:"acknowledged"`
 	Failed        int          `json:"failed"`
 	PutsPerSecond float64      `json:"puts_per_s"`
@@ -61,10 +61,10 @@
 	Missing       int          `json:"missing"`
 	MemberCPU     float64      `json:"member_cpu_percent"` // of a core, on average
 	MemberRSS     float64      `json:"member_rss_bytes"`
-	Stopped       string       `json:"stopped,omitempty"` // why it went no further
+	Stopped       string       `json:"stopped,omitempty"` // why the run failed; no further clusters are measured then
 }
 
-// RunVoters measures clusters whose members all vote, of ascending size, until one does not hold.
+// RunVoters measures clusters in which all members vote, in the order of options.Counts, until one fails.
 func RunVoters(ctx context.Context, options VotersOptions) (*VotersReport, error) {
 	report := &VotersReport{Mode: ModeVoters, Seed: options.Seed, Machine: thisMachine()}
 	progress := newProgress(options.Progress)
@@ -87,43 +87,43 @@
 	return report, nil
 }
 
-// runVoters measures one cluster, as far as it holds.
+// runVoters measures one cluster. On failure the returned run contains the results so far.
 func runVoters(ctx context.Context, members int, options VotersOptions) (run VotersRun, err error) {
-	dir, err := temporaryDir()
+	dir, err := makeTempDir()
 	if err != nil {
 		return run, err
 	}
 	defer os.RemoveAll(dir)
 	cluster := &votersCluster{members: members, log: options.Progress, dir: dir}
 	defer cluster.stop()
-	run = VotersRun{Members: members, Processes: min(members, votersProcesses)}
-	ctx, stopInTime := context.WithTimeout(ctx, options.Duration+votersRunLimit)
-	defer stopInTime()
-	startCtx, cancel := context.WithTimeout(ctx, votersStartLimit)
+	run = VotersRun{Members: members, Processes: min(members, maxVoterProcesses)}
+	ctx, cancelRun := context.WithTimeout(ctx, options.Duration+votersRunMargin)
+	defer cancelRun()
+	startCtx, cancel := context.WithTimeout(ctx, votersStartTimeout)
 	defer cancel()
 	begin := time.Now()
 	if err := cluster.start(startCtx, run.Processes); err != nil {
 		return run, err
 	}
 	if !cluster.awaitLeader(startCtx) {
-		run.Stopped = fmt.Sprintf("no leader within %v", votersStartLimit)
+		run.Stopped = fmt.Sprintf("no leader within %v", votersStartTimeout)
 		return run, nil
 	}
 	run.ElectedMS = float64(time.Since(begin).Milliseconds())
 	err = cluster.measure(ctx, options, &run)
-	if total := run.Acked + run.Failed; total > 0 && float64(run.Failed) > failedShareLimit*float64(total) {
+	if total := run.Acked + run.Failed; total > 0 && float64(run.Failed) > maxFailedShare*float64(total) {
 		run.Stopped = fmt.Sprintf("%d of %d proposals failed", run.Failed, total)
 	}
 	return run, err
 }
 
-// votersCluster is a set of members that all vote, some to a process.
+// votersCluster is a cluster in which all members vote; a process may run several of them.
 type votersCluster struct {
-	members   int
-	dir       string
-	log       io.Writer
-	processes []*Process
-	host      []*Process // of each member
+	members         int
+	dir             string
+	log             io.Writer
+	processes       []*Process
+	memberProcesses []*Process // by member
 }
 
 func (c *votersCluster) start(ctx context.Context, processes int) error {
@@ -136,9 +136,9 @@
 	if err != nil {
 		return err
 	}
-	var all []replica.Member
+	var memberList []replica.Member
 	for member, address := range addresses {
-		all = append(all, replica.Member{ID: voterID(member), Addr: address})
+		memberList = append(memberList, replica.Member{ID: voterID(member), Addr: address})
 	}
 	var group errgroup.Group
 	for _, own := range (Topology{Gateways: c.members, Sites: 1}).split(processes) {
@@ -151,10 +151,10 @@
 			return errors.Join(err, group.Wait())
 		}
 		c.processes = append(c.processes, process)
-		setup := voterSetup{Members: all, Dir: filepath.Clean(c.dir), Identity: identity, Observe: true}
+		setup := voterSetup{Members: memberList, Dir: filepath.Clean(c.dir), Identity: identity, RecordConfig: true}
 		for _, member := range own {
-			c.host = append(c.host, process)
-			setup.Own = append(setup.Own, voterID(member))
+			c.memberProcesses = append(c.memberProcesses, process)
+			setup.LocalIDs = append(setup.LocalIDs, voterID(member))
 		}
 		group.Go(func() error { return process.Call(ctx, methodStart, setup, nil) })
 	}
@@ -169,7 +169,7 @@
 	stopping.Wait()
 }
 
-// leader gives the ID of the member that leads; "": none is known to.
+// leader returns the ID of the leading member, or "" if none is known to lead.
 func (c *votersCluster) leader(ctx context.Context) string {
 	for _, process := range c.processes {
 		var leads leadership
@@ -182,14 +182,14 @@
 
 func (c *votersCluster) awaitLeader(ctx context.Context) bool {
 	for c.leader(ctx) == "" {
-		if !pause(ctx, pollInterval) {
+		if !sleep(ctx, pollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// measure has writers propose for a duration, and compares what was acknowledged with what came into force.
+// measure proposes changes for a duration, and collects when the acknowledged changes came into force at the members.
 func (c *votersCluster) measure(ctx context.Context, options VotersOptions, run *VotersRun) error {
 	before, err := c.stats(ctx)
 	if err != nil {
@@ -199,22 +199,22 @@
 	writers := &voterWriters{cluster: c, acknowledge: newHistogram()}
 	loadCtx, cancel := context.WithDeadline(ctx, begin.Add(options.Duration))
 	defer cancel()
-	var working sync.WaitGroup
-	for writer := range votersWriters {
-		working.Go(func() { writers.write(loadCtx, writer) })
+	var workers sync.WaitGroup
+	for writer := range voterWriterCount {
+		workers.Go(func() { writers.proposeInTurn(loadCtx, writer) })
 	}
-	working.Go(func() { run.Leaders = c.countLeaders(loadCtx) })
-	working.Wait()
+	workers.Go(func() { run.Leaders = c.countLeaders(loadCtx) })
+	workers.Wait()
 	seconds := time.Since(begin).Seconds()
 	after, err := c.stats(ctx)
 	if err != nil {
 		return err
 	}
-	run.enterUsage(before, after)
+	run.recordUsage(before, after)
 	run.Seconds, run.Acked, run.Failed = seconds, len(writers.acked), writers.failed
 	run.PutsPerSecond, run.Acknowledge = float64(run.Acked)/seconds, summarize(writers.acknowledge)
-	pause(ctx, votersDrain)
-	return c.collect(ctx, writers.acked, run)
+	sleep(ctx, votersDrainDelay)
+	return c.collectResults(ctx, writers.acked, run)
 }
 
 func (c *votersCluster) stats(ctx context.Context) ([]ProcessStats, error) {
@@ -227,27 +227,27 @@
 	return all, nil
 }
 
-func (r *VotersRun) enterUsage(before, after []ProcessStats) {
+func (r *VotersRun) recordUsage(before, after []ProcessStats) {
 	for i := range before {
 		r.MemberCPU += corePercent(before[i], after[i]) / float64(r.Members)
 		r.MemberRSS += float64(after[i].RSS) / float64(r.Members)
 	}
 }
 
-// countLeaders counts how often another member was seen to lead.
+// countLeaders polls for the leader until ctx is canceled, and returns the number of observed changes.
 func (c *votersCluster) countLeaders(ctx context.Context) (changes int) {
 	for last := ""; ; {
 		if leader := c.leader(ctx); leader != "" && leader != last {
 			last = leader
 			changes++
 		}
-		if !pause(ctx, leaderInterval) {
+		if !sleep(ctx, leaderPollInterval) {
 			return changes
 		}
 	}
 }
 
-func (c *votersCluster) collect(ctx context.Context, acked []AckedChange, run *VotersRun) error {
+func (c *votersCluster) collectResults(ctx context.Context, acked []AckedChange, run *VotersRun) error {
 	results := make([]Results, len(c.processes))
 	for i, process := range c.processes {
 		if err := process.Call(ctx, methodResults, resultsRequest{Acked: acked}, &results[i]); err != nil {
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// voterWriters propose changes of configuration, each writer one after the other.
+// voterWriters are concurrent writers that propose configuration changes.
 type voterWriters struct {
 	cluster *votersCluster
 
@@ -269,7 +269,8 @@
 	acknowledge *hdrhistogram.Histogram
 }
 
-func (w *voterWriters) write(ctx context.Context, writer int) {
+// proposeInTurn proposes one change after the other, each at the next member, until ctx is canceled.
+func (w *voterWriters) proposeInTurn(ctx context.Context, writer int) {
 	for number := 0; ctx.Err() == nil; number++ {
 		name := fmt.Sprintf("notes/%d", writer)
 		value := json.RawMessage(fmt.Sprintf(`{"writer":%d,"number":%d}`, writer, number))
@@ -277,18 +278,18 @@
 		operation := Operation{Kind: distribution.KindPut, Name: name, Value: value, Key: ConfigKey(name, value)}
 		var ack acknowledgement
 		begin := time.Now()
-		// Not bound to ctx: what is under way at the end still counts.
+		// Not canceled with ctx, so that the proposals in flight at the end of the load are counted.
 		attempt, cancel := context.WithTimeout(context.WithoutCancel(ctx), proposalTimeout)
-		err := w.cluster.host[member].Call(attempt, methodPropose, proposal{voterID(member), operation}, &ack)
+		err := w.cluster.memberProcesses[member].Call(attempt, methodPropose, proposeRequest{voterID(member), operation}, &ack)
 		cancel()
-		w.enter(operation, ack.At, ack.At.Sub(begin), err)
+		w.record(operation, ack.At, ack.At.Sub(begin), err)
 		if err != nil {
-			pause(ctx, proposalRetryPause)
+			sleep(ctx, proposalRetryPause)
 		}
 	}
 }
 
-func (w *voterWriters) enter(operation Operation, at time.Time, took time.Duration, err error) {
+func (w *voterWriters) record(operation Operation, at time.Time, took time.Duration, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
@@ -302,7 +303,7 @@
 // WriteFile writes the report as JSON.
 func (r *VotersReport) WriteFile(path string) error { return writeJSON(path, r) }
 
-// WriteBenchmark writes the report's figures as lines of Go's benchmark format, which benchstat compares.
+// WriteBenchmark writes the results in Go's benchmark format, for benchstat.
 func (r *VotersReport) WriteBenchmark(out io.Writer) error {
 	for _, run := range r.Runs {
 		if run.Acked == 0 {
