--- a/example/toystore/main.go
+++ b/example/toystore/main.go
@@ -1,5 +1,5 @@
-// Command toystore is a cache and a main store to try the gateway with: it keeps what was asked for in
-// memory, makes up every object, and counts the rides that end.
+// Command toystore runs a fake cache and a fake origin for trying out the gateway. The origin generates every object, the cache
+// keeps the names of those requested in memory, and the "ride-end" requests are counted.
 package main
 
 import (
@@ -16,7 +16,7 @@
 
 func main() {
 	cache := flag.String("cache", "127.0.0.1:5051", "address of the cache")
-	origin := flag.String("origin", "127.0.0.1:5052", "address of the main store")
+	origin := flag.String("origin", "127.0.0.1:5052", "address of the origin")
 	flag.Parse()
 
 	var mu sync.Mutex
@@ -59,7 +59,7 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	log.Printf("cache at %s, main store at %s", a.Addr(), b.Addr())
+	log.Printf("cache listening on %s, origin listening on %s", a.Addr(), b.Addr())
 	end := make(chan os.Signal, 1)
 	signal.Notify(end, os.Interrupt)
 	<-end
--- a/internal/citest/architecture_test.go
+++ b/internal/citest/architecture_test.go
@@ -8,18 +8,18 @@
 	"testing"
 )
 
-// architecturePage says where things are in the code.
+// architecturePage describes the structure of the code.
 const architecturePage = "docs/ARCHITECTURE.md"
 
 var (
 	quoted = regexp.MustCompile("`([^`\n]+)`")
-	// A path has a slash, or is a file of the root directory. Those that begin with a slash are paths of URLs.
+	// A path contains a slash or is a file of the root directory. Names that begin with a slash are URL paths and don't match.
 	quotedPath = regexp.MustCompile(`^[A-Za-z0-9._-]+(/[A-Za-z0-9._-]+)+/?$|^[A-Za-z0-9_-]+\.(go|md|toml)$`)
 	// A symbol is package.Symbol or package.Type.Method, where a field of a struct counts as a method.
 	quotedSymbol = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z_][A-Za-z0-9_]*(?:\.[A-Za-z_][A-Za-z0-9_]*)?)$`)
 )
 
-// TestArchitecturePageNamesWhatExists holds every path and symbol in backquotes on the page against the repository.
+// Every path and symbol in backquotes on the page must exist in the repository.
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(repositoryRoot, architecturePage))
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestQuotedForms holds the forms by which the page's names are read to cases of each.
+// The patterns for names in backquotes tell paths, symbols and other names apart.
 func TestQuotedForms(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -76,7 +76,7 @@
 	}
 }
 
-// declaredSymbols returns what packages declare at their top level, as package.Symbol, with methods and fields of their types
+// declaredSymbols returns the top-level declarations of packages as package.Symbol, and the methods and fields of their types
 // as package.Type.Method.
 func declaredSymbols(packages []*sourcePackage) map[string]bool {
 	out := map[string]bool{}
@@ -115,7 +115,7 @@
 	return ""
 }
 
-// declareSpec notes a type with its methods and fields, or constants and variables.
+// declareSpec adds a type with its methods and fields, or constants and variables, to out.
 func declareSpec(prefix string, spec ast.Spec, out map[string]bool) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
--- a/internal/citest/operations_test.go
+++ b/internal/citest/operations_test.go
@@ -14,30 +14,30 @@
 	"testing"
 )
 
-// operationsPage lists the log lines for the engineers on call.
+// operationsPage documents the log messages for the engineers on call.
 const operationsPage = "docs/operations.md"
 
-// shownLevels are the zerolog methods that begin a line which the default level shows.
+// shownLevels are the zerolog methods that start an event of a level that is logged by default.
 var shownLevels = map[string]bool{"Info": true, "Warn": true, "Error": true, "Fatal": true}
 
-// logTableHead begins each table of log lines.
-const logTableHead = "| msg | level | package | meaning | what to do |"
+// logTableHeader is the header row of each table of log messages.
+const logTableHeader = "| msg | level | package | meaning | what to do |"
 
-// A logRow is a row of the page's table of log lines: `msg` | level | package | meaning | what to do. None is empty.
+// logRow matches a row of a table of log messages: `msg` | level | package | meaning | what to do. No cell may be empty.
 var logRow = regexp.MustCompile("^\\| `([^`]+)` \\| (info|warn|error|fatal)\\b[^|]*\\| `([^`]+)` \\| ([^|]+) \\| ([^|]+) \\|$")
 
-// listedMessage is a log line as the page has it.
+// listedMessage is a log message with the directory of the package that logs it.
 type listedMessage struct{ text, dir string }
 
-// TestOperationsPageListsEveryLogLine holds the page's table against the log calls of the code, both ways.
+// The page's tables must list exactly the messages that the code logs at level info and above.
 func TestOperationsPageListsEveryLogLine(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(repositoryRoot, operationsPage))
 	if err != nil {
 		t.Fatal(err)
 	}
-	listed, unreadable := listedMessages(string(page))
-	for _, row := range unreadable {
-		t.Errorf("%s: not msg, level, package, meaning and what to do: %s", operationsPage, row)
+	listed, malformed := listedMessages(string(page))
+	for _, row := range malformed {
+		t.Errorf("%s: malformed row, want msg, level, package, meaning and what to do: %s", operationsPage, row)
 	}
 	logged := map[listedMessage]bool{}
 	for _, p := range parsePackages(t) {
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(logged) == 0 {
-		t.Fatal("no log line was found in the code")
+		t.Fatal("no log message found in the code")
 	}
 	for _, m := range missingFrom(logged, listed) {
 		t.Errorf("%s: no row for `%s` of package `%s`", operationsPage, m.text, m.dir)
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestShownMessages holds the reading of log calls to cases of each form.
+// shownMessages finds the messages of log calls of each form that the code uses.
 func TestShownMessages(t *testing.T) {
 	for _, c := range []struct {
 		name, body string
@@ -70,16 +70,16 @@
 		{"a constant message", `const text = "a"; l.Info().Msg(text)`, []string{"a"}},
 		{"a message over two lines", "l.Info().\nStr(\"k\", \"v\").\nMsg(\"a\")", []string{"a"}},
 		{"a variable", `e := l.Info(); e.Int("n", 1).Msg("a")`, []string{"a"}},
-		{"a variable of a debug line", `e := l.Debug(); e.Msg("a")`, nil},
+		{"a variable of a debug event", `e := l.Debug(); e.Msg("a")`, nil},
 		{"a helper that takes the event", `sampled(l.Warn().Int("n", 1), "a")`, []string{"a"}},
 		{"a helper that takes a debug event", `sampled(l.Debug(), "a")`, nil},
-		{"a helper that makes the event", `if e := follow(); e != nil { e.Msg("a") }`, []string{"a"}},
+		{"a helper that returns the event", `if e := infoEvent(); e != nil { e.Msg("a") }`, []string{"a"}},
 		{"an error's text beside a literal", `report(err.Error(), "a")`, nil},
-		{"a method that makes a debug event", `quiet().Msg("a")`, nil},
+		{"a function that returns a debug event", `debugEvent().Msg("a")`, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			source := "package p\n\nfunc sampled(e *zerolog.Event, text string) { e.Msg(text) }\n\nfunc follow() *zerolog.Event { return l.Info().Str(\"k\", \"v\") }\n\n" +
-				"func quiet() *zerolog.Event { return l.Debug() }\n\nfunc f() {\n" + c.body + "\n}\n"
+			source := "package p\n\nfunc sampled(e *zerolog.Event, text string) { e.Msg(text) }\n\nfunc infoEvent() *zerolog.Event { return l.Info().Str(\"k\", \"v\") }\n\n" +
+				"func debugEvent() *zerolog.Event { return l.Debug() }\n\nfunc f() {\n" + c.body + "\n}\n"
 			file, err := parser.ParseFile(token.NewFileSet(), "p.go", source, parser.SkipObjectResolution)
 			if err != nil {
 				t.Fatal(err)
@@ -92,14 +92,14 @@
 	}
 }
 
-// listedMessages reads the rows of the tables that begin with logTableHead, and returns apart those that can't be read.
-func listedMessages(page string) (listed map[listedMessage]bool, unreadable []string) {
+// listedMessages parses the rows of the tables that begin with logTableHeader. Malformed rows are returned separately.
+func listedMessages(page string) (listed map[listedMessage]bool, malformed []string) {
 	listed = map[listedMessage]bool{}
 	inTable := false
 	for line := range strings.Lines(page) {
 		line = strings.TrimRight(line, "\n")
 		switch {
-		case line == logTableHead:
+		case line == logTableHeader:
 			inTable = true
 		case !strings.HasPrefix(line, "|"):
 			inTable = false
@@ -108,14 +108,14 @@
 			if m := logRow.FindStringSubmatch(line); m != nil {
 				listed[listedMessage{m[1], m[3]}] = true
 			} else {
-				unreadable = append(unreadable, line)
+				malformed = append(malformed, line)
 			}
 		}
 	}
-	return listed, unreadable
+	return listed, malformed
 }
 
-// missingFrom returns what one set has and the other has not, in order.
+// missingFrom returns the messages in have that are not in other, sorted.
 func missingFrom(have, other map[listedMessage]bool) []listedMessage {
 	var out []listedMessage
 	for m := range have {
@@ -129,7 +129,7 @@
 
 // shownMessages returns the literal messages that the files of a package log at level info or above.
 func shownMessages(files []*ast.File) map[string]bool {
-	calls := logFunctions{makers: eventMakers(files), takers: eventTakers(files), constants: stringConstants(files)}
+	calls := logFunctions{builders: eventBuilders(files), consumers: eventConsumers(files), constants: stringConstants(files)}
 	out := map[string]bool{}
 	for _, file := range files {
 		for _, decl := range file.Decls {
@@ -137,7 +137,7 @@
 			if !ok || function.Body == nil {
 				continue
 			}
-			events := eventVariables(function, calls.makers)
+			events := eventVariables(function, calls.builders)
 			ast.Inspect(function.Body, func(n ast.Node) bool {
 				if call, ok := n.(*ast.CallExpr); ok {
 					calls.collect(call, events, out)
@@ -149,27 +149,27 @@
 	return out
 }
 
-// logFunctions is what a package declares for its log lines.
+// logFunctions holds the declarations of a package that its log calls use.
 type logFunctions struct {
-	makers    map[string]bool   // functions and methods that return an event of a shown level
-	takers    map[string]bool   // functions and methods with an event as an argument
+	builders  map[string]bool   // functions and methods that return an event of a shown level
+	consumers map[string]bool   // functions and methods with an event as an argument
 	constants map[string]string // string constants
 }
 
-// collect notes the message of a call that logs: Msg on a shown event, or a helper that takes one beside its text.
+// collect adds the message of a log call to out: Msg on a shown event, or a helper that takes such an event and the text.
 func (l logFunctions) collect(call *ast.CallExpr, events, out map[string]bool) {
 	method, isMethod := call.Fun.(*ast.SelectorExpr)
 	if isMethod && method.Sel.Name == "Msg" && len(call.Args) == 1 {
-		if text, ok := stringValue(call.Args[0], l.constants); ok && isShown(method.X, l.makers, events) {
+		if text, ok := stringValue(call.Args[0], l.constants); ok && isShown(method.X, l.builders, events) {
 			out[text] = true
 		}
 		return
 	}
 	function, isFunction := call.Fun.(*ast.Ident)
-	if !(isMethod && l.takers[method.Sel.Name] || isFunction && l.takers[function.Name]) {
+	if !(isMethod && l.consumers[method.Sel.Name] || isFunction && l.consumers[function.Name]) {
 		return
 	}
-	if !slices.ContainsFunc(call.Args, func(arg ast.Expr) bool { return isShown(arg, l.makers, events) }) {
+	if !slices.ContainsFunc(call.Args, func(arg ast.Expr) bool { return isShown(arg, l.builders, events) }) {
 		return
 	}
 	for _, arg := range call.Args {
@@ -179,27 +179,27 @@
 	}
 }
 
-// isShown reports whether an expression is a chain of calls that begins with an event of a shown level.
-func isShown(e ast.Expr, makers, events map[string]bool) bool {
+// isShown reports whether an expression is a chain of calls that starts with an event of a shown level.
+func isShown(e ast.Expr, builders, events map[string]bool) bool {
 	switch e := e.(type) {
 	case *ast.Ident:
 		return events[e.Name]
 	case *ast.CallExpr:
 		switch f := e.Fun.(type) {
 		case *ast.Ident:
-			return makers[f.Name]
+			return builders[f.Name]
 		case *ast.SelectorExpr:
-			if shownLevels[f.Sel.Name] && len(e.Args) == 0 || makers[f.Sel.Name] {
+			if shownLevels[f.Sel.Name] && len(e.Args) == 0 || builders[f.Sel.Name] {
 				return true
 			}
-			return isShown(f.X, makers, events)
+			return isShown(f.X, builders, events)
 		}
 	}
 	return false
 }
 
-// eventMakers names the functions and methods of a package that return an event, and begin one of a shown level.
-func eventMakers(files []*ast.File) map[string]bool {
+// eventBuilders returns the names of a package's functions and methods that start and return an event of a shown level.
+func eventBuilders(files []*ast.File) map[string]bool {
 	out := map[string]bool{}
 	for _, file := range files {
 		for _, decl := range file.Decls {
@@ -218,8 +218,8 @@
 	return out
 }
 
-// eventTakers names the functions and methods of a package with an event as an argument.
-func eventTakers(files []*ast.File) map[string]bool {
+// eventConsumers returns the names of a package's functions and methods with an event as an argument.
+func eventConsumers(files []*ast.File) map[string]bool {
 	out := map[string]bool{}
 	for _, file := range files {
 		for _, decl := range file.Decls {
@@ -248,8 +248,8 @@
 	return false
 }
 
-// eventVariables names the variables of a function that are given an event of a shown level.
-func eventVariables(function *ast.FuncDecl, makers map[string]bool) map[string]bool {
+// eventVariables returns the names of a function's variables to which an event of a shown level is assigned.
+func eventVariables(function *ast.FuncDecl, builders map[string]bool) map[string]bool {
 	out := map[string]bool{}
 	ast.Inspect(function.Body, func(n ast.Node) bool {
 		assignment, ok := n.(*ast.AssignStmt)
@@ -257,7 +257,7 @@
 			return true
 		}
 		for i, value := range assignment.Rhs {
-			if name, ok := assignment.Lhs[i].(*ast.Ident); ok && isShown(value, makers, out) {
+			if name, ok := assignment.Lhs[i].(*ast.Ident); ok && isShown(value, builders, out) {
 				out[name.Name] = true
 			}
 		}
@@ -266,7 +266,7 @@
 	return out
 }
 
-// stringConstants returns the constants of a package that are string literals, also those within functions.
+// stringConstants returns the constants of a package that are string literals, including those within functions.
 func stringConstants(files []*ast.File) map[string]string {
 	out := map[string]string{}
 	for _, file := range files {
--- a/internal/citest/source_test.go
+++ b/internal/citest/source_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// repositoryRoot is the repository, seen from this package.
+// repositoryRoot is the path of the repository's root, relative to this package.
 const repositoryRoot = "../.."
 
 // sourcePackage is one directory of Go code without its tests.
@@ -20,7 +20,7 @@
 	files []*ast.File
 }
 
-// parsePackages reads all Go code of the repository but tests.
+// parsePackages parses all Go code of the repository except tests.
 func parsePackages(t *testing.T) []*sourcePackage {
 	t.Helper()
 	byDir := map[string]*sourcePackage{}
--- a/internal/fakestore/authority.go
+++ b/internal/fakestore/authority.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Authority makes an authority of its own, and gives certificates for members on 127.0.0.1 and further loopback
-// addresses.
+// Authority generates a certificate authority and returns a function that issues TLS settings for one member each: a
+// certificate for 127.0.0.1 and the further addresses, and the authority as the only root.
 func Authority(further ...net.IP) (func() (*tls.Config, error), error) {
 	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/fakestore/fakestore.go
+++ b/internal/fakestore/fakestore.go
@@ -1,5 +1,5 @@
-// Package fakestore is a small store for tests and the example: it speaks RESP as stores do and keeps
-// nothing.
+// Package fakestore implements fake endpoints for tests and the example. They speak the RESP protocol of real endpoints and
+// store no objects.
 package fakestore
 
 import (
@@ -12,43 +12,43 @@
 	"sync"
 )
 
-// Call is one command that came.
+// Call is one received command.
 type Call struct {
 	Verb, ID string
 	Fields   map[string]string
 	Body     []byte
-	At       string // the address that it came to, where the store has several
+	At       string // the address that received it, for a SlowStore
 }
 
-// Store answers GETs by its Handle.
+// Store is a fake endpoint that responds to GETs with the result of Handle.
 type Store struct {
-	// Handle words the answer to a GET; ok false leaves it unanswered. It may block: each GET has a
-	// goroutine of its own.
-	Handle  func(c Call) (word, fields string, body []byte, ok bool)
-	reading func(r *bufio.Reader)
+	// Handle returns the response to a GET; no response is sent if ok is false. It may block: each GET has its own
+	// goroutine.
+	Handle     func(c Call) (word, fields string, body []byte, ok bool)
+	beforeRead func(r *bufio.Reader)
 
-	server // Close: GETs that Handle holds must have been let go
+	server // Close waits for all calls of Handle to return
 	mu     sync.Mutex
 	calls  []Call
 }
 
-// Listen starts a store on an address.
+// Listen starts a fake endpoint on an address.
 func Listen(addr string, handle func(Call) (string, string, []byte, bool)) (*Store, error) {
 	return ListenLate(addr, nil, handle)
 }
 
-// ListenLate starts a store that calls reading with each connection before it reads it; that may block. Nil: it reads
-// at once.
-func ListenLate(addr string, reading func(*bufio.Reader), handle func(Call) (string, string, []byte, bool)) (*Store, error) {
-	s := &Store{Handle: handle, reading: reading}
+// ListenLate starts a fake endpoint that calls beforeRead with each new connection before it reads the first command from it.
+// beforeRead may block, and may be nil.
+func ListenLate(addr string, beforeRead func(*bufio.Reader), handle func(Call) (string, string, []byte, bool)) (*Store, error) {
+	s := &Store{Handle: handle, beforeRead: beforeRead}
 	_, err := s.listen(addr, s.serve)
 	return s, err
 }
 
-// Addr is where the store listens.
+// Addr returns the address that the endpoint listens on.
 func (s *Store) Addr() string { return s.listeners[0].Addr().String() }
 
-// Calls gives the commands that came with a verb.
+// Calls returns the received commands that have this verb, in order of arrival.
 func (s *Store) Calls(verb string) (out []Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,48 +62,48 @@
 
 func (s *Store) serve(c net.Conn) {
 	r := bufio.NewReader(c)
-	if s.reading != nil {
-		s.reading(r)
+	if s.beforeRead != nil {
+		s.beforeRead(r)
 	}
-	var out sync.Mutex
+	var writeMu sync.Mutex
 	for {
-		words, err := read(r)
-		if err != nil || len(words) < 2 {
+		args, err := readCommand(r)
+		if err != nil || len(args) < 2 {
 			return
 		}
-		call := callOf(words)
+		call := parseCall(args)
 		s.mu.Lock()
 		s.calls = append(s.calls, call)
 		s.mu.Unlock()
-		answer := func(word, fields string, body []byte) {
-			out.Lock()
-			defer out.Unlock()
+		respond := func(status, fields string, body []byte) {
+			writeMu.Lock()
+			defer writeMu.Unlock()
 			fmt.Fprintf(c, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
-				len(call.ID), call.ID, len(word), word, len(fields), fields, len(body), body)
+				len(call.ID), call.ID, len(status), status, len(fields), fields, len(body), body)
 		}
 		switch call.Verb {
 		case "PING", "LOAD":
-			answer("READY", "rep=inflight:0;util:0.1", nil)
+			respond("READY", "rep=inflight:0;util:0.1", nil)
 		case "GET":
 			s.wg.Add(1)
 			go func() {
 				defer s.wg.Done()
-				if word, fields, body, ok := s.Handle(call); ok {
-					answer(word, fields, body)
+				if status, fields, body, ok := s.Handle(call); ok {
+					respond(status, fields, body)
 				}
 			}()
 		}
 	}
 }
 
-// callOf reads the words of a command, two at least.
-func callOf(words [][]byte) Call {
-	call := Call{Verb: string(words[0]), ID: string(words[1]), Fields: map[string]string{}}
-	if len(words) > 3 {
-		call.Body = words[3]
+// parseCall parses the arguments of a command, of which there must be at least two.
+func parseCall(args [][]byte) Call {
+	call := Call{Verb: string(args[0]), ID: string(args[1]), Fields: map[string]string{}}
+	if len(args) > 3 {
+		call.Body = args[3]
 	}
-	if len(words) > 2 {
-		for _, f := range strings.Split(string(words[2]), ",") {
+	if len(args) > 2 {
+		for _, f := range strings.Split(string(args[2]), ",") {
 			if k, v, ok := strings.Cut(f, "="); ok {
 				call.Fields[k] = v
 			}
@@ -112,7 +112,8 @@
 	return call
 }
 
-func read(r *bufio.Reader) (words [][]byte, err error) {
+// readCommand reads a command, a RESP array of bulk strings.
+func readCommand(r *bufio.Reader) (args [][]byte, err error) {
 	length := func(kind byte) (int, error) {
 		line, err := r.ReadString('\n')
 		if err != nil || len(line) < 4 || line[0] != kind {
@@ -137,7 +138,7 @@
 		if _, err := io.ReadFull(r, b); err != nil {
 			return nil, err
 		}
-		words = append(words, b[:size])
+		args = append(args, b[:size])
 	}
-	return words, nil
+	return args, nil
 }
--- a/internal/fakestore/keys.go
+++ b/internal/fakestore/keys.go
@@ -8,7 +8,8 @@
 	"sync"
 )
 
-// PrivatePEM words a private key as operators' files hold it. A key that can't be worded is a fault of its maker.
+// PrivatePEM encodes a private key as PKCS #8 in PEM, the format of operators' key files. It panics if the key type is not
+// supported.
 func PrivatePEM(key any) string {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -17,7 +18,7 @@
 	return string(pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}))
 }
 
-// RSAKey is one private key for all who ask: making one is slow.
+// RSAKey returns a private key that all tests of a process share, because generating one is slow.
 var RSAKey = sync.OnceValue(func() *rsa.PrivateKey {
 	key, err := rsa.GenerateKey(rand.Reader, 2048)
 	if err != nil {
--- a/internal/fakestore/server.go
+++ b/internal/fakestore/server.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// server accepts on listeners and keeps the connections, until it is closed.
+// server accepts connections on its listeners and tracks them until it is closed.
 type server struct {
 	listeners []net.Listener
 	wg        sync.WaitGroup
@@ -17,7 +17,7 @@
 	closed  bool
 }
 
-// listen opens a listener whose connections serve has, each in a goroutine of its own.
+// listen opens a listener and calls serve for each of its connections, in a separate goroutine.
 func (s *server) listen(addr string, serve func(net.Conn)) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -30,43 +30,43 @@
 			if err != nil {
 				return
 			}
-			s.keep(c)
-			s.wg.Go(func() { defer s.drop(c); serve(c) })
+			s.track(c)
+			s.wg.Go(func() { defer s.closeAndUntrack(c); serve(c) })
 		}
 	})
 	return l, nil
 }
 
-func (s *server) keep(c net.Conn) {
+func (s *server) track(c net.Conn) {
 	s.connsMu.Lock()
 	defer s.connsMu.Unlock()
 	if s.conns == nil {
 		s.conns = map[net.Conn]struct{}{}
 	}
 	s.conns[c] = struct{}{}
-	if s.closed { // it was accepted while the server closed
+	if s.closed { // accepted while the server was closing
 		c.Close()
 	}
 }
 
-func (s *server) drop(c net.Conn) {
+func (s *server) closeAndUntrack(c net.Conn) {
 	c.Close()
 	s.connsMu.Lock()
 	defer s.connsMu.Unlock()
 	delete(s.conns, c)
 }
 
-// Cut resets every connection, as a dying process does.
+// Cut resets all open connections, as happens when a process dies.
 func (s *server) Cut() {
 	s.connsMu.Lock()
 	defer s.connsMu.Unlock()
 	for c := range s.conns {
-		reset(c)
+		resetConn(c)
 	}
 }
 
-// CloseLater gives what closes the connections that there are now, as a server does with those that have been idle for too
-// long, or resets them.
+// CloseLater returns a function that closes the connections open at the time of this call, as a server closes idle ones, or
+// resets them if resets is set. Connections opened after this call are not affected.
 func (s *server) CloseLater(resets bool) func() {
 	s.connsMu.Lock()
 	defer s.connsMu.Unlock()
@@ -74,7 +74,7 @@
 	return func() {
 		for _, c := range conns {
 			if resets {
-				reset(c)
+				resetConn(c)
 			} else {
 				c.Close()
 			}
@@ -82,14 +82,15 @@
 	}
 }
 
-func reset(c net.Conn) {
+// resetConn closes a connection with a TCP reset (RST) instead of a FIN.
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
 	c.Close()
 }
 
-// Close ends the listeners and the connections, and waits for what serves them.
+// Close closes the listeners, resets the connections and waits for their goroutines to end.
 func (s *server) Close() {
 	s.connsMu.Lock()
 	s.closed = true
--- a/internal/fakestore/slow_store.go
+++ b/internal/fakestore/slow_store.go
@@ -8,49 +8,50 @@
 	"sync"
 )
 
-// Behavior is how an attempt ends at a store.
+// Behavior is how a fake endpoint ends an attempt.
 type Behavior int
 
-// The ways. Cut, the resets, Stall and Hang leave the attempt out until the store notices that it is given up.
+// The behaviors. With Cut, ResetReading, ResetWriting, Stall and Hang the attempt stays open until the endpoint processes its
+// DROP or the end of its connection.
 const (
 	Good         Behavior = iota
 	Missing               // NOENT
 	Busy                  // AGAIN
 	Failing               // EIO
-	Spoilt                // an answer that can't be read
-	Cut                   // the connection ends half way through the answer
-	ResetReading          // the connection is reset behind the request
-	ResetWriting          // the connection is reset half way through the answer
-	Stall                 // half an answer, and nothing more
-	Hang                  // no answer
+	Spoilt                // a malformed response
+	Cut                   // the connection is closed in the middle of the response
+	ResetReading          // the connection is reset after the request is read
+	ResetWriting          // the connection is reset in the middle of the response
+	Stall                 // the response stops in the middle; the connection stays open
+	Hang                  // no response
 )
 
-// SlowStore is a process with several stores that notices late: it takes up a GET at once, but a DROP or the end of a
-// connection only while Hold is not in force. It counts the requests that it has twice at a time.
+// SlowStore is a process with several endpoints that processes cancellations late: GETs are processed at once, but DROPs and
+// ends of connections only while it is not paused by Hold or Stop. It counts GETs for a request that has another open attempt.
 type SlowStore struct {
 	Addrs []string
 
 	server
-	way   func(c Call, n int) Behavior
-	mu    sync.Mutex
-	gate  *sync.Cond
-	held  bool
-	deaf  bool           // PINGs wait as well, until all ends that have come are noticed
-	ends  int            // that have come and are not noticed
-	out   map[string]int // attempts that are out, by ID
-	gets  map[string]int // GETs that came
-	calls []Call         // the same, in the order in which they came
-	epoch int            // connections of an earlier one are forgotten
-	twice int
-	same  int // of them, those at the store that had the other
-	at    map[[2]string]int
+	behaviorOf             func(c Call, n int) Behavior
+	mu                     sync.Mutex
+	cond                   *sync.Cond
+	paused                 bool
+	pingsPaused            bool           // PINGs wait as well, until all pending ends are processed
+	pendingEnds            int            // DROPs and ends of connections that are received but not yet processed
+	open                   map[string]int // open attempts, by ID
+	received               map[string]int // number of GETs, by ID
+	calls                  []Call         // all GETs, in order of arrival
+	epoch                  int            // input from connections that were opened in an earlier epoch is discarded
+	duplicates             int
+	sameEndpointDuplicates int // duplicates at the endpoint that had the other open attempt
+	openAt                 map[[2]string]int
 }
 
-// NewSlowStore starts so many stores. way tells how the GET number n of an ID ends, from 0.
-func NewSlowStore(stores int, way func(c Call, n int) Behavior) (*SlowStore, error) {
-	s := &SlowStore{way: way, out: map[string]int{}, gets: map[string]int{}, at: map[[2]string]int{}}
-	s.gate = sync.NewCond(&s.mu)
-	for range stores {
+// NewSlowStore starts the given number of endpoints. behaviorOf returns the behavior for GET number n (from 0) of an ID.
+func NewSlowStore(endpoints int, behaviorOf func(c Call, n int) Behavior) (*SlowStore, error) {
+	s := &SlowStore{behaviorOf: behaviorOf, open: map[string]int{}, received: map[string]int{}, openAt: map[[2]string]int{}}
+	s.cond = sync.NewCond(&s.mu)
+	for range endpoints {
 		l, err := s.listen("127.0.0.1:0", s.serve)
 		if err != nil {
 			s.Close()
@@ -61,100 +62,100 @@
 	return s, nil
 }
 
-// Hold has the stores notice nothing until Notice.
-func (s *SlowStore) Hold() { s.set(true) }
+// Hold pauses the processing of DROPs and ends of connections until Notice.
+func (s *SlowStore) Hold() { s.setPaused(true) }
 
-// Stop is Hold for stores that are asked in vain whether they read: PINGs have no answer either until Notice. What comes
-// behind a DROP or a PING on their connections is taken up meanwhile.
+// Stop does the same as Hold and also delays the responses to PINGs until Notice, as endpoints do that don't respond to a
+// health check. Commands that follow a DROP or a PING on the same connection are still processed.
 func (s *SlowStore) Stop() {
 	s.mu.Lock()
-	s.deaf = true
+	s.pingsPaused = true
 	s.mu.Unlock()
 	s.Hold()
 }
 
-// Notice ends Hold and Stop.
-func (s *SlowStore) Notice() { s.set(false) }
+// Notice ends the pause of Hold and Stop.
+func (s *SlowStore) Notice() { s.setPaused(false) }
 
-func (s *SlowStore) set(held bool) {
+func (s *SlowStore) setPaused(paused bool) {
 	s.mu.Lock()
-	s.held = held
+	s.paused = paused
 	s.mu.Unlock()
-	s.gate.Broadcast()
+	s.cond.Broadcast()
 }
 
-// Forget has the stores take nothing more from the connections that they have, without a word: what is written there is lost,
-// as behind a middlebox that has dropped its entry of an idle connection. New connections are served.
+// Forget makes the endpoints silently discard all further input on their present connections, as happens behind a middlebox
+// that has removed its entry for an idle connection. New connections are served.
 func (s *SlowStore) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.epoch++
 }
 
-// Unnoticed counts the DROPs and ends of connections that have come and wait for Notice.
+// Unnoticed returns the number of received DROPs and ends of connections that are not processed yet.
 func (s *SlowStore) Unnoticed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ends
+	return s.pendingEnds
 }
 
-// Twice counts the GETs that came for a request of which another was out.
+// Twice returns the number of GETs received for a request that had another open attempt.
 func (s *SlowStore) Twice() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.twice
+	return s.duplicates
 }
 
-// TwiceAtOne counts those that came to the store that had the other.
+// TwiceAtOne returns how many of those were received by the endpoint that had the other open attempt.
 func (s *SlowStore) TwiceAtOne() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.same
+	return s.sameEndpointDuplicates
 }
 
-// Out counts the attempts of an ID that are out.
+// Out returns the number of open attempts of an ID.
 func (s *SlowStore) Out(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.out[id]
+	return s.open[id]
 }
 
-// Gets counts the GETs that came for an ID.
+// Gets returns the number of GETs received for an ID.
 func (s *SlowStore) Gets(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gets[id]
+	return s.received[id]
 }
 
-// Calls gives the GETs that came.
+// Calls returns all received GETs, in order of arrival.
 func (s *SlowStore) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
 }
 
-// Close ends the stores.
+// Close ends the pause and closes the endpoints.
 func (s *SlowStore) Close() {
 	s.Notice()
 	s.server.Close()
 }
 
 func (s *SlowStore) serve(c net.Conn) {
-	mine := map[string]int{} // attempts out on this connection
-	here := func(id string) [2]string { return [2]string{c.LocalAddr().String(), id} }
-	end := func(id string) {
-		if mine[id] > 0 {
-			mine[id]--
-			s.out[id]--
-			s.at[here(id)]--
+	openHere := map[string]int{} // open attempts of this connection, by ID
+	openAtKey := func(id string) [2]string { return [2]string{c.LocalAddr().String(), id} }
+	endAttempt := func(id string) {
+		if openHere[id] > 0 {
+			openHere[id]--
+			s.open[id]--
+			s.openAt[openAtKey(id)]--
 		}
 	}
-	defer func() { // the end of the connection, noticed late
+	defer func() { // the end of the connection, processed after the pause
 		s.mu.Lock()
-		s.wait()
-		for id := range mine {
-			for mine[id] > 0 {
-				end(id)
+		s.waitWhilePaused()
+		for id := range openHere {
+			for openHere[id] > 0 {
+				endAttempt(id)
 			}
 		}
 		s.mu.Unlock()
@@ -164,11 +165,11 @@
 	s.mu.Unlock()
 	r := bufio.NewReader(c)
 	for {
-		words, err := read(r)
-		if err != nil || len(words) < 2 {
+		args, err := readCommand(r)
+		if err != nil || len(args) < 2 {
 			return
 		}
-		call := callOf(words)
+		call := parseCall(args)
 		call.At = c.LocalAddr().String()
 		s.mu.Lock()
 		if s.epoch != epoch {
@@ -177,43 +178,43 @@
 		}
 		switch call.Verb {
 		case "DROP":
-			if !s.deaf {
-				s.wait()
-				end(call.ID)
+			if !s.pingsPaused {
+				s.waitWhilePaused()
+				endAttempt(call.ID)
 				break
 			}
 			s.wg.Go(func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				s.wait()
-				end(call.ID)
+				s.waitWhilePaused()
+				endAttempt(call.ID)
 			})
 		case "GET":
-			if s.out[call.ID] > 0 {
-				s.twice++
+			if s.open[call.ID] > 0 {
+				s.duplicates++
 			}
-			if s.at[here(call.ID)] > 0 {
-				s.same++
+			if s.openAt[openAtKey(call.ID)] > 0 {
+				s.sameEndpointDuplicates++
 			}
-			s.out[call.ID]++
-			s.at[here(call.ID)]++
-			mine[call.ID]++
-			way := s.way(call, s.gets[call.ID])
-			s.gets[call.ID]++
+			s.open[call.ID]++
+			s.openAt[openAtKey(call.ID)]++
+			openHere[call.ID]++
+			behavior := s.behaviorOf(call, s.received[call.ID])
+			s.received[call.ID]++
 			s.calls = append(s.calls, call)
-			if way <= Spoilt { // its end is written from here on
-				end(call.ID)
+			if behavior <= Spoilt { // the complete response is written below
+				endAttempt(call.ID)
 			}
 			s.mu.Unlock()
-			act(c, call.ID, way)
+			respond(c, call.ID, behavior)
 			s.mu.Lock()
 		default:
-			deaf := s.deaf
+			pingsPaused := s.pingsPaused
 			s.mu.Unlock()
-			if deaf {
-				s.wg.Go(func() { s.noticed(); write(c, call.ID, "READY") })
+			if pingsPaused {
+				s.wg.Go(func() { s.waitUntilEndsProcessed(); writeResponse(c, call.ID, "READY") })
 			} else {
-				write(c, call.ID, "READY")
+				writeResponse(c, call.ID, "READY")
 			}
 			s.mu.Lock()
 		}
@@ -221,48 +222,50 @@
 	}
 }
 
-// wait holds until the store may notice; the lock is held on entry and return.
-func (s *SlowStore) wait() {
-	s.ends++
-	for s.held {
-		s.gate.Wait()
+// waitWhilePaused counts a pending end and blocks until the pause is over. The caller must hold mu.
+func (s *SlowStore) waitWhilePaused() {
+	s.pendingEnds++
+	for s.paused {
+		s.cond.Wait()
 	}
-	s.ends--
-	s.gate.Broadcast()
+	s.pendingEnds--
+	s.cond.Broadcast()
 }
 
-// noticed returns once no end that has come waits to be noticed.
-func (s *SlowStore) noticed() {
+// waitUntilEndsProcessed blocks until the pause is over and no received end is pending.
+func (s *SlowStore) waitUntilEndsProcessed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.held || s.ends > 0 {
-		s.gate.Wait()
+	for s.paused || s.pendingEnds > 0 {
+		s.cond.Wait()
 	}
 }
 
-func write(c net.Conn, id, word string) {
+// writeResponse writes a complete response with fixed fields and the body "ok".
+func writeResponse(c net.Conn, id, word string) {
 	fields := "tag=0a,minted=1,why=local"
 	fmt.Fprintf(c, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$2\r\nok\r\n", len(id), id, len(word), word, len(fields), fields)
 }
 
-func act(c net.Conn, id string, way Behavior) {
-	if way == Cut || way == ResetWriting || way == Stall {
+// respond writes a response, a part of one or nothing, and closes or resets the connection, as behavior says.
+func respond(c net.Conn, id string, behavior Behavior) {
+	if behavior == Cut || behavior == ResetWriting || behavior == Stall {
 		fmt.Fprintf(c, "*4\r\n$%d\r\n%s\r\n$3\r\nAC", len(id), id)
 	}
-	switch way {
+	switch behavior {
 	case Good:
-		write(c, id, "ACK")
+		writeResponse(c, id, "ACK")
 	case Missing:
-		write(c, id, "NOENT")
+		writeResponse(c, id, "NOENT")
 	case Busy:
-		write(c, id, "AGAIN")
+		writeResponse(c, id, "AGAIN")
 	case Failing:
-		write(c, id, "EIO")
+		writeResponse(c, id, "EIO")
 	case Spoilt:
 		fmt.Fprint(c, "*4\r\n$70000\r\n")
 	case Cut:
 		c.Close()
 	case ResetReading, ResetWriting:
-		reset(c)
+		resetConn(c)
 	}
 }
--- a/internal/faultnet/faultnet.go
+++ b/internal/faultnet/faultnet.go
@@ -1,4 +1,4 @@
-// Package faultnet has network calls fail for tests in the ways that Linux documents, with real sockets behind them.
+// Package faultnet injects network errors into tests: calls on real sockets fail with the errors that Linux documents.
 package faultnet
 
 import (
@@ -11,54 +11,54 @@
 	"time"
 )
 
-// aLongTimeAgo is a deadline that has passed.
+// aLongTimeAgo is a deadline in the past; setting it ends a blocked call at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// Error wraps an errno as the net package does that of a failed call.
+// Error wraps an errno in the error types that the net package returns for a failed system call.
 func Error(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// Dialer opens TCP connections, unless it is told to fail.
+// Dialer opens TCP connections, and returns injected errors.
 type Dialer struct {
-	mu    sync.Mutex
-	fail  error
-	times int // left to fail; below 0: each time
-	calls int
-	wrap  func(net.Conn) net.Conn
+	mu           sync.Mutex
+	failErr      error
+	failuresLeft int // the number of dials that still have to fail; negative: all
+	calls        int
+	wrap         func(net.Conn) net.Conn
 }
 
-// Fail has so many dials fail from now on; below 0: all.
+// Fail makes the next dials fail with err, as many as times says; all if it is negative.
 func (d *Dialer) Fail(err error, times int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fail, d.times = err, times
+	d.failErr, d.failuresLeft = err, times
 }
 
-// Wrap has each connection opened from now on passed through a function.
+// Wrap sets a function that wraps each connection opened from now on.
 func (d *Dialer) Wrap(wrap func(net.Conn) net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.wrap = wrap
 }
 
-// Calls counts the dials, also those that failed.
+// Calls returns the number of dials, including those that failed.
 func (d *Dialer) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// DialContext opens a connection.
+// DialContext opens a connection, or returns the error set by Fail.
 func (d *Dialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	d.mu.Lock()
 	d.calls++
-	fails, wrap, err := d.times != 0, d.wrap, d.fail
-	if d.times > 0 {
-		d.times--
+	shouldFail, wrap, err := d.failuresLeft != 0, d.wrap, d.failErr
+	if d.failuresLeft > 0 {
+		d.failuresLeft--
 	}
 	d.mu.Unlock()
-	if fails {
+	if shouldFail {
 		return nil, err
 	}
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
@@ -68,7 +68,7 @@
 	return conn, err
 }
 
-// Listener has Accept fail with each of Errors in turn before it takes a connection.
+// Listener is a listener whose Accept returns each of Errors in turn before it accepts connections.
 type Listener struct {
 	net.Listener
 	Errors []error
@@ -76,10 +76,10 @@
 	failed atomic.Int64
 }
 
-// Failed counts the calls that have failed.
+// Failed returns how many calls of Accept have failed with one of Errors.
 func (l *Listener) Failed() int { return int(l.failed.Load()) }
 
-// Accept takes a connection. Only one goroutine may call it.
+// Accept returns the next error or accepts a connection. Only one goroutine may call it.
 func (l *Listener) Accept() (net.Conn, error) {
 	if n := int(l.failed.Load()); n < len(l.Errors) {
 		l.failed.Add(1)
@@ -88,36 +88,37 @@
 	return l.Listener.Accept()
 }
 
-// Conn is a connection whose calls can be told to fail. It hides its descriptor, so that all bytes go through it.
+// Conn is a connection that returns injected errors. It does not expose its file descriptor, so that callers can't bypass Read
+// and Write.
 type Conn struct {
 	net.Conn
-	read, write atomic.Pointer[error]
+	readErr, writeErr atomic.Pointer[error]
 }
 
-// FailRead has reads end with an error from now on, also the one under way.
+// FailRead makes all reads fail with err from now on, including one that is blocked.
 func (c *Conn) FailRead(err error) {
-	c.read.Store(&err)
+	c.readErr.Store(&err)
 	c.Conn.SetReadDeadline(aLongTimeAgo)
 }
 
-// FailWrite has writes fail from now on.
-func (c *Conn) FailWrite(err error) { c.write.Store(&err) }
+// FailWrite makes all writes fail with err from now on.
+func (c *Conn) FailWrite(err error) { c.writeErr.Store(&err) }
 
-// Read reads, or fails as told.
+// Read reads from the connection, or returns the error set by FailRead.
 func (c *Conn) Read(b []byte) (int, error) {
-	if err := c.read.Load(); err != nil {
+	if err := c.readErr.Load(); err != nil {
 		return 0, *err
 	}
 	n, err := c.Conn.Read(b)
-	if told := c.read.Load(); err != nil && told != nil {
-		return n, *told
+	if injected := c.readErr.Load(); err != nil && injected != nil {
+		return n, *injected
 	}
 	return n, err
 }
 
-// Write writes, or fails as told.
+// Write writes to the connection, or returns the error set by FailWrite.
 func (c *Conn) Write(b []byte) (int, error) {
-	if err := c.write.Load(); err != nil {
+	if err := c.writeErr.Load(); err != nil {
 		return 0, *err
 	}
 	return c.Conn.Write(b)
--- a/pcapio/pcapio_test.go
+++ b/pcapio/pcapio_test.go
@@ -16,26 +16,26 @@
 	"turnfork.dev/turnfork/clock"
 )
 
-// heard keeps what each conversation said.
-type heard struct {
-	said  map[int]string
-	gaps  map[int]int
-	order []string
+// recordingSink records the data, gaps and events of each conversation.
+type recordingSink struct {
+	data   map[int]string
+	gaps   map[int]int
+	events []string
 }
 
-func (h *heard) Open(id int, port uint16) error {
-	h.order = append(h.order, fmt.Sprint("open", id))
+func (h *recordingSink) Open(id int, port uint16) error {
+	h.events = append(h.events, fmt.Sprint("open", id))
 	return nil
 }
-func (h *heard) Data(id int, b []byte) error { h.said[id] += string(b); return nil }
-func (h *heard) Close(id, gap int) error {
-	h.order = append(h.order, fmt.Sprint("close", id))
+func (h *recordingSink) Data(id int, b []byte) error { h.data[id] += string(b); return nil }
+func (h *recordingSink) Close(id, gap int) error {
+	h.events = append(h.events, fmt.Sprint("close", id))
 	h.gaps[id] = gap
 	return nil
 }
 
-func listen(t testing.TB, file []byte) (*heard, Report, error) {
-	h := &heard{said: map[int]string{}, gaps: map[int]int{}}
+func readCapture(t testing.TB, file []byte) (*recordingSink, Report, error) {
+	h := &recordingSink{data: map[int]string{}, gaps: map[int]int{}}
 	rep, err := Read(bytes.NewReader(file), h)
 	return h, rep, err
 }
@@ -48,7 +48,7 @@
 	fin  bool
 }
 
-func file(t testing.TB, link layers.LinkType, segs ...seg) []byte {
+func captureFile(t testing.TB, link layers.LinkType, segs ...seg) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	w := pcapgo.NewWriter(&b)
@@ -72,66 +72,65 @@
 }
 
 func TestReassembly(t *testing.T) {
-	const wrap = 1<<32 - 3 // sequence numbers that run over
+	const wrap = 1<<32 - 3 // sequence numbers wrap to 0 within the data
 	for name, x := range map[string]struct {
 		segs []seg
 		want string
 		gap  int
 	}{
-		"in order":  {[]seg{{1, 9, "", true, false}, {1, 10, "ab", false, false}, {1, 12, "cd", false, true}}, "abcd", 0},
-		"reordered": {[]seg{{1, 9, "", true, false}, {1, 14, "ef", false, false}, {1, 12, "cd", false, false}, {1, 10, "ab", false, false}}, "abcdef", 0},
-		"repeated":  {[]seg{{1, 9, "", true, false}, {1, 10, "abc", false, false}, {1, 10, "ab", false, false}, {1, 11, "bcd", false, false}}, "abcd", 0},
-		"wrapped":   {[]seg{{1, wrap - 1, "", true, false}, {1, wrap, "abc", false, false}, {1, 0, "def", false, false}}, "abcdef", 0},
-		"gap":       {[]seg{{1, 9, "", true, false}, {1, 10, "ab", false, false}, {1, 17, "hi", false, true}}, "ab", 5},
-		"cut tail":  {[]seg{{1, 9, "", true, false}, {1, 10, "ab", false, false}, {1, 20, "", false, true}}, "ab", 8},
+		"in order":     {[]seg{{1, 9, "", true, false}, {1, 10, "ab", false, false}, {1, 12, "cd", false, true}}, "abcd", 0},
+		"reordered":    {[]seg{{1, 9, "", true, false}, {1, 14, "ef", false, false}, {1, 12, "cd", false, false}, {1, 10, "ab", false, false}}, "abcdef", 0},
+		"repeated":     {[]seg{{1, 9, "", true, false}, {1, 10, "abc", false, false}, {1, 10, "ab", false, false}, {1, 11, "bcd", false, false}}, "abcd", 0},
+		"wrapped":      {[]seg{{1, wrap - 1, "", true, false}, {1, wrap, "abc", false, false}, {1, 0, "def", false, false}}, "abcdef", 0},
+		"gap":          {[]seg{{1, 9, "", true, false}, {1, 10, "ab", false, false}, {1, 17, "hi", false, true}}, "ab", 5},
+		"missing tail": {[]seg{{1, 9, "", true, false}, {1, 10, "ab", false, false}, {1, 20, "", false, true}}, "ab", 8},
 	} {
 		for _, link := range []layers.LinkType{layers.LinkTypeEthernet, layers.LinkTypeRaw} {
-			h, _, err := listen(t, file(t, link, x.segs...))
-			if err != nil || h.said[1] != x.want || h.gaps[1] != x.gap {
-				t.Errorf("%s over %v: %q, gap %d, %v", name, link, h.said[1], h.gaps[1], err)
+			h, _, err := readCapture(t, captureFile(t, link, x.segs...))
+			if err != nil || h.data[1] != x.want || h.gaps[1] != x.gap {
+				t.Errorf("%s over %v: %q, gap %d, %v", name, link, h.data[1], h.gaps[1], err)
 			}
 		}
 	}
-	// The middle of a conversation is passed over; two run beside each other in the file's order.
-	h, rep, err := listen(t, file(t, layers.LinkTypeRaw, seg{7, 5, "xx", false, false}, seg{1, 9, "", true, false},
+	// A conversation without its start is skipped; two interleaved conversations are reported in the order of the file.
+	h, rep, err := readCapture(t, captureFile(t, layers.LinkTypeRaw, seg{7, 5, "xx", false, false}, seg{1, 9, "", true, false},
 		seg{2, 9, "", true, false}, seg{2, 10, "b", false, true}, seg{1, 10, "a", false, true}))
-	if err != nil || rep.Skipped != 1 || strings.Join(h.order, " ") != "open1 open2 close2 close1" {
-		t.Errorf("%v %+v %v", h.order, rep, err)
+	if err != nil || rep.Skipped != 1 || strings.Join(h.events, " ") != "open1 open2 close2 close1" {
+		t.Errorf("%v %+v %v", h.events, rep, err)
 	}
 }
 
 func TestBadFiles(t *testing.T) {
-	good := file(t, layers.LinkTypeRaw, seg{1, 9, "", true, false}, seg{1, 10, "abc", false, false})
-	h, _, err := listen(t, good[:len(good)-2])
-	if !errors.Is(err, ErrCut) || len(h.order) != 2 {
-		t.Errorf("cut file: %v, %v", err, h.order)
+	good := captureFile(t, layers.LinkTypeRaw, seg{1, 9, "", true, false}, seg{1, 10, "abc", false, false})
+	h, _, err := readCapture(t, good[:len(good)-2])
+	if !errors.Is(err, ErrCut) || len(h.events) != 2 {
+		t.Errorf("truncated file: %v, %v", err, h.events)
 	}
-	odd := append([]byte(nil), good...)
-	binary.LittleEndian.PutUint32(odd[20:], 147)
-	for name, b := range map[string][]byte{"empty": nil, "text": []byte("not a pcap file, clearly"), "odd link": odd} {
-		if _, _, err := listen(t, b); err == nil {
+	unsupported := append([]byte(nil), good...)
+	binary.LittleEndian.PutUint32(unsupported[20:], 147)
+	for name, b := range map[string][]byte{"empty": nil, "text": []byte("not a pcap file, clearly"), "unsupported link type": unsupported} {
+		if _, _, err := readCapture(t, b); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
-// A front's exchange comes back from the file as it was, but for its tokens, also where a token was cut
-// between two reads.
+// Read returns the data that a Writer recorded, with tokens and secrets redacted, also when one is split between two reads.
 func TestWriteAndRedact(t *testing.T) {
 	var b bytes.Buffer
 	w, err := NewWriter(&b, clock.Manual(1.7e12), false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	near, far := net.Pipe()
-	tapped := w.Tap(far)
+	clientEnd, serverEnd := net.Pipe()
+	tapped := w.Tap(serverEnd)
 	sent := []string{"GET /v1/a?x=1&URISigning", "Package=ey.SECRET.z&y=2 HTTP/1.1\r\nAuthoriz", "ation: Bearer SECRET\r\nX: y\r\n\r\n",
 		`{"secret":"SECRET","id":"k"}`}
 	go func() {
 		for _, s := range sent {
-			io.WriteString(near, s)
+			io.WriteString(clientEnd, s)
 		}
-		near.Close()
+		clientEnd.Close()
 	}()
 	io.ReadAll(tapped)
 	tapped.Close()
@@ -139,10 +138,10 @@
 		t.Fatal(err)
 	}
 	if bytes.Contains(b.Bytes(), []byte("SECRET")) {
-		t.Error("a secret is in the file")
+		t.Error("the file contains a secret")
 	}
-	h, _, err := listen(t, b.Bytes())
-	got := h.said[1]
+	h, _, err := readCapture(t, b.Bytes())
+	got := h.data[1]
 	want := strings.Join(sent, "")
 	if err != nil || len(got) != len(want) || !strings.Contains(got, "&y=2 HTTP/1.1\r\n") || !strings.Contains(got, `,"id":"k"}`) {
 		t.Errorf("%q, %v", got, err)
@@ -150,15 +149,15 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(file(f, layers.LinkTypeEthernet, seg{1, 9, "", true, false}, seg{1, 10, "abc", false, true}))
-	f.Add(file(f, layers.LinkTypeRaw, seg{1, 9, "", true, false}, seg{1, 4000000000, "abc", false, false}))
+	f.Add(captureFile(f, layers.LinkTypeEthernet, seg{1, 9, "", true, false}, seg{1, 10, "abc", false, true}))
+	f.Add(captureFile(f, layers.LinkTypeRaw, seg{1, 9, "", true, false}, seg{1, 4000000000, "abc", false, false}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		h, rep, _ := listen(t, b)
+		h, rep, _ := readCapture(t, b)
 		total := 0
-		for _, s := range h.said {
+		for _, s := range h.data {
 			total += len(s)
 		}
-		if total > len(b) || rep.Conversations*2 != len(h.order) && rep.Packets > 0 && len(h.order)%2 != 0 {
+		if total > len(b) || rep.Conversations*2 != len(h.events) && rep.Packets > 0 && len(h.events)%2 != 0 {
 			t.Errorf("%d bytes from %d, %+v", total, len(b), rep)
 		}
 	})
--- a/pcapio/read.go
+++ b/pcapio/read.go
@@ -1,6 +1,6 @@
-// Package pcapio reads recorded TCP conversations from pcap files and writes a front's exchanges to
-// one. Nothing is captured: files come from elsewhere, and written packets are made up from what the
-// front read and wrote.
+// Package pcapio reads recorded TCP conversations from pcap files and records a frontend's connections in one. It does not
+// capture packets: the files that it reads are recorded by other tools, and the packets that it writes are synthesized from
+// the bytes that the frontend read and wrote.
 package pcapio
 
 import (
@@ -15,36 +15,36 @@
 	"github.com/gopacket/gopacket/pcapgo"
 )
 
-// Bounds of reading.
+// Limits of Read. A conversation that exceeds the limits of buffered data is ended as one with a gap.
 const (
-	conversationsMost = 1024      // open at once
-	heldMost          = 256 << 10 // out-of-order bytes of one direction
-	earlyMost         = 2048      // and segments
-	packetMost        = 1 << 20
+	maxConversations    = 1024      // open at the same time; the oldest is ended when a new one exceeds it
+	maxBufferedBytes    = 256 << 10 // out-of-order data of one conversation
+	maxBufferedSegments = 2048      // out-of-order segments of one conversation
+	maxPacketBytes      = 1 << 20
 )
 
-// ErrCut tells that a file ends inside a packet; all before it has been read.
-var ErrCut = errors.New("pcapio: the file is cut inside a packet")
+// ErrCut reports that a file ends in the middle of a packet. All earlier packets have been read.
+var ErrCut = errors.New("pcapio: file is truncated in the middle of a packet")
 
-// Sink takes a file's conversations in the file's order.
+// Sink receives the conversations of a file, in the order of the file.
 type Sink interface {
-	// Open begins a conversation to a server's port.
+	// Open starts a conversation with the given port of a server.
 	Open(id int, server uint16) error
-	// Data is what the client sent next.
+	// Data receives the next bytes that the client sent.
 	Data(id int, b []byte) error
-	// Close ends a conversation; gap is the number of bytes that the file lacks, if that ended it.
+	// Close ends a conversation. gap is the number of bytes missing from the file if that ended it, else 0.
 	Close(id int, gap int) error
 }
 
-// Report counts what a file held.
+// Report has the counts of a file's packets, conversations and segments.
 type Report struct {
 	Packets, Conversations, Segments, Reordered, Repeated, Gaps, Skipped int
 }
 
-// Read reads a pcap or pcapng file and hands the client's side of each TCP conversation to sink.
+// Read reads a pcap or pcapng file and passes the data that the client sent in each TCP conversation to sink.
 func Read(r io.Reader, sink Sink) (rep Report, err error) {
 	br := bufio.NewReader(r)
-	src, link, err := open(br)
+	src, link, err := openCapture(br)
 	if err != nil {
 		return rep, err
 	}
@@ -53,29 +53,30 @@
 		data, _, err := src.ReadPacketData()
 		if err != nil {
 			if err == io.EOF {
-				return rep, a.finish()
+				return rep, a.closeAll()
 			}
-			end := a.finish()
+			closeErr := a.closeAll()
 			if errors.Is(err, io.ErrUnexpectedEOF) {
 				err = ErrCut
 			}
-			return rep, errors.Join(fmt.Errorf("packet %d: %w", rep.Packets+1, err), end)
+			return rep, errors.Join(fmt.Errorf("packet %d: %w", rep.Packets+1, err), closeErr)
 		}
 		rep.Packets++
-		if len(data) > packetMost {
+		if len(data) > maxPacketBytes {
 			rep.Skipped++
 			continue
 		}
-		if err := a.packet(gopacket.NewPacket(data, link, gopacket.DecodeOptions{Lazy: true, NoCopy: true})); err != nil {
+		if err := a.handlePacket(gopacket.NewPacket(data, link, gopacket.DecodeOptions{Lazy: true, NoCopy: true})); err != nil {
 			return rep, err
 		}
 	}
 }
 
-func open(br *bufio.Reader) (gopacket.PacketDataSource, gopacket.Decoder, error) {
+// openCapture opens a pcap or pcapng file and selects the decoder for its link type.
+func openCapture(br *bufio.Reader) (gopacket.PacketDataSource, gopacket.Decoder, error) {
 	magic, err := br.Peek(4)
 	if err != nil {
-		return nil, nil, errors.New("pcapio: too short for a pcap file")
+		return nil, nil, errors.New("pcapio: file is too short to be a pcap file")
 	}
 	var (
 		src  gopacket.PacketDataSource
@@ -84,30 +85,30 @@
 	if magic[0] == 0x0a && magic[1] == 0x0d && magic[2] == 0x0d && magic[3] == 0x0a {
 		ng, err := pcapgo.NewNgReader(br, pcapgo.DefaultNgReaderOptions)
 		if err != nil {
-			return nil, nil, fmt.Errorf("pcapio: no pcapng file: %w", err)
+			return nil, nil, fmt.Errorf("pcapio: not a valid pcapng file: %w", err)
 		}
 		src, link = ng, ng.LinkType()
 	} else {
 		p, err := pcapgo.NewReader(br)
 		if err != nil {
-			return nil, nil, fmt.Errorf("pcapio: no pcap file: %w", err)
+			return nil, nil, fmt.Errorf("pcapio: not a valid pcap file: %w", err)
 		}
 		src, link = p, p.LinkType()
 	}
 	switch link {
 	case layers.LinkTypeEthernet, layers.LinkTypeNull, layers.LinkTypeLoop, layers.LinkTypeLinuxSLL:
 		return src, link, nil
-	case layers.LinkTypeRaw, 12, 14: // how systems number raw IP differs
+	case layers.LinkTypeRaw, 12, 14: // the number of raw IP depends on the operating system
 		return src, rawIP{}, nil
 	case layers.LinkTypeIPv4:
 		return src, layers.LayerTypeIPv4, nil
 	case layers.LinkTypeIPv6:
 		return src, layers.LayerTypeIPv6, nil
 	}
-	return nil, nil, fmt.Errorf("pcapio: link type %d is not understood", uint(link))
+	return nil, nil, fmt.Errorf("pcapio: unsupported link type %d", uint(link))
 }
 
-// rawIP decodes packets that begin with an IP header.
+// rawIP decodes packets that start with an IP header.
 type rawIP struct{}
 
 // Decode decodes a packet as IPv4 or IPv6 by the version in its first byte, for gopacket.Decoder.
@@ -120,26 +121,26 @@
 
 type flowKey struct{ client, server netip.AddrPort }
 
-// flow is one direction of a conversation, from the client, put in order.
+// flow reassembles the client's direction of a conversation.
 type flow struct {
-	id     int
-	next   uint32 // the sequence number that comes next
-	synced bool
-	early  map[uint32][]byte // segments that came too early
-	held   int
-	fin    bool
-	finAt  uint32
+	id            int
+	nextSeq       uint32 // the next expected sequence number
+	synced        bool
+	outOfOrder    map[uint32][]byte // buffered segments by sequence number
+	bufferedBytes int
+	finSeen       bool
+	finSeq        uint32
 }
 
 type assembler struct {
-	sink  Sink
-	rep   *Report
-	flows map[flowKey]*flow
-	order []flowKey
-	ids   int
+	sink   Sink
+	rep    *Report
+	flows  map[flowKey]*flow
+	order  []flowKey
+	lastID int
 }
 
-func (a *assembler) packet(p gopacket.Packet) error {
+func (a *assembler) handlePacket(p gopacket.Packet) error {
 	tcp, ok := p.Layer(layers.LayerTypeTCP).(*layers.TCP)
 	if !ok {
 		a.rep.Skipped++
@@ -158,83 +159,84 @@
 		return nil
 	}
 	key := flowKey{netip.AddrPortFrom(src, uint16(tcp.SrcPort)), netip.AddrPortFrom(dst, uint16(tcp.DstPort))}
-	back := flowKey{key.server, key.client}
+	reverse := flowKey{key.server, key.client}
 	f := a.flows[key]
 	switch {
 	case tcp.SYN && !tcp.ACK:
-		if f != nil && f.synced && f.next != tcp.Seq+1 { // the ports are used again
-			if err := a.close(key, f, 0); err != nil {
+		if f != nil && f.synced && f.nextSeq != tcp.Seq+1 { // the client's port is reused for a new conversation
+			if err := a.closeFlow(key, f, 0); err != nil {
 				return err
 			}
 			f = nil
 		}
 		if f == nil {
 			var err error
-			if f, err = a.begin(key); err != nil {
+			if f, err = a.openFlow(key); err != nil {
 				return err
 			}
 		}
-		f.next, f.synced = tcp.Seq+1, true
-	case f == nil && a.flows[back] != nil: // the server's side
+		f.nextSeq, f.synced = tcp.Seq+1, true
+	case f == nil && a.flows[reverse] != nil: // a packet from the server
 		if tcp.RST {
-			return a.close(back, a.flows[back], 0)
+			return a.closeFlow(reverse, a.flows[reverse], 0)
 		}
 		return nil
 	case f == nil:
-		// Without its beginning a conversation can't be read from the right byte on: it is passed over.
+		// A conversation whose start was not recorded is skipped: the position of its first byte is unknown.
 		a.rep.Skipped++
 		return nil
 	}
 	if tcp.RST {
-		return a.close(key, f, 0)
+		return a.closeFlow(key, f, 0)
 	}
 	if tcp.FIN {
-		f.fin, f.finAt = true, tcp.Seq+uint32(len(tcp.Payload))
+		f.finSeen, f.finSeq = true, tcp.Seq+uint32(len(tcp.Payload))
 	}
 	if len(tcp.Payload) > 0 {
 		a.rep.Segments++
-		if err := a.segment(f, tcp.Seq, tcp.Payload); err != nil {
+		if err := a.handleSegment(f, tcp.Seq, tcp.Payload); err != nil {
 			return err
 		}
 	}
 	switch {
-	case f.held > heldMost || len(f.early) > earlyMost: // what is missing will not come any more
-		return a.close(key, f, a.missing(f))
-	case f.fin && int32(f.next-f.finAt) >= 0:
-		return a.close(key, f, 0)
+	case f.bufferedBytes > maxBufferedBytes || len(f.outOfOrder) > maxBufferedSegments: // the missing data is not expected any more
+		return a.closeFlow(key, f, a.gapSize(f))
+	case f.finSeen && int32(f.nextSeq-f.finSeq) >= 0:
+		return a.closeFlow(key, f, 0)
 	}
 	return nil
 }
 
-func (a *assembler) begin(key flowKey) (*flow, error) {
-	if len(a.flows) >= conversationsMost { // the oldest makes room
+func (a *assembler) openFlow(key flowKey) (*flow, error) {
+	if len(a.flows) >= maxConversations { // end the oldest
 		for len(a.order) > 0 {
 			old := a.order[0]
 			a.order = a.order[1:]
 			if f := a.flows[old]; f != nil {
-				if err := a.close(old, f, a.missing(f)); err != nil {
+				if err := a.closeFlow(old, f, a.gapSize(f)); err != nil {
 					return nil, err
 				}
 				break
 			}
 		}
 	}
-	a.ids++
-	f := &flow{id: a.ids, early: map[uint32][]byte{}}
+	a.lastID++
+	f := &flow{id: a.lastID, outOfOrder: map[uint32][]byte{}}
 	a.flows[key] = f
 	a.order = append(a.order, key)
 	a.rep.Conversations++
 	return f, a.sink.Open(f.id, key.server.Port())
 }
 
-// segment hands on what is next and keeps what came early; bytes that were there before are cut off.
-func (a *assembler) segment(f *flow, seq uint32, b []byte) error {
-	ahead := int32(seq - f.next)
+// handleSegment passes on data that is next in sequence and buffers out-of-order segments. Bytes that were already passed on
+// are removed.
+func (a *assembler) handleSegment(f *flow, seq uint32, b []byte) error {
+	ahead := int32(seq - f.nextSeq)
 	if ahead > 0 {
 		a.rep.Reordered++
-		if old := f.early[seq]; len(old) < len(b) {
-			f.held += len(b) - len(old)
-			f.early[seq] = append([]byte(nil), b...)
+		if old := f.outOfOrder[seq]; len(old) < len(b) {
+			f.bufferedBytes += len(b) - len(old)
+			f.outOfOrder[seq] = append([]byte(nil), b...)
 		}
 		return nil
 	}
@@ -243,21 +245,21 @@
 		return nil
 	}
 	for b != nil {
-		b = b[int32(f.next-seq):]
-		f.next += uint32(len(b))
+		b = b[int32(f.nextSeq-seq):]
+		f.nextSeq += uint32(len(b))
 		if err := a.sink.Data(f.id, b); err != nil {
 			return err
 		}
 		b = nil
-		for early, held := range f.early { // what now fits
-			end := early + uint32(len(held))
-			if int32(early-f.next) > 0 {
+		for startSeq, data := range f.outOfOrder { // find a buffered segment that is now in sequence
+			endSeq := startSeq + uint32(len(data))
+			if int32(startSeq-f.nextSeq) > 0 {
 				continue
 			}
-			delete(f.early, early)
-			f.held -= len(held)
-			if int32(end-f.next) > 0 {
-				seq, b = early, held
+			delete(f.outOfOrder, startSeq)
+			f.bufferedBytes -= len(data)
+			if int32(endSeq-f.nextSeq) > 0 {
+				seq, b = startSeq, data
 				break
 			}
 		}
@@ -265,42 +267,42 @@
 	return nil
 }
 
-// missing is the size of the gap before what came early.
-func (a *assembler) missing(f *flow) int {
+// gapSize returns the number of bytes missing before the first buffered segment, or before the FIN if none is buffered.
+func (a *assembler) gapSize(f *flow) int {
 	gap := 0
-	for seq := range f.early {
-		if d := int(int32(seq - f.next)); gap == 0 || d < gap {
+	for seq := range f.outOfOrder {
+		if d := int(int32(seq - f.nextSeq)); gap == 0 || d < gap {
 			gap = d
 		}
 	}
-	if gap == 0 && f.fin {
-		gap = max(0, int(int32(f.finAt-f.next)))
+	if gap == 0 && f.finSeen {
+		gap = max(0, int(int32(f.finSeq-f.nextSeq)))
 	}
 	return gap
 }
 
-func (a *assembler) close(key flowKey, f *flow, gap int) error {
+func (a *assembler) closeFlow(key flowKey, f *flow, gap int) error {
 	delete(a.flows, key)
 	if gap > 0 {
 		a.rep.Gaps++
 	}
-	if len(a.order) > 4*conversationsMost {
-		keep := a.order[:0]
+	if len(a.order) > 4*maxConversations {
+		open := a.order[:0]
 		for _, k := range a.order {
 			if a.flows[k] != nil {
-				keep = append(keep, k)
+				open = append(open, k)
 			}
 		}
-		a.order = keep
+		a.order = open
 	}
 	return a.sink.Close(f.id, gap)
 }
 
-// finish closes what is still open, in the order of its beginning.
-func (a *assembler) finish() error {
+// closeAll closes the conversations that are still open, in the order in which they were opened.
+func (a *assembler) closeAll() error {
 	for _, k := range a.order {
 		if f := a.flows[k]; f != nil {
-			if err := a.close(k, f, a.missing(f)); err != nil {
+			if err := a.closeFlow(k, f, a.gapSize(f)); err != nil {
 				return err
 			}
 		}
--- a/pcapio/write.go
+++ b/pcapio/write.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	segmentMost = 32 << 10
-	snapLen     = 64 << 10
+	maxSegmentBytes = 32 << 10
+	snapLen         = 64 << 10
 )
 
-// Writer writes exchanges to a pcap file of raw IP packets.
+// Writer records connections in a pcap file of raw IP packets.
 type Writer struct {
 	clock *clock.Clock
-	plain bool // tokens are written as they are
+	plain bool // tokens and secrets are not redacted
 
 	mu  sync.Mutex
 	buf *bufio.Writer
@@ -31,7 +31,7 @@
 	err error
 }
 
-// NewWriter begins a file. Tokens and secrets are written as a row of x of their length, unless plain.
+// NewWriter writes the header of a file. Unless plain is set, each byte of a token or secret is replaced by an x.
 func NewWriter(w io.Writer, clk *clock.Clock, plain bool) (*Writer, error) {
 	buf := bufio.NewWriterSize(w, 64<<10)
 	out := pcapgo.NewWriter(buf)
@@ -41,7 +41,7 @@
 	return &Writer{clock: clk, plain: plain, buf: buf, out: out}, nil
 }
 
-// Flush writes out what is held back and tells of the first error.
+// Flush writes the buffered data and returns the first error since NewWriter.
 func (w *Writer) Flush() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -51,22 +51,22 @@
 	return w.err
 }
 
-// Tap records a connection: what is read came from the client, what is written goes to it.
+// Tap returns a connection that records all data: bytes read are the client's, bytes written are the server's.
 func (w *Writer) Tap(c net.Conn) net.Conn {
-	t := &tapped{Conn: c, w: w}
+	t := &tappedConn{Conn: c, w: w}
 	t.client, t.server = addrPort(c.RemoteAddr(), 40000), addrPort(c.LocalAddr(), 80)
-	if !t.client.Addr().Is4() || !t.server.Addr().Is4() { // one family in a conversation
+	if !t.client.Addr().Is4() || !t.server.Addr().Is4() { // both addresses of a packet must be of the same family
 		t.client = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), t.client.Port())
 		t.server = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), t.server.Port())
 	}
 	t.up.seq, t.down.seq = 1000, 5000
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.packet(t, true, nil, tcpSYN)
+	w.writePacket(t, true, nil, tcpSYN)
 	t.up.seq++
-	w.packet(t, false, nil, tcpSYN|tcpACK)
+	w.writePacket(t, false, nil, tcpSYN|tcpACK)
 	t.down.seq++
-	w.packet(t, true, nil, tcpACK)
+	w.writePacket(t, true, nil, tcpACK)
 	return t
 }
 
@@ -74,7 +74,7 @@
 	if ap, err := netip.ParseAddrPort(a.String()); err == nil {
 		return netip.AddrPortFrom(ap.Addr().Unmap(), ap.Port())
 	}
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port) // a pipe has no address
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port) // the address of a pipe has no IP and port
 }
 
 const (
@@ -84,49 +84,49 @@
 	tcpACK
 )
 
-// side is one direction of a recorded conversation.
-type side struct {
+// direction is the state of one direction of a recorded connection.
+type direction struct {
 	seq    uint32
 	redact redactor
 }
 
-type tapped struct {
+type tappedConn struct {
 	net.Conn
 	w              *Writer
 	client, server netip.AddrPort
-	up, down       side
+	up, down       direction
 	once           sync.Once
 }
 
-// Read reads from the connection and writes the bytes to the file as the client's.
-func (t *tapped) Read(b []byte) (int, error) {
+// Read reads from the connection and records the bytes as sent by the client.
+func (t *tappedConn) Read(b []byte) (int, error) {
 	n, err := t.Conn.Read(b)
-	t.w.data(t, true, b[:n])
+	t.w.writeData(t, true, b[:n])
 	return n, err
 }
 
-// Write writes to the connection, and writes what was sent to the file as the server's.
-func (t *tapped) Write(b []byte) (int, error) {
+// Write writes to the connection and records the bytes written as sent by the server.
+func (t *tappedConn) Write(b []byte) (int, error) {
 	n, err := t.Conn.Write(b)
-	t.w.data(t, false, b[:n])
+	t.w.writeData(t, false, b[:n])
 	return n, err
 }
 
-// Close closes the connection and writes the end of both directions to the file, once.
-func (t *tapped) Close() error {
+// Close closes the connection and, on the first call, records the end of both directions.
+func (t *tappedConn) Close() error {
 	t.once.Do(func() {
 		t.w.mu.Lock()
 		defer t.w.mu.Unlock()
-		t.w.packet(t, true, nil, tcpFIN|tcpACK)
+		t.w.writePacket(t, true, nil, tcpFIN|tcpACK)
 		t.up.seq++
-		t.w.packet(t, false, nil, tcpFIN|tcpACK)
+		t.w.writePacket(t, false, nil, tcpFIN|tcpACK)
 		t.down.seq++
-		t.w.packet(t, true, nil, tcpACK)
+		t.w.writePacket(t, true, nil, tcpACK)
 	})
 	return t.Conn.Close()
 }
 
-func (w *Writer) data(t *tapped, up bool, b []byte) {
+func (w *Writer) writeData(t *tappedConn, up bool, b []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := &t.up
@@ -134,19 +134,19 @@
 		s = &t.down
 	}
 	for len(b) > 0 {
-		n := min(len(b), segmentMost)
+		n := min(len(b), maxSegmentBytes)
 		part := append([]byte(nil), b[:n]...)
 		if !w.plain {
-			s.redact.apply(part)
+			s.redact.redact(part)
 		}
-		w.packet(t, up, part, tcpPSH|tcpACK)
+		w.writePacket(t, up, part, tcpPSH|tcpACK)
 		s.seq += uint32(n)
 		b = b[n:]
 	}
 }
 
-// packet writes one packet. The caller has the lock.
-func (w *Writer) packet(t *tapped, up bool, payload []byte, flags byte) {
+// writePacket writes one packet. The caller must hold mu.
+func (w *Writer) writePacket(t *tappedConn, up bool, payload []byte, flags byte) {
 	if w.err != nil {
 		return
 	}
@@ -177,8 +177,8 @@
 	w.err = w.out.WritePacket(gopacket.CaptureInfo{Timestamp: at, CaptureLength: len(b), Length: len(b)}, b)
 }
 
-// secrets are what comes before a value that is not written, with the bytes that end the value.
-var secrets = []struct{ lead, ends string }{
+// secretPatterns are the prefixes, in lower case, of values to redact, each with the bytes that terminate the value.
+var secretPatterns = []struct{ prefix, terminators string }{
 	{"?cat=", " &;\r\n\""},
 	{"&cat=", " &;\r\n\""},
 	{"access-token:", "\r\n"},
@@ -195,35 +195,35 @@
 	{`"private":`, ",}"},
 }
 
-const leadMost = 18
+const maxPrefixBytes = 18
 
-// redactor replaces secrets in a stream by as many x, also where a secret is cut between two reads.
+// redactor replaces each byte of a secret in a stream by an x, also when the secret or its prefix is split between two reads.
 type redactor struct {
-	tail [leadMost]byte // the last bytes, in lower case
-	ends string         // within a secret: what ends it
+	recent      [maxPrefixBytes]byte // the last bytes outside of secrets, in lower case
+	terminators string               // within a secret, the bytes that terminate it; empty outside
 }
 
-func (r *redactor) apply(b []byte) {
+func (r *redactor) redact(b []byte) {
 	for i, c := range b {
-		if r.ends != "" {
+		if r.terminators != "" {
 			ended := false
-			for _, e := range []byte(r.ends) {
+			for _, e := range []byte(r.terminators) {
 				ended = ended || c == e
 			}
 			if !ended {
 				b[i] = 'x'
 				continue
 			}
-			r.ends = ""
+			r.terminators = ""
 		}
 		if c >= 'A' && c <= 'Z' {
 			c += 'a' - 'A'
 		}
-		copy(r.tail[:], r.tail[1:])
-		r.tail[leadMost-1] = c
-		for _, s := range secrets {
-			if string(r.tail[leadMost-len(s.lead):]) == s.lead {
-				r.ends = s.ends
+		copy(r.recent[:], r.recent[1:])
+		r.recent[maxPrefixBytes-1] = c
+		for _, s := range secretPatterns {
+			if string(r.recent[maxPrefixBytes-len(s.prefix):]) == s.prefix {
+				r.terminators = s.terminators
 			}
 		}
 	}
