--- a/example/toystore/main.go
+++ b/example/toystore/main.go
@@ -1,5 +1,5 @@
-// Command toystore runs a fake cache and a fake origin for trying out the gateway. The origin generates every object, the cache
-// keeps the names of those requested in memory, and the "ride-end" requests are counted.
+// Command toystore runs a fake cache and a fake origin for trying out the gateway. Objects are generated, the cache remembers in
+// memory which ones it was filled with, and "ride-end" requests are counted.
 package main
 
 import (
@@ -20,38 +20,38 @@
 	flag.Parse()
 
 	var mu sync.Mutex
-	held, rides := map[string]time.Time{}, 0
-	word := func(c fakestore.Call, why string, at time.Time) (string, string, []byte, bool) {
+	cachedSince, ridesEnded := map[string]time.Time{}, 0
+	respond := func(c fakestore.Call, why string, at time.Time) (string, string, []byte, bool) {
 		fields := fmt.Sprintf("tag=%016x,minted=%d,why=%s", at.UnixMilli(), at.UnixMilli(), why)
 		log.Printf("%s %s %s/%s: %s", c.Verb, c.Fields["lane"], c.Fields["name"], c.Fields["piece"], why)
 		return "ACK", fields, fmt.Appendf(nil, "%s %s, part %s\n", c.Fields["lane"], c.Fields["name"], c.Fields["piece"]), true
 	}
 	fromOrigin := func(c fakestore.Call, why string) (string, string, []byte, bool) {
 		if c.Fields["lane"] == "ride-end" {
-			rides++
-			log.Printf("rides ended: %d", rides)
+			ridesEnded++
+			log.Printf("rides ended: %d", ridesEnded)
 		}
-		return word(c, why, time.Now())
+		return respond(c, why, time.Now())
 	}
-	a, err := fakestore.Listen(*cache, func(c fakestore.Call) (string, string, []byte, bool) {
+	cacheEndpoint, err := fakestore.Listen(*cache, func(c fakestore.Call) (string, string, []byte, bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		key := c.Fields["name"] + "/" + c.Fields["piece"]
-		if at, ok := held[key]; ok && c.Fields["lane"] != "ride-end" {
-			return word(c, "local", at)
+		if at, ok := cachedSince[key]; ok && c.Fields["lane"] != "ride-end" {
+			return respond(c, "local", at)
 		}
 		if c.Fields["via"] == "" {
 			return "NOENT", "-", nil, true
 		}
-		if c.Fields["tier"] != "" && len(held) < 10000 {
-			held[key] = time.Now()
+		if c.Fields["tier"] != "" && len(cachedSince) < 10000 {
+			cachedSince[key] = time.Now()
 		}
 		return fromOrigin(c, "pulled_far")
 	})
 	if err != nil {
 		log.Fatal(err)
 	}
-	b, err := fakestore.Listen(*origin, func(c fakestore.Call) (string, string, []byte, bool) {
+	originEndpoint, err := fakestore.Listen(*origin, func(c fakestore.Call) (string, string, []byte, bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		return fromOrigin(c, "local")
@@ -59,10 +59,10 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	log.Printf("cache listening on %s, origin listening on %s", a.Addr(), b.Addr())
-	end := make(chan os.Signal, 1)
-	signal.Notify(end, os.Interrupt)
-	<-end
-	a.Close()
-	b.Close()
+	log.Printf("cache listening on %s, origin listening on %s", cacheEndpoint.Addr(), originEndpoint.Addr())
+	interrupted := make(chan os.Signal, 1)
+	signal.Notify(interrupted, os.Interrupt)
+	<-interrupted
+	cacheEndpoint.Close()
+	originEndpoint.Close()
 }
--- a/internal/fakestore/authority.go
+++ b/internal/fakestore/authority.go
@@ -13,8 +13,8 @@
 )
 
 // Authority generates a certificate authority and returns a function that issues TLS settings for one member each: a
-// certificate for 127.0.0.1 and the further addresses, and the authority as the only root.
-func Authority(further ...net.IP) (func() (*tls.Config, error), error) {
+// certificate for 127.0.0.1 and extraIPs, with the authority as the only root.
+func Authority(extraIPs ...net.IP) (func() (*tls.Config, error), error) {
 	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 		}
 		leaf := &x509.Certificate{
 			SerialNumber: serial, NotBefore: ca.NotBefore, NotAfter: ca.NotAfter,
-			IPAddresses: append([]net.IP{net.IPv4(127, 0, 0, 1)}, further...),
+			IPAddresses: append([]net.IP{net.IPv4(127, 0, 0, 1)}, extraIPs...),
 			ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 		}
 		der, err := x509.CreateCertificate(rand.Reader, leaf, root, &key.PublicKey, caKey)
--- a/internal/fakestore/fakestore.go
+++ b/internal/fakestore/fakestore.go
@@ -24,7 +24,7 @@
 type Store struct {
 	// Handle returns the response to a GET; no response is sent if ok is false. It may block: each GET has its own
 	// goroutine.
-	Handle     func(c Call) (word, fields string, body []byte, ok bool)
+	Handle     func(c Call) (status, fields string, body []byte, ok bool)
 	beforeRead func(r *bufio.Reader)
 
 	server // Close waits for all calls of Handle to return
--- a/internal/fakestore/slow_store.go
+++ b/internal/fakestore/slow_store.go
@@ -36,15 +36,15 @@
 	mu                     sync.Mutex
 	cond                   *sync.Cond
 	paused                 bool
-	pingsPaused            bool           // PINGs wait as well, until all pending ends are processed
-	pendingEnds            int            // DROPs and ends of connections that are received but not yet processed
-	open                   map[string]int // open attempts, by ID
-	received               map[string]int // number of GETs, by ID
-	calls                  []Call         // all GETs, in order of arrival
-	epoch                  int            // input from connections that were opened in an earlier epoch is discarded
-	duplicates             int
-	sameEndpointDuplicates int // duplicates at the endpoint that had the other open attempt
-	openAt                 map[[2]string]int
+	pingsPaused            bool              // PINGs wait as well, until all pending ends are processed
+	pendingEnds            int               // DROPs and ends of connections that are received but not yet processed
+	open                   map[string]int    // open attempts, by ID
+	received               map[string]int    // number of GETs, by ID
+	calls                  []Call            // all GETs, in order of arrival
+	epoch                  int               // input from connections that were opened in an earlier epoch is discarded
+	duplicates             int               // GETs for a request that had another open attempt
+	sameEndpointDuplicates int               // duplicates at the endpoint that had the other open attempt
+	openAt                 map[[2]string]int // open attempts, by address and ID
 }
 
 // NewSlowStore starts the given number of endpoints. behaviorOf returns the behavior for GET number n (from 0) of an ID.
@@ -242,9 +242,9 @@
 }
 
 // writeResponse writes a complete response with fixed fields and the body "ok".
-func writeResponse(c net.Conn, id, word string) {
+func writeResponse(c net.Conn, id, status string) {
 	fields := "tag=0a,minted=1,why=local"
-	fmt.Fprintf(c, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$2\r\nok\r\n", len(id), id, len(word), word, len(fields), fields)
+	fmt.Fprintf(c, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$2\r\nok\r\n", len(id), id, len(status), status, len(fields), fields)
 }
 
 // respond writes a response, a part of one or nothing, and closes or resets the connection, as behavior says.
--- a/pcapio/read.go
+++ b/pcapio/read.go
@@ -20,7 +20,7 @@
 	maxConversations    = 1024      // open at the same time; the oldest is ended when a new one exceeds it
 	maxBufferedBytes    = 256 << 10 // out-of-order data of one conversation
 	maxBufferedSegments = 2048      // out-of-order segments of one conversation
-	maxPacketBytes      = 1 << 20
+	maxPacketBytes      = 1 << 20   // larger packets are skipped
 )
 
 // ErrCut reports that a file ends in the middle of a packet. All earlier packets have been read.
@@ -199,7 +199,7 @@
 		}
 	}
 	switch {
-	case f.bufferedBytes > maxBufferedBytes || len(f.outOfOrder) > maxBufferedSegments: // the missing data is not expected any more
+	case f.bufferedBytes > maxBufferedBytes || len(f.outOfOrder) > maxBufferedSegments: // treat the missing data as lost
 		return a.closeFlow(key, f, a.gapSize(f))
 	case f.finSeen && int32(f.nextSeq-f.finSeq) >= 0:
 		return a.closeFlow(key, f, 0)
--- a/pcapio/write.go
+++ b/pcapio/write.go
@@ -59,13 +59,13 @@
 		t.client = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), t.client.Port())
 		t.server = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), t.server.Port())
 	}
-	t.up.seq, t.down.seq = 1000, 5000
+	t.fromClient.seq, t.fromServer.seq = 1000, 5000
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.writePacket(t, true, nil, tcpSYN)
-	t.up.seq++
+	t.fromClient.seq++
 	w.writePacket(t, false, nil, tcpSYN|tcpACK)
-	t.down.seq++
+	t.fromServer.seq++
 	w.writePacket(t, true, nil, tcpACK)
 	return t
 }
@@ -86,16 +86,16 @@
 
 // direction is the state of one direction of a recorded connection.
 type direction struct {
-	seq    uint32
-	redact redactor
+	seq      uint32
+	redactor redactor
 }
 
 type tappedConn struct {
 	net.Conn
-	w              *Writer
-	client, server netip.AddrPort
-	up, down       direction
-	once           sync.Once
+	w                      *Writer
+	client, server         netip.AddrPort
+	fromClient, fromServer direction
+	once                   sync.Once
 }
 
 // Read reads from the connection and records the bytes as sent by the client.
@@ -118,41 +118,41 @@
 		t.w.mu.Lock()
 		defer t.w.mu.Unlock()
 		t.w.writePacket(t, true, nil, tcpFIN|tcpACK)
-		t.up.seq++
+		t.fromClient.seq++
 		t.w.writePacket(t, false, nil, tcpFIN|tcpACK)
-		t.down.seq++
+		t.fromServer.seq++
 		t.w.writePacket(t, true, nil, tcpACK)
 	})
 	return t.Conn.Close()
 }
 
-func (w *Writer) writeData(t *tappedConn, up bool, b []byte) {
+func (w *Writer) writeData(t *tappedConn, isClient bool, b []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := &t.up
-	if !up {
-		s = &t.down
+	s := &t.fromClient
+	if !isClient {
+		s = &t.fromServer
 	}
 	for len(b) > 0 {
 		n := min(len(b), maxSegmentBytes)
 		part := append([]byte(nil), b[:n]...)
 		if !w.plain {
-			s.redact.redact(part)
+			s.redactor.redact(part)
 		}
-		w.writePacket(t, up, part, tcpPSH|tcpACK)
+		w.writePacket(t, isClient, part, tcpPSH|tcpACK)
 		s.seq += uint32(n)
 		b = b[n:]
 	}
 }
 
 // writePacket writes one packet. The caller must hold mu.
-func (w *Writer) writePacket(t *tappedConn, up bool, payload []byte, flags byte) {
+func (w *Writer) writePacket(t *tappedConn, isClient bool, payload []byte, flags byte) {
 	if w.err != nil {
 		return
 	}
-	from, to, seq, ack := t.client, t.server, t.up.seq, t.down.seq
-	if !up {
-		from, to, seq, ack = t.server, t.client, t.down.seq, t.up.seq
+	from, to, seq, ack := t.client, t.server, t.fromClient.seq, t.fromServer.seq
+	if !isClient {
+		from, to, seq, ack = t.server, t.client, t.fromServer.seq, t.fromClient.seq
 	}
 	ip := &layers.IPv4{
 		Version: 4, TTL: 64, Protocol: layers.IPProtocolTCP, SrcIP: from.Addr().AsSlice(), DstIP: to.Addr().AsSlice(),
