--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -1,6 +1,6 @@
-// Package controlplane is the control side of a gateway: it opens the replicated state that the operator's file names, as a
-// voter, as a subscriber or alone, and brings what changes there into force. Configuration goes to the signed front; purges,
-// and the bound on the age of copies while purges may be missing, go to the core.
+// Package controlplane connects a gateway to the replicated state. It opens the state as the operator's file configures it (as
+// a voter, as a subscriber or standalone) and applies its changes in the gateway: configuration goes to the signed frontend,
+// and purges go to the core. While purges may be missing, it also bounds the age of the copies that the core requests.
 package controlplane
 
 import (
@@ -21,43 +21,44 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// Plane is a gateway's control side. Its Control is nil until Open.
+// Plane is a gateway's access to the replicated state. Its Control is nil until Open.
 type Plane struct {
 	replica.Control
 
 	Timing distribution.Timing // of a subscriber; set before Open, the zero value takes the defaults
-	Dial   replica.DialFunc    // opens a subscriber's connections; nil: TCP
+	Dial   replica.DialFunc    // opens a subscriber's connections to voters; nil: TCP
 
-	// OpenLogs opens a voter's file of the log; nil: replica.OpenLogDatabase.
+	// OpenLogs opens a voter's log file; nil: replica.OpenLogDatabase.
 	OpenLogs func(path string) (replica.LogDatabase, error)
 
 	operator   *config.Operator
 	clock      *clock.Clock
 	log        zerolog.Logger
-	events     front.Mailbox[core.Event] // a change must not wait for the core
-	subscriber *replica.Subscriber       // nil: a voter, or alone
-	store      *replica.Store            // nil: a subscriber, or alone
+	events     front.Mailbox[core.Event] // queues events, as callbacks of package replica must not block
+	subscriber *replica.Subscriber       // nil: voter or standalone
+	store      *replica.Store            // nil: subscriber or standalone
 
-	mu        sync.Mutex
-	configure func(name string, value json.RawMessage)
+	mu       sync.Mutex
+	onConfig func(name string, value json.RawMessage)
 }
 
-// New makes a control side that Open starts; operator may be nil.
+// New returns a Plane that Open starts. operator may be nil: the gateway is then standalone.
 func New(operator *config.Operator, clk *clock.Clock, log zerolog.Logger) *Plane {
 	return &Plane{operator: operator, clock: clk, log: log}
 }
 
-// subscribes tells whether the gateway has a copy of the state without a vote.
-func (p *Plane) subscribes() bool { return p.operator != nil && p.operator.Replica.Subscribe }
+// isSubscriber reports whether the gateway follows the replicated state without voting.
+func (p *Plane) isSubscriber() bool { return p.operator != nil && p.operator.Replica.Subscribe }
 
-// votes tells whether the gateway is one of several members.
-func (p *Plane) votes() bool {
+// isVoter reports whether the gateway is a voting member of a group.
+func (p *Plane) isVoter() bool {
 	return p.operator != nil && !p.operator.Replica.Subscribe && len(p.operator.Replica.Members) > 0
 }
 
-// CopyAgeBound gives the core's bound on copies' age; nil where there is never one, as changes come from nowhere else.
+// CopyAgeBound returns a function for core.Options.MaxCopyAge: it bounds the age of copies unless the state is fresh. It is
+// nil for a standalone gateway, which makes all changes of its state itself and can't miss a purge.
 func (p *Plane) CopyAgeBound() func() time.Duration {
-	if !p.subscribes() && !p.votes() {
+	if !p.isSubscriber() && !p.isVoter() {
 		return nil
 	}
 	return func() time.Duration {
@@ -68,13 +69,13 @@
 	}
 }
 
-// Open starts it. Events go to post, which may wait.
+// Open opens the replicated state. Events are passed to post, which may block.
 func (p *Plane) Open(post func(core.Event)) (err error) {
 	p.events.Post = post
 	switch {
-	case p.subscribes():
+	case p.isSubscriber():
 		err = p.openSubscriber()
-	case p.votes():
+	case p.isVoter():
 		err = p.openVoter()
 	default:
 		p.Control, err = replica.Open(p.storeOptions())
@@ -82,7 +83,7 @@
 	return err
 }
 
-// Close ends it, where it was opened.
+// Close closes the replicated state, if it was opened.
 func (p *Plane) Close() error {
 	if p.Control == nil {
 		return nil
@@ -132,62 +133,65 @@
 
 func (p *Plane) storeOptions() replica.Options {
 	return replica.Options{
-		Clock: p.clock, Log: p.log, Changed: p.changed, Purged: p.Purged, Missed: p.PurgesMissed, Timing: p.Timing,
+		Clock: p.clock, Log: p.log, Changed: p.applyConfig, Purged: p.Purged, Missed: p.PurgesMissed, Timing: p.Timing,
 	}
 }
 
-// Configure names what takes configuration from now on, and gives it the present values of the names.
-func (p *Plane) Configure(take func(name string, value json.RawMessage), names ...string) {
+// Configure sets the function that is called with each change of the configuration, and calls it with the current values of
+// the given names.
+func (p *Plane) Configure(apply func(name string, value json.RawMessage), names ...string) {
 	p.mu.Lock()
-	defer p.mu.Unlock() // a change that comes meanwhile follows
-	p.configure = take
+	defer p.mu.Unlock() // a concurrent change is passed on afterwards
+	p.onConfig = apply
 	for _, name := range names {
 		var value json.RawMessage
 		if ok, err := p.Get(name, &value); ok && err == nil {
-			take(name, value)
+			apply(name, value)
 		}
 	}
 }
 
-// changed takes a piece of configuration in.
-func (p *Plane) changed(name string, value json.RawMessage) {
+// applyConfig passes a configuration value to the function set by Configure.
+func (p *Plane) applyConfig(name string, value json.RawMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.configure != nil {
-		p.configure(name, value)
+	if p.onConfig != nil {
+		p.onConfig(name, value)
 	}
 }
 
-// Configured takes a change of configuration; one that is removed stays as it was until the next start.
+// Configured applies a changed configuration value. A deleted value stays in force until the next start.
 func (p *Plane) Configured(name string, value []byte) {
 	if value != nil {
-		p.changed(name, value)
+		p.applyConfig(name, value)
 	}
 }
 
-// Purged hands a purge to the core, as made now: it was made before, and copies of then are void whatever clocks say.
+// Purged passes a purge to the core, dated with the time of its receipt. The purge was made before that, so that the copies
+// it invalidates are all older than this date; the proposer's date would be too early if its clock is behind.
 func (p *Plane) Purged(c distribution.Change) {
 	p.events.Put(core.Purge{Object: c.Object, Group: c.Group, At: p.clock.Unix()})
 }
 
-// PurgesMissed tells of purges that may never be known. This gateway keeps no copies of its own, and stores drop theirs by
-// themselves.
+// PurgesMissed logs that purges proposed before a Unix time in ms may never be received. There are no copies to drop here: the
+// gateway keeps none, and endpoints drop invalidated copies by themselves.
 func (p *Plane) PurgesMissed(before int64) {
-	p.log.Info().Time("before", time.UnixMilli(before)).Msg("purges may have been missed: their stores have dropped the copies")
+	p.log.Info().Time("before", time.UnixMilli(before)).Msg("purges may have been missed")
 }
 
-// freshnessChanged puts the bound on copies' age into effect, behind every purge that came before.
+// freshnessChanged logs that the state became fresh or stale. While it is stale, copies older than the log field max_copy_age
+// are not requested, and a subscriber begins no claims (a voter's fail without a majority). The event that makes the core apply
+// the bound on copies is queued after the purges received before.
 func (p *Plane) freshnessChanged(fresh bool) {
 	if fresh {
-		p.log.Info().Msg("the replicated state is complete")
+		p.log.Info().Msg("replicated state became fresh")
 		return
 	}
-	p.log.Warn().Dur("max_copy_age", p.Timing.StaleCopyAge()).
-		Msg("the replicated state is stale: no single-use work is begun, and no older copies are asked for")
+	p.log.Warn().Dur("max_copy_age", p.Timing.StaleCopyAge()).Msg("replicated state became stale")
 	p.events.Put(core.CopyAgeBounded{})
 }
 
-// Subscription tells how a subscriber or a voter stands; nil: the gateway is alone.
+// Subscription returns the status of a subscriber's or a voter's copy of the state; nil: the gateway is standalone.
 func (p *Plane) Subscription() *adminapi.Subscription {
 	var status replica.SubscriberStatus
 	switch {
@@ -208,7 +212,7 @@
 	return out
 }
 
-// StorageError tells what is wrong with a voter's disk; nil: nothing is known to be.
+// StorageError returns the error of a voter's disk; nil: none is known, or the gateway is not a voter.
 func (p *Plane) StorageError() error {
 	if p.store == nil {
 		return nil
--- a/internal/controlplane/controlplane_test.go
+++ b/internal/controlplane/controlplane_test.go
@@ -9,23 +9,23 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// A purge voids the copies of before it came, whatever clock dated it and however this gateway's is stepped: a date that seems an
-// hour old would let copies of the last hour pass.
-func TestPurgeCountsFromItsReceipt(t *testing.T) {
-	const hour, now = 3600 * 1000, 1e12 // ms
-	for name, x := range map[string]struct{ step, date float64 }{
-		"clocks agree":              {0, now},
-		"dated by a clock behind":   {0, now - hour},
-		"dated by a clock ahead":    {0, now + hour},
-		"this clock is ahead":       {hour, now},
-		"this clock was set behind": {-hour, now},
+// A purge must invalidate every copy made before it was received, even if the proposer's clock is wrong or this gateway's clock
+// was stepped: a purge that appears to be an hour old would leave the copies of the last hour valid.
+func TestPurgeIsDatedAtReceipt(t *testing.T) {
+	const hour, now = 3600 * 1000, 1e12 // in ms
+	for name, test := range map[string]struct{ clockStep, proposedAt float64 }{
+		"clocks agree":                 {0, now},
+		"proposer's clock is behind":   {0, now - hour},
+		"proposer's clock is ahead":    {0, now + hour},
+		"gateway's clock is ahead":     {hour, now},
+		"gateway's clock was set back": {-hour, now},
 	} {
 		clk := clock.Manual(now)
-		clk.Step(x.step)
+		clk.Step(test.clockStep)
 		got := make(chan core.Event, 1)
 		p := New(nil, clk, zerolog.Nop())
 		p.events.Post = func(e core.Event) { got <- e }
-		p.Purged(distribution.Change{Object: 5, Group: 2, At: int64(x.date)})
+		p.Purged(distribution.Change{Object: 5, Group: 2, At: int64(test.proposedAt)})
 		if purge := (<-got).(core.Purge); purge != (core.Purge{Object: 5, Group: 2, At: clk.Unix()}) {
 			t.Errorf("%s: %+v", name, purge)
 		}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,7 +1,7 @@
 // Package membership decides how a lost voter of a replicated store is replaced, one change of the group at a time.
 //
-// It does no I/O: the caller passes the group as it is, makes the change that [Replacement.Next] returns, and calls it again. A
-// replacement that was interrupted is therefore resumed by starting it again. Package replica makes the changes.
+// It does no I/O: the caller passes the current group to [Replacement.Next], makes the change that it returns, and calls it
+// again. An interrupted replacement is therefore resumed by starting it again. Package replica makes the changes.
 package membership
 
 import (
@@ -16,7 +16,7 @@
 	Addr string `toml:"addr" json:"addr"`
 }
 
-// Server is a member with its suffrage. A non-voter receives the log, but does not count for a majority.
+// Server is a member of the group, and whether it is a voter. A non-voter receives the log, but does not count for a majority.
 type Server struct {
 	Member
 	Votes bool
@@ -34,21 +34,21 @@
 
 // RefusedError is returned for a replacement that is impossible: retrying it is useless.
 type RefusedError struct {
-	Reason string
-	kind   error // the error of this package that it adds details to; nil: none
+	Reason   string
+	sentinel error // the package's error that this one adds a detail to; nil: none
 }
 
 // Error returns the reason.
 func (e *RefusedError) Error() string { return ErrRefused.Error() + ": " + e.Reason }
 
-// Is reports whether target is ErrRefused or the error that e adds details to.
+// Is reports whether target is ErrRefused or the package's error that e adds a detail to.
 func (e *RefusedError) Is(target error) bool {
-	return target == ErrRefused || e.kind != nil && target == e.kind
+	return target == ErrRefused || e.sentinel != nil && target == e.sentinel
 }
 
 // withDetail returns an error that matches e, with a detail added to its reason.
 func (e *RefusedError) withDetail(detail string) error {
-	return &RefusedError{Reason: e.Reason + ": " + detail, kind: e}
+	return &RefusedError{Reason: e.Reason + ": " + detail, sentinel: e}
 }
 
 // Errors of Check and Next.
@@ -59,11 +59,11 @@
 	ErrConflict      = &RefusedError{Reason: "the joining member's name or address is a member's already"}
 )
 
-// ErrCatchingUp is returned while the joining member can't be reached or lacks log entries. The replacement is resumed by
-// starting it again.
+// ErrCatchingUp is returned by package replica while the joining member can't be reached or lacks log entries. The
+// replacement is resumed by starting it again.
 var ErrCatchingUp = errors.New("membership: the joining member is not reached, or does not have the whole log yet")
 
-// Check checks a replacement without regard to the group.
+// Check validates the fields of a replacement, without regard to the group.
 func (r Replacement) Check() error {
 	switch {
 	case r.Lost == "" || r.Joining.ID == "" || r.Joining.Addr == "":
@@ -77,24 +77,25 @@
 // Action is a change of the group, or a precondition of one.
 type Action string
 
-// The actions, in the order of a replacement. The lost member is removed before the new one votes: while both count, a
-// majority needs one more member.
+// The actions, in the order of a replacement. The lost member is removed before the new one becomes a voter: while both
+// count, a majority of a group of odd size needs one more member.
 const (
 	AddWithoutVote     Action = "add"      // add the joining member as a non-voter, which receives the log
-	AwaitCatchUp       Action = "await"    // wait until the joining member has the log
-	TransferLeadership Action = "transfer" // as the lost member leads
-	RemoveLost         Action = "remove"   // the lost member
+	AwaitCatchUp       Action = "await"    // wait until the joining member has caught up with the log
+	TransferLeadership Action = "transfer" // transfer leadership away from the lost member
+	RemoveLost         Action = "remove"   // remove the lost member
 	GiveVote           Action = "vote"     // make the joining member a voter
-	Done               Action = "done"
+	Done               Action = "done"     // the replacement is complete
 )
 
-// Next returns the next action for a group. leader is the leader's name; caughtUp states that the joining member has the log.
+// Next returns the next action for a group. leader is the leader's name; caughtUp is whether the joining member has caught up
+// with the log.
 func (r Replacement) Next(group []Server, leader string, caughtUp bool) (Action, error) {
 	if err := r.Check(); err != nil {
 		return "", err
 	}
 	lost := slices.ContainsFunc(group, func(s Server) bool { return s.ID == r.Lost })
-	joining, err := r.find(group)
+	joining, err := r.findJoining(group)
 	switch {
 	case err != nil:
 		return "", err
@@ -114,8 +115,8 @@
 	return Done, nil
 }
 
-// find returns the joining member as the group has it; nil if it is not in the group yet.
-func (r Replacement) find(group []Server) (*Server, error) {
+// findJoining returns the joining member's entry in the group; nil if it is not in the group yet.
+func (r Replacement) findJoining(group []Server) (*Server, error) {
 	var found *Server
 	for i, s := range group {
 		switch {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func group(leader string, others ...string) []Server {
+func newVoters(leader string, others ...string) []Server {
 	var servers []Server
 	for _, id := range append([]string{leader}, others...) {
 		servers = append(servers, Server{Member{ID: id, Addr: id + ":1"}, true})
@@ -14,10 +14,10 @@
 	return servers
 }
 
-// A replacement goes through the changes in an order in which a majority of those that are left suffices for each.
-func TestReplacementStepByStep(t *testing.T) {
+// The changes of the group are made in an order in which a majority of the remaining members suffices for each.
+func TestReplacementActionOrder(t *testing.T) {
 	replacement := Replacement{Lost: "c", Joining: Member{ID: "f", Addr: "f:1"}}
-	servers := group("a", "b", "c", "d", "e")
+	servers := newVoters("a", "b", "c", "d", "e")
 	leader, caughtUp := "a", false
 	expect := func(want Action) {
 		t.Helper()
@@ -35,7 +35,7 @@
 	leader = "b"
 	servers = slices.DeleteFunc(servers, func(s Server) bool { return s.ID == "c" })
 	expect(GiveVote)
-	caughtUp = false // it lags again, but is needed for a majority of five
+	caughtUp = false // it lags again; as a voter it would be needed for a majority of five
 	expect(AwaitCatchUp)
 	caughtUp = true
 	servers[len(servers)-1].Votes = true
@@ -44,20 +44,20 @@
 	expect(Done)
 }
 
-// What can't be a replacement is refused before anything changes.
-func TestReplacementRefused(t *testing.T) {
-	servers := group("a", "b", "c")
+// Impossible replacements are rejected before the group is changed.
+func TestImpossibleReplacementRejected(t *testing.T) {
+	servers := newVoters("a", "b", "c")
 	cases := map[string]struct {
 		replacement Replacement
 		want        error
 	}{
-		"no name":                {Replacement{Joining: Member{"d", "d:1"}}, ErrIncomplete},
-		"no address":             {Replacement{Lost: "c", Joining: Member{ID: "d"}}, ErrIncomplete},
-		"under the same name":    {Replacement{"c", Member{"c", "d:1"}}, ErrSameName},
-		"nobody of that name":    {Replacement{"x", Member{"d", "d:1"}}, ErrUnknownMember},
-		"another one's name":     {Replacement{"c", Member{"b", "d:1"}}, ErrConflict},
-		"another one's address":  {Replacement{"c", Member{"d", "b:1"}}, ErrConflict},
-		"the lost one's address": {Replacement{"c", Member{"d", "c:1"}}, ErrConflict}, // both are members for a while
+		"no lost name":              {Replacement{Joining: Member{"d", "d:1"}}, ErrIncomplete},
+		"no address":                {Replacement{Lost: "c", Joining: Member{ID: "d"}}, ErrIncomplete},
+		"same name":                 {Replacement{"c", Member{"c", "d:1"}}, ErrSameName},
+		"unknown lost member":       {Replacement{"x", Member{"d", "d:1"}}, ErrUnknownMember},
+		"another member's name":     {Replacement{"c", Member{"b", "d:1"}}, ErrConflict},
+		"another member's address":  {Replacement{"c", Member{"d", "b:1"}}, ErrConflict},
+		"the lost member's address": {Replacement{"c", Member{"d", "c:1"}}, ErrConflict}, // both members are in the group for a time
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
