--- a/replica/accept_test.go
+++ b/replica/accept_test.go
@@ -10,8 +10,9 @@
 	"turnfork.dev/turnfork/internal/faultnet"
 )
 
-// No error of Accept but that of a closed listener ends the accept loop.
-func TestAcceptErrorsEndNoLinks(t *testing.T) {
+// Only the error of a closed listener ends the accept loop. Other errors of Accept, such as a lack of file descriptors, are
+// temporary.
+func TestAcceptLoopSurvivesErrors(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +23,7 @@
 	} {
 		faulty.Errors = append(faulty.Errors, faultnet.Error("accept", errno))
 	}
-	c := newTrio(t)
+	c := newThreeVoters(t)
 	l := newTransport(Options{Members: c.members, Listener: faulty, TLS: c.certs(), Log: zerolog.Nop()}, nil, nil)
 	l.start()
 	defer l.Close()
@@ -31,7 +32,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	io.WriteString(conn, "no TLS\n") // refused, so that the link ends
+	io.WriteString(conn, "no TLS\n") // rejected, so that the connection is closed
 	io.Copy(io.Discard, conn)
 	if n := faulty.Failed(); n != len(faulty.Errors) {
 		t.Errorf("accept failed %d times, want %d", n, len(faulty.Errors))
--- a/replica/agreed_clock.go
+++ b/replica/agreed_clock.go
@@ -15,11 +15,12 @@
 
 // maxLag bounds, in ms, how far the agreed time may lag behind the wall clocks, and thereby the size of the state. In a group
 // that was down for longer, was restored from an old copy or began with a clock far behind, the agreed time is advanced to it
-// at once. Claims end at dates, so a claim that is dropped then ended maxLag ago, less what the clocks are ahead.
+// at once. Claims end at dates, so a claim that is dropped then ended maxLag ago, minus the amount by which the clocks are
+// ahead.
 const maxLag = 6 * 3600 * 1000
 
-// maxProposerLag bounds, in ms, the lag of a proposer's wall clock that is compensated: compensating any lag would keep the
-// proposer's claims for too long.
+// maxProposerLag bounds, in ms, the lag of a proposer's wall clock that is compensated: with no bound, the claims of a
+// proposer whose clock is far behind would be kept for too long.
 const maxProposerLag = 2 * 3600 * 1000
 
 // agreedClock assigns the agreed time to the log entries that this member appends as the leader.
@@ -76,8 +77,8 @@
 }
 
 // mayBeDropped reports whether a claim with an end may have been dropped from the state. Granting it again would allow a
-// second use of its token, at a gateway whose wall clock was stepped back and that takes the token for valid again. The
-// agreed time may have begun with a wrong clock, so this member's own clock has to be past the end too.
+// second use of its token, at a gateway whose wall clock was stepped back and that therefore accepts the token as valid
+// again. The agreed time may have begun with a wrong clock, so this member's own clock has to be past the end too.
 func (a *agreedClock) mayBeDropped(until float64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -86,10 +87,10 @@
 
 // stamp converts a command's times to the agreed time. steady and wall are the leader's monotonic and wall clock, in Unix ms.
 //
-// The time until an end is measured by the proposer's clock and by the leader's; the longer one counts, and the end is not
-// earlier than its date. A purge is dated later than the agreed time if that lags behind all three clocks, as gateways of an
-// older version compare its date with theirs; Agreed then carries the agreed time. Members of an older version take the date
-// for the agreed time, so no single clock may set it ahead.
+// The time until an end is measured by the proposer's clock and by the leader's; the longer one counts, and the end is never
+// moved to before its date. A purge is dated later than the agreed time if that lags behind all three clocks, as gateways of an
+// older version compare its date with their own clocks; Agreed then carries the agreed time. Members of an older version use
+// the date as the agreed time, so no single clock may set it ahead.
 func (c *command) stamp(agreed, steady, wall float64) {
 	proposedAt := c.At
 	if c.Until > 0 {
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -10,7 +10,7 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// cpuTime is the processor time that this process has taken.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
@@ -20,7 +20,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// memoryInUse is the memory of heap and stacks after a collection.
+// memoryInUse returns the memory of heap and stacks after a garbage collection.
 func memoryInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -29,8 +29,8 @@
 }
 
 // BenchmarkSubscribers has one voter serve subscribers in the same process. An iteration is a second with 46 purges. The
-// figures are of both ends together: memory of a subscriber, processor time of one in a second, and bytes that one receives
-// and sends in a second.
+// metrics cover both ends together: memory of a subscriber, CPU time of one in a second, and bytes that one receives and
+// sends in a second.
 func BenchmarkSubscribers(b *testing.B) {
 	const purgesPerSecond = 46
 	for _, count := range []int{100, 1000} {
@@ -57,7 +57,7 @@
 				for range purgesPerSecond {
 					object++
 					next := time.Now().Add(time.Second / purgesPerSecond)
-					if err := c.stores[0].Purge(patient(b), object, 0); err != nil {
+					if err := c.stores[0].Purge(testContext(b), object, 0); err != nil {
 						b.Fatal(err)
 					}
 					time.Sleep(time.Until(next))
--- a/replica/bolt_verify.go
+++ b/replica/bolt_verify.go
@@ -86,8 +86,8 @@
 	return v.verifyFreelist(meta.freelist)
 }
 
-// newestMeta reads the two meta pages, and returns the newer one that is intact. The other may be of a write that was not
-// acknowledged. The page size is found by trying all that bbolt uses.
+// newestMeta reads the two meta pages, and returns the newer one that is intact. The other may belong to a write that was
+// not acknowledged. The page size is found by trying every size that bbolt uses.
 func newestMeta(file io.ReaderAt, size int64) (newest logMeta, err error) {
 	found := false
 	for pageSize := int64(minPageSize); pageSize <= maxPageSize && 2*pageSize <= size; pageSize *= 2 {
@@ -125,7 +125,7 @@
 	}, true, nil
 }
 
-// pageVerifier verifies the pages of a file, each of which may be reached in one way only.
+// pageVerifier verifies the pages of a file, each of which may be referenced only once.
 type pageVerifier struct {
 	file     io.ReaderAt
 	pageSize int
@@ -231,7 +231,7 @@
 	return nil
 }
 
-// verifyBucket verifies a bucket, which has its own pages or is inlined in its value.
+// verifyBucket verifies a bucket, which either has its own pages or is stored inline in its value.
 func (v *pageVerifier) verifyBucket(within page, value []byte) error {
 	if len(value) < bucketSize {
 		return within.corrupted()
--- a/replica/changes.go
+++ b/replica/changes.go
@@ -15,14 +15,14 @@
 const purgeRetention = distribution.DefaultPurgeRetention
 
 // unrecordedPosition is the position of a state whose snapshot was written before positions were recorded. It is that of the
-// log's first entry, which bootstraps the cluster and is never distributed: a subscriber without any state must not be taken
-// for one that has this state.
+// log's first entry, which bootstraps the cluster and is never distributed: a subscriber without any state must not be
+// mistaken for one that has this state.
 var unrecordedPosition = distribution.Position{Revision: 1}
 
 // isDistributed reports whether a command is distributed to every gateway.
 func (c *command) isDistributed() bool { return c.Op == opPut || c.Op == opRevoke || c.Op == opPurge }
 
-// newChange returns the change that a granted command stands for; s.mu is held.
+// newChange returns the change that a granted command makes; s.mu is held.
 func (s *stateMachine) newChange(at distribution.Position, c command) distribution.Change {
 	out := distribution.Change{Position: at, Name: c.Name, At: int64(c.At)}
 	switch c.Op {
@@ -49,7 +49,7 @@
 	}
 }
 
-// trimPurges drops the older half of the purges if there are too many.
+// trimPurges drops the older half of the purges if there are more than maxPurges.
 func (s *stateMachine) trimPurges() {
 	if len(s.Purges) <= maxPurges {
 		return
@@ -62,7 +62,7 @@
 }
 
 // dropExpiredPurges drops the purges whose retention has passed by the agreed time. A purge whose proposer's clock was slow is
-// dropped early: PurgesSince says so, and a gateway that missed it drops its older copies.
+// dropped early: PurgesSince records this, and a gateway that missed the purge drops its older copies.
 func (s *stateMachine) dropExpiredPurges() {
 	oldest := int64(s.Latest) - purgeRetention.Milliseconds()
 	s.Purges = slices.DeleteFunc(s.Purges, func(c distribution.Change) bool {
--- a/replica/clock_step_test.go
+++ b/replica/clock_step_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	second = 1000.0 // ms
-	minute = 60 * second
-	hour   = 60 * minute
-	began  = 1e12 // Unix ms at which the clocks of these tests begin
+	second  = 1000.0 // ms
+	minute  = 60 * second
+	hour    = 60 * minute
+	startMS = 1e12 // Unix ms; the initial time of the clocks of these tests
 )
 
-// steppedCluster is three voters whose clocks the test leads.
+// steppedCluster is a cluster of three voters whose clocks the test controls.
 type steppedCluster struct {
 	*cluster
 	clocks []*clock.Clock
@@ -30,24 +30,24 @@
 func newSteppedCluster(t *testing.T) *steppedCluster {
 	c := &steppedCluster{}
 	for range 3 {
-		c.clocks = append(c.clocks, clock.Manual(began))
+		c.clocks = append(c.clocks, clock.Manual(startMS))
 	}
 	c.cluster = newCluster(t, 3, distribution.Limits{}, func(voter int, opt *Options) { opt.Clock = c.clocks[voter] })
 	return c
 }
 
-// advance has time pass for everybody.
+// advance advances the clocks of all voters.
 func (c *steppedCluster) advance(ms float64) {
 	for _, clk := range c.clocks {
 		clk.Advance(ms)
 	}
 }
 
-// use holds a token's claim and makes it sent, and reports whether that was granted.
-func (c *steppedCluster) use(voter int, name, owner string, until float64) bool {
+// useToken makes the steps hold and send of a token's claim, and reports whether both were granted.
+func (c *steppedCluster) useToken(voter int, name, owner string, until float64) bool {
 	c.t.Helper()
 	for _, step := range []claims.Step{{Op: claims.Hold, Owner: owner, Until: until}, {Op: claims.Send, Owner: owner}} {
-		_, ok, err := c.stores[voter].Step(patient(c.t), name, step)
+		_, ok, err := c.stores[voter].Step(testContext(c.t), name, step)
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -58,57 +58,57 @@
 	return true
 }
 
-// propose has a voter propose something.
+// propose has a voter propose a change of the configuration.
 func (c *steppedCluster) propose(voter int) {
 	c.t.Helper()
-	if err := c.stores[voter].Put(patient(c.t), "policy", rand.Uint64()); err != nil {
+	if err := c.stores[voter].Put(testContext(c.t), "policy", rand.Uint64()); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// keepsToken checks that a use, a revocation and a purge outlive what a test does about clocks. Honest is a voter whose clock is
-// right when the records are made.
-func (c *steppedCluster) keepsToken(honest int, meanwhile func()) {
+// checkRecordsSurvive checks that a claim, a revocation and a purge are still in the state after the call of meanwhile, which
+// steps clocks. The parameter correct is a voter whose clock is right when the records are made.
+func (c *steppedCluster) checkRecordsSurvive(correct int, meanwhile func()) {
 	c.t.Helper()
-	until := c.clocks[honest].Unix() + minute
-	if !c.use(honest, "token", "first", until) {
-		c.t.Fatal("the first use was refused")
+	until := c.clocks[correct].Unix() + minute
+	if !c.useToken(correct, "token", "first", until) {
+		c.t.Fatal("the first use was rejected")
 	}
-	if err := c.stores[honest].Revoke(patient(c.t), "revoked", until); err != nil {
+	if err := c.stores[correct].Revoke(testContext(c.t), "revoked", until); err != nil {
 		c.t.Fatal(err)
 	}
-	if err := c.stores[honest].Purge(patient(c.t), 7, 0); err != nil {
+	if err := c.stores[correct].Purge(testContext(c.t), 7, 0); err != nil {
 		c.t.Fatal(err)
 	}
 	meanwhile()
 	c.advance(second)
 	leader := c.leader()
-	if c.use(leader, "token", "second", until) {
-		c.t.Error("a token of a single use was granted twice")
+	if c.useToken(leader, "token", "second", until) {
+		c.t.Error("a single-use token was granted twice")
 	}
 	if !c.stores[leader].Revoked("revoked") {
-		c.t.Error("the revocation is forgotten")
+		c.t.Error("the revocation was dropped")
 	}
 	if purges := c.stores[leader].state.distributedState().Purges; len(purges) != 1 {
 		c.t.Errorf("%d purges are kept, want 1", len(purges))
 	}
 }
 
-// A gateway whose wall clock is stepped makes no member drop a claim, a revocation or a purge: whether it is a follower that
-// proposes or the leader itself, and whether another member is the leader afterwards.
-func TestSteppedClockForgetsNothing(t *testing.T) {
+// A step of one gateway's wall clock makes no member drop a claim, a revocation or a purge: whether the gateway is a follower
+// that proposes or the leader, and whether another member is the leader afterwards.
+func TestSteppedClockDropsNothing(t *testing.T) {
 	for _, x := range []struct {
 		name      string
-		leader    bool // whether it is the leader's clock
+		leader    bool // whether the leader's clock is stepped
 		step      float64
 		newLeader bool
 	}{
-		{"a follower's, ahead", false, hour, false},
-		{"a follower's, back", false, -hour, false},
-		{"the leader's, ahead", true, hour, false},
-		{"the leader's, back", true, -hour, false},
-		{"the leader's, ahead, and the leader goes", true, hour, true},
-		{"the next leader's, ahead", false, hour, true},
+		{"follower ahead", false, hour, false},
+		{"follower back", false, -hour, false},
+		{"leader ahead", true, hour, false},
+		{"leader back", true, -hour, false},
+		{"leader ahead, then stopped", true, hour, true},
+		{"next leader ahead", false, hour, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newSteppedCluster(t)
@@ -117,7 +117,7 @@
 			if x.leader {
 				stepped = leader
 			}
-			c.keepsToken((leader+2)%3, func() {
+			c.checkRecordsSurvive((leader+2)%3, func() {
 				c.clocks[stepped].Step(x.step)
 				c.propose(stepped)
 				if x.newLeader {
@@ -129,8 +129,8 @@
 	}
 }
 
-// The clock that the group begins with may be wrong: what is kept for a span is kept for that span.
-func TestFirstLeadersClockForgetsNothing(t *testing.T) {
+// The agreed time starts at the first leader's wall clock, which may be wrong: a claim is kept until its end all the same.
+func TestFirstLeadersWrongClockDropsNothing(t *testing.T) {
 	for _, step := range []float64{hour, -hour} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			c := newSteppedCluster(t)
@@ -139,24 +139,24 @@
 			c.propose(leader)
 			honest := (leader + 1) % 3
 			until := c.clocks[honest].Unix() + 10*minute
-			if !c.use(honest, "token", "first", until) {
-				t.Fatal("the first use was refused")
+			if !c.useToken(honest, "token", "first", until) {
+				t.Fatal("the first use was rejected")
 			}
-			for range 4 { // past the interval of sweeps
+			for range 4 { // beyond the interval of dropExpired
 				c.advance(2 * minute)
 				c.propose(leader)
 			}
-			if c.use(honest, "token", "second", until) {
-				t.Error("a token of a single use was granted twice")
+			if c.useToken(honest, "token", "second", until) {
+				t.Error("a single-use token was granted twice")
 			}
 		})
 	}
 }
 
-// All members restart with their clocks stepped ahead: the agreed time continues from the log, not from the clocks.
-func TestRestartWithSteppedClocksForgetsNothing(t *testing.T) {
+// All members restart with their clocks stepped ahead: the agreed time continues from the log, not from the wall clocks.
+func TestRestartWithSteppedClocksDropsNothing(t *testing.T) {
 	c := newSteppedCluster(t)
-	c.keepsToken(c.leader(), func() {
+	c.checkRecordsSurvive(c.leader(), func() {
 		for voter := range c.stores {
 			c.stop(voter)
 			c.clocks[voter].Step(hour)
@@ -168,9 +168,9 @@
 	})
 }
 
-// A gateway whose clock is stepped back takes a token for valid again that has expired long ago, and whose claim is
-// forgotten. The group refuses it: it may have been used.
-func TestSteppedBackClockRevivesNoToken(t *testing.T) {
+// A gateway whose clock is stepped back treats a token as valid again that expired long ago and whose claim was dropped. The
+// leader rejects the claim, as the token may have been used.
+func TestSteppedBackClockGrantsNoExpiredToken(t *testing.T) {
 	for _, leads := range []bool{false, true} {
 		c := newSteppedCluster(t)
 		leader := c.leader()
@@ -178,9 +178,9 @@
 		if leads {
 			stepped = leader
 		}
-		until := began + minute
-		if !c.use(stepped, "token", "first", until) {
-			t.Fatal("the first use was refused")
+		until := startMS + minute
+		if !c.useToken(stepped, "token", "first", until) {
+			t.Fatal("the first use was rejected")
 		}
 		c.advance(20 * minute)
 		c.propose(leader)
@@ -188,33 +188,33 @@
 			t.Fatalf("%d claims are kept 19 minutes after their end", n)
 		}
 		c.clocks[stepped].Step(-hour)
-		if c.use(stepped, "token", "second", until) {
-			t.Errorf("the leader's clock %v: a token of a single use was granted twice", leads)
+		if c.useToken(stepped, "token", "second", until) {
+			t.Errorf("leader stepped %v: a single-use token was granted twice", leads)
 		}
-		if !c.use(stepped, "other", "third", c.clocks[leader].Now()+minute) {
-			t.Error("a valid token is refused")
+		if !c.useToken(stepped, "other", "third", c.clocks[leader].Now()+minute) {
+			t.Error("a valid token was rejected")
 		}
 	}
 }
 
-// A record's age is told in the clock of who asks, so that a wrong clock doesn't take an end for lost that is on its way, nor
-// wait for one for long.
-func TestRecordsAgeIsToldInTheProposersClock(t *testing.T) {
+// The time of a claim's record is converted to the proposer's clock. Otherwise a gateway whose clock is wrong would either
+// consider an outcome lost that is still to be reported, or wait for one too long.
+func TestRecordTimeIsInProposerTime(t *testing.T) {
 	for _, step := range []float64{hour, -hour} {
 		c := newSteppedCluster(t)
 		leader := c.leader()
 		other := (leader + 1) % 3
 		c.clocks[other].Step(step)
-		until := began + 10*minute
-		if !c.use(leader, "token", "first", until) {
-			t.Fatal("the first use was refused")
+		until := startMS + 10*minute
+		if !c.useToken(leader, "token", "first", until) {
+			t.Fatal("the first use was rejected")
 		}
 		for _, x := range []struct {
 			after   float64
 			pending bool
 		}{{second, true}, {minute, false}} {
 			c.advance(x.after)
-			r, ok, err := c.stores[other].Step(patient(t), "token", claims.Step{Op: claims.Hold, Owner: "second", Until: until})
+			r, ok, err := c.stores[other].Step(testContext(t), "token", claims.Step{Op: claims.Hold, Owner: "second", Until: until})
 			if ok || err != nil {
 				t.Fatal(ok, err)
 			}
@@ -225,53 +225,54 @@
 	}
 }
 
-// The agreed time advances as time passes, whatever the wall clocks say, and makes up for a lag slowly.
-func TestAgreedTimeIsBounded(t *testing.T) {
-	clk := clock.Manual(began)
+// The agreed time advances with elapsed time, whatever the steps of wall clocks, and makes up for a lag at a bounded rate.
+func TestAgreedTimeAdvance(t *testing.T) {
+	clk := clock.Manual(startMS)
 	a := &agreedClock{clock: clk}
-	if got := a.advance(began); got != began {
-		t.Errorf("it begins with %v", got)
+	if got := a.advance(startMS); got != startMS {
+		t.Errorf("the agreed time begins at %v, want %v", got, startMS)
 	}
 	for _, x := range []struct {
 		name                 string
 		step, pass           float64
-		proposedAhead        float64 // of the leader's wall clock
+		proposedAhead        float64 // relative to the leader's wall clock
 		advanced, maxAdvance float64
 	}{
 		{"no step", 0, second, 0, second, second},
 		{"the proposer is ahead", 0, second, hour, second, second},
 		{"the proposer is behind", 0, second, -hour, second, second},
 		{"the leader's clock is stepped back", -hour, second, 0, second, second},
-		{"and again", hour, second, 0, second, second},
-		{"the leader's alone is ahead", hour, minute, -hour, minute, minute},
-		{"all are ahead", 0, minute, 0, minute, minute + minute/catchUpDivisor},
-		{"at once", 0, 0, 0, 0, 0},
+		{"the leader's clock is stepped ahead again", hour, second, 0, second, second},
+		{"only the leader's clock is ahead", hour, minute, -hour, minute, minute},
+		{"all clocks are ahead", 0, minute, 0, minute, minute + minute/catchUpDivisor},
+		{"no time elapsed", 0, 0, 0, 0, 0},
 	} {
 		before := a.advance(0)
 		clk.Step(x.step)
 		clk.Advance(x.pass)
 		advanced := a.advance(clk.Unix()+x.proposedAhead) - before
 		if advanced < x.advanced || advanced > x.maxAdvance {
-			t.Errorf("%s: it advances by %v ms in %v, want %v to %v", x.name, advanced, x.pass, x.advanced, x.maxAdvance)
+			t.Errorf("%s: the agreed time advances by %v ms in %v, want %v to %v", x.name, advanced, x.pass, x.advanced, x.maxAdvance)
 		}
 	}
 }
 
-// A lag is made up for in the end, and the agreed time does not go beyond the wall clocks for that.
+// A lag is made up for eventually, without the agreed time running ahead of the wall clocks.
 func TestAgreedTimeCatchesUp(t *testing.T) {
-	clk := clock.Manual(began)
+	clk := clock.Manual(startMS)
 	a := &agreedClock{clock: clk}
-	a.observe(began - minute)
+	a.observe(startMS - minute)
 	for range 32 * 60 {
 		clk.Advance(second)
 		a.advance(clk.Unix())
 	}
 	if lag := clk.Unix() - a.advance(clk.Unix()); lag < 0 || lag > 1 {
-		t.Errorf("after %d times the lag it still lags by %v ms", catchUpDivisor, lag)
+		t.Errorf("after %d times the initial lag the agreed time still lags by %v ms", catchUpDivisor, lag)
 	}
 }
 
-// A lag is never longer than maxLag by all clocks: what is held stays bounded. Single clocks that are ahead don't count.
+// The agreed time never lags behind all clocks by more than maxLag, so the size of the state is bounded. A single clock that
+// is ahead does not advance it.
 func TestLagIsBounded(t *testing.T) {
 	for _, x := range []struct {
 		name                string
@@ -280,54 +281,55 @@
 		want                float64 // the lag afterwards
 	}{
 		{"within the bound", 5 * hour, 0, 0, 5 * hour},
-		{"away for a month", 30 * 24 * hour, 0, 0, maxLag},
-		{"away, the leader's clock ahead", 30 * 24 * hour, hour, 0, maxLag},
-		{"away, the leader's clock behind", 30 * 24 * hour, -hour, 0, maxLag + hour},
-		{"away, a proposer's clock ahead", 30 * 24 * hour, 0, hour, maxLag},
-		{"away, a proposer's clock behind", 30 * 24 * hour, 0, -hour, maxLag + hour},
-		{"all ahead, within the bound", 5 * hour, hour, 0, 5 * hour},
+		{"down for a month", 30 * 24 * hour, 0, 0, maxLag},
+		{"down, the leader's clock ahead", 30 * 24 * hour, hour, 0, maxLag},
+		{"down, the leader's clock behind", 30 * 24 * hour, -hour, 0, maxLag + hour},
+		{"down, a proposer's clock ahead", 30 * 24 * hour, 0, hour, maxLag},
+		{"down, a proposer's clock behind", 30 * 24 * hour, 0, -hour, maxLag + hour},
+		{"all clocks ahead, within the bound", 5 * hour, hour, 0, 5 * hour},
 	} {
-		clk := clock.Manual(began)
+		clk := clock.Manual(startMS)
 		a := &agreedClock{clock: clk}
-		a.observe(began - x.lag)
+		a.observe(startMS - x.lag)
 		clk.Step(x.step)
-		if got := began - a.advance(clk.Unix()+x.proposedAhead); got != x.want {
+		if got := startMS - a.advance(clk.Unix()+x.proposedAhead); got != x.want {
 			t.Errorf("%s: a lag of %v ms, want %v", x.name, got, x.want)
 		}
 	}
 }
 
 // A new leader advances the agreed time that it has applied by its own monotonic clock.
-func TestAgreedTimeGoesOnAtTheNextLeader(t *testing.T) {
-	clk := clock.Manual(began)
+func TestNewLeaderContinuesAgreedTime(t *testing.T) {
+	clk := clock.Manual(startMS)
 	a := &agreedClock{clock: clk}
 	a.observe(5000)
 	clk.Advance(minute)
-	a.observe(5000) // a snapshot, or an entry that was under way for long
+	a.observe(5000) // from a snapshot, or from an entry that was applied late
 	clk.Step(hour)
 	clk.Advance(minute)
 	if got := a.advance(0); got != 5000+2*minute {
 		t.Errorf("%v, want %v", got, 5000+2*minute)
 	}
-	a.observe(5000 + 10*minute) // of a leader that is ahead
+	a.observe(5000 + 10*minute) // from a leader whose agreed time is ahead
 	if got := a.advance(0); got != 5000+10*minute {
-		t.Errorf("%v after another leader's %v", got, 5000+10*minute)
+		t.Errorf("%v after observing another leader's %v", got, 5000+10*minute)
 	}
 }
 
-// A command's ends move with its proposer's clock, and only to later; a purge keeps a later date.
+// The end of a command is corrected for the proposer's clock, and only moved later. A purge keeps a date that is later than
+// the agreed time, if all clocks are.
 func TestStamp(t *testing.T) {
 	for name, x := range map[string]struct{ in, want command }{
-		"right":               {command{Op: "hold", At: 1000, Until: 5000}, command{Op: "hold", At: 1000, Until: 5000}},
-		"proposer ahead":      {command{Op: "hold", At: 3000, Until: 5000}, command{Op: "hold", At: 1000, Until: 5000}},
-		"both before agreed":  {command{Op: "hold", At: 900, Until: 5000}, command{Op: "hold", At: 1000, Until: 5100}},
-		"proposer behind":     {command{Op: "hold", At: 400, Until: 5000}, command{Op: "hold", At: 1000, Until: 5600}},
-		"proposer in 1970":    {command{Op: "hold", At: -9e9, Until: 5000}, command{Op: "hold", At: 1000, Until: 5000 + maxProposerLag}},
-		"no end":              {command{Op: opPut, At: 400}, command{Op: opPut, At: 1000}},
-		"purge, all later":    {command{Op: opPurge, At: 1700}, command{Op: opPurge, At: 1700, Agreed: 1000}},
-		"purge, from ahead":   {command{Op: opPurge, At: 3000}, command{Op: opPurge, At: 2000, Agreed: 1000}},
-		"purge, from behind":  {command{Op: opPurge, At: 400}, command{Op: opPurge, At: 1000}},
-		"a proposer's agreed": {command{Op: opPut, At: 400, Agreed: 9000}, command{Op: opPut, At: 1000}},
+		"all clocks right":        {command{Op: "hold", At: 1000, Until: 5000}, command{Op: "hold", At: 1000, Until: 5000}},
+		"proposer ahead":          {command{Op: "hold", At: 3000, Until: 5000}, command{Op: "hold", At: 1000, Until: 5000}},
+		"both before agreed":      {command{Op: "hold", At: 900, Until: 5000}, command{Op: "hold", At: 1000, Until: 5100}},
+		"proposer behind":         {command{Op: "hold", At: 400, Until: 5000}, command{Op: "hold", At: 1000, Until: 5600}},
+		"proposer in 1970":        {command{Op: "hold", At: -9e9, Until: 5000}, command{Op: "hold", At: 1000, Until: 5000 + maxProposerLag}},
+		"no end":                  {command{Op: opPut, At: 400}, command{Op: opPut, At: 1000}},
+		"purge, all clocks later": {command{Op: opPurge, At: 1700}, command{Op: opPurge, At: 1700, Agreed: 1000}},
+		"purge, proposer ahead":   {command{Op: opPurge, At: 3000}, command{Op: opPurge, At: 2000, Agreed: 1000}},
+		"purge, proposer behind":  {command{Op: opPurge, At: 400}, command{Op: opPurge, At: 1000}},
+		"agreed set by proposer":  {command{Op: opPut, At: 400, Agreed: 9000}, command{Op: opPut, At: 1000}},
 	} {
 		got := x.in
 		got.stamp(1000, 2000, 2500)
@@ -342,8 +344,9 @@
 	return s.Apply(&raft.Log{Index: index, Term: 1, Data: []byte(entry)}).(result)
 }
 
-// An old log is applied as before: its proposers' times count, and the agreed time continues from the highest.
-func TestOldLogMeansWhatItMeant(t *testing.T) {
+// A log written before there was an agreed time is applied as before: the proposers' times are used, and the agreed time
+// continues from the highest of them.
+func TestOldLogIsAppliedAsBefore(t *testing.T) {
 	s := newStateMachine()
 	s.agreedClock = &agreedClock{clock: clock.Manual(9e9)}
 	for i, x := range []struct {
@@ -354,9 +357,9 @@
 		{`{"op":"claim","name":"a","owner":"x","at":1000,"until":5000}`, true, 1},
 		{`{"op":"hold","name":"b","owner":"x","at":900,"until":5000}`, true, 2},
 		{`{"op":"send","name":"b","owner":"x","at":1100}`, true, 2},
-		{`{"op":"hold","name":"b","owner":"y","at":605000,"until":700000}`, false, 2}, // kept for forgetAfter
+		{`{"op":"hold","name":"b","owner":"y","at":605000,"until":700000}`, false, 2}, // kept for expiredRetention
 		{`{"op":"put","name":"policy","at":1300000,"value":1}`, true, 0},
-		{`{"op":"hold","name":"b","owner":"y","at":2000,"until":5000}`, true, 1}, // behind the highest time: swept with the next
+		{`{"op":"hold","name":"b","owner":"y","at":2000,"until":5000}`, true, 1}, // earlier than the highest time: dropped by the next command
 	} {
 		if res := applyEntry(s, uint64(i+1), x.entry); res.OK != x.ok || len(s.Claims) != x.claims {
 			t.Errorf("%s: %+v and %d claims, want %v and %d", x.entry, res, len(s.Claims), x.ok, x.claims)
@@ -367,9 +370,9 @@
 	}
 }
 
-// Members of before there was an agreed time, which don't know its field, come to the same state by a new leader's entries.
-func TestOldMembersComeToTheSame(t *testing.T) {
-	leader := &agreedClock{clock: clock.Manual(began)}
+// Members of a version without the agreed time ignore the field Agreed. They reach the same state from a new leader's entries.
+func TestOldMembersReachTheSameState(t *testing.T) {
+	leader := &agreedClock{clock: clock.Manual(startMS)}
 	present, old := newStateMachine(), newStateMachine()
 	random := rand.New(rand.NewPCG(1, 38))
 	for i := range 2000 {
@@ -412,37 +415,38 @@
 	}
 }
 
-// If the agreed time lags, a purge is dated by the clocks that agree on a later time, and its date drops nothing.
-func TestDateOfAPurgeForgetsNothing(t *testing.T) {
-	clk := clock.Manual(began)
+// If the agreed time lags behind all clocks, a purge is dated by the earliest of them. That date must not make the state
+// machine drop claims.
+func TestPurgeDateDropsNothing(t *testing.T) {
+	clk := clock.Manual(startMS)
 	a := &agreedClock{clock: clk}
-	a.observe(began - hour) // all members were away for an hour
+	a.observe(startMS - hour) // all members were down for an hour
 	s := newStateMachine()
 	for i, c := range []command{
-		{Op: "hold", Name: "a", Owner: "x", At: began, Until: began + minute},
-		{Op: opPurge, Object: 5, At: began + hour},
-		{Op: opPut, Name: "policy", At: began},
+		{Op: "hold", Name: "a", Owner: "x", At: startMS, Until: startMS + minute},
+		{Op: opPurge, Object: 5, At: startMS + hour},
+		{Op: opPut, Name: "policy", At: startMS},
 	} {
 		if _, ok := a.stamp(&c); !ok {
-			t.Fatalf("%+v: refused", c)
+			t.Fatalf("%+v: rejected", c)
 		}
 		at := distribution.Position{Revision: distribution.Revision(i + 1), Term: 1}
 		if res, _ := s.applyCommand(at, c); !res.OK {
 			t.Fatalf("%+v: %+v", c, res)
 		}
 	}
-	if len(s.Claims) != 1 || len(s.Purges) != 1 || s.Purges[0].At != began || s.Latest != began-hour {
+	if len(s.Claims) != 1 || len(s.Purges) != 1 || s.Purges[0].At != startMS || s.Latest != startMS-hour {
 		t.Errorf("%+v", s.persistentState)
 	}
 }
 
-// An older member that took a lagging group's purge for the time, and leads once it is upgraded, has the agreed time jump to
-// the date of that purge at most, and so forgets no claim before its date.
-func TestUpgradedMemberForgetsNothing(t *testing.T) {
+// A member of an older version uses the date of a purge as the agreed time, while the agreed time of the group lags. When it
+// is upgraded and becomes the leader, the agreed time jumps to that date at most, so no claim is dropped before its end.
+func TestUpgradedMemberDropsNoClaim(t *testing.T) {
 	for _, step := range []float64{hour, -hour, 0} {
-		clk := clock.Manual(began)
+		clk := clock.Manual(startMS)
 		leader := &agreedClock{clock: clk}
-		leader.observe(began - hour)
+		leader.observe(startMS - hour)
 		clk.Step(step)
 		old, present := newStateMachine(), newStateMachine()
 		apply := func(c command, by *agreedClock) (res result) {
@@ -464,41 +468,41 @@
 		upgraded.observe(old.Latest)
 		apply(command{Op: opPut, Name: "policy", Value: json.RawMessage(`1`)}, upgraded)
 		if apply(command{Op: "hold", Name: "a", Owner: "y", Until: until}, upgraded).OK {
-			t.Errorf("stepped by %v: a token of a single use was granted twice", step)
+			t.Errorf("stepped by %v: a single-use token was granted twice", step)
 		}
 	}
 }
 
-// A revocation that lasts for a span from now lasts that long, though its gateway's clock is behind.
-func TestRevocationFromBehindHolds(t *testing.T) {
+// A revocation by a gateway whose clock is behind lasts for its full duration.
+func TestRevocationByLaggingClockHolds(t *testing.T) {
 	c := newSteppedCluster(t)
 	leader := c.leader()
 	other := (leader + 1) % 3
 	c.propose(leader)
 	c.clocks[other].Step(-hour)
-	if err := c.stores[other].Revoke(patient(t), "use", c.clocks[other].Unix()+10*minute); err != nil {
+	if err := c.stores[other].Revoke(testContext(t), "use", c.clocks[other].Unix()+10*minute); err != nil {
 		t.Fatal(err)
 	}
 	for range 5 {
 		c.advance(2 * minute)
 		c.propose(leader)
 		if !c.stores[leader].Revoked("use") {
-			t.Fatal("the revocation is forgotten")
+			t.Fatal("the revocation was dropped")
 		}
 	}
 }
 
-// simulated is a member without a network.
-type simulated struct {
+// simulatedMember is a member without a network.
+type simulatedMember struct {
 	clock *clock.Clock
 	state *stateMachine
 }
 
-// simulation is a group of members whose clocks are stepped at random, and the tokens that they take.
+// simulation is a group of members whose clocks are stepped at random, and the tokens that they claim.
 type simulation struct {
 	t       *testing.T
 	random  *rand.Rand
-	members []simulated
+	members []simulatedMember
 	stepped []float64
 	leader  int
 	index   uint64
@@ -515,14 +519,14 @@
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	s := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 38)), uses: map[string]int{}, expires: map[string]float64{}}
 	for range 3 {
-		clk, member := clock.Manual(began), newStateMachine()
+		clk, member := clock.Manual(startMS), newStateMachine()
 		member.agreedClock = &agreedClock{clock: clk}
-		s.members = append(s.members, simulated{clk, member})
+		s.members = append(s.members, simulatedMember{clk, member})
 	}
 	s.stepped = make([]float64, len(s.members))
-	// It may begin with another's clock, or after it was away.
+	// The agreed time may have started with another member's clock, or the group may have been down.
 	if begins := []float64{0, -hour, -5 * hour, -24 * hour, hour}[s.random.IntN(5)]; begins != 0 {
-		put := fmt.Sprintf(`{"op":"put","name":"policy","value":1,"at":%.0f}`, began+begins)
+		put := fmt.Sprintf(`{"op":"put","name":"policy","value":1,"at":%.0f}`, startMS+begins)
 		for _, m := range s.members {
 			applyEntry(m.state, 1, put)
 		}
@@ -531,7 +535,7 @@
 	return s
 }
 
-// propose has the leader give a command its times, and all apply it.
+// propose has the leader stamp a command, and all members apply it.
 func (s *simulation) propose(member int, c command) (res result) {
 	c.At = s.members[member].clock.Unix()
 	if _, ok := s.members[s.leader].state.agreedClock.stamp(&c); !ok {
@@ -548,7 +552,7 @@
 	return res
 }
 
-// use has a member take a token if its clock lets it.
+// use has a member claim a token, unless the token has expired by the member's clock.
 func (s *simulation) use(member int, name string) {
 	expires := s.expires[name]
 	if s.members[member].clock.Unix() > expires+simulatedLeeway {
@@ -564,7 +568,7 @@
 	}
 }
 
-// step steps clocks: one, or all alike, to at most an hour off.
+// step steps one clock, or all by the same offset, to at most an hour off.
 func (s *simulation) step() {
 	offset := []float64{0, 0, hour, -hour, 7 * second, -40 * second}[s.random.IntN(6)]
 	all, one := s.random.IntN(4) == 0, s.random.IntN(len(s.members))
@@ -576,7 +580,8 @@
 	}
 }
 
-// However clocks are stepped and whoever leads, no token of a single use is sent twice, and nothing is kept for ever.
+// Whatever the steps of clocks and the changes of the leader, no single-use token is sent twice, and all claims are dropped
+// eventually.
 func TestRandomStepsGrantNoSecondUse(t *testing.T) {
 	granted := 0
 	for seed := range uint64(60) {
@@ -616,7 +621,7 @@
 		}
 		s.propose(s.leader, command{Op: opPut, Name: "policy", Value: json.RawMessage(`1`)})
 		if n := len(s.members[0].state.Claims); n != 0 {
-			t.Errorf("seed %d: %d claims are kept", seed, n)
+			t.Errorf("seed %d: %d claims are kept after 24 h", seed, n)
 		}
 	}
 	if granted < 1000 {
@@ -624,17 +629,17 @@
 	}
 }
 
-// A subscriber keeps a revocation for its span, whatever its wall clock says.
-func TestSubscriberForgetsByTheEvenClock(t *testing.T) {
+// A subscriber keeps a revocation for its full duration, whatever the steps of its wall clock.
+func TestSubscriberDropsByMonotonicClock(t *testing.T) {
 	for _, step := range []float64{hour, -hour} {
-		clk, now := clock.Manual(began), time.Unix(1000, 0)
+		clk, now := clock.Manual(startMS), time.Unix(1000, 0)
 		s := &Subscriber{view: distribution.NewView(nil), opt: SubscriberOptions{
 			Clock: clk, Now: func() time.Time { return now },
 		}}
 		position := distribution.Position{Revision: 1, Term: 1}
 		err := s.view.Apply(&distribution.Batch{Changes: []distribution.Change{
-			{Position: position, Kind: distribution.KindRevoke, Name: "use", At: began, Until: began + 60_000},
-			{Position: distribution.Position{Revision: 2, Term: 1}, Kind: distribution.KindPut, Name: "policy", Value: []byte(`1`), At: began + 61_000},
+			{Position: position, Kind: distribution.KindRevoke, Name: "use", At: startMS, Until: startMS + 60_000},
+			{Position: distribution.Position{Revision: 2, Term: 1}, Kind: distribution.KindPut, Name: "policy", Value: []byte(`1`), At: startMS + 61_000},
 		}})
 		if err != nil {
 			t.Fatal(err)
@@ -654,11 +659,11 @@
 	}
 }
 
-// A leader that is asked for something before it has applied the log of before waits for that: only then it knows the agreed
-// time.
-func TestLeaderAppliesTheLogBeforeItStamps(t *testing.T) {
+// A leader that receives a proposal before it has applied the entries of earlier terms waits until it has: only then does it
+// know the agreed time.
+func TestLeaderAppliesLogBeforeStamping(t *testing.T) {
 	c := newSteppedCluster(t)
-	c.keepsToken(c.leader(), func() {
+	c.checkRecordsSurvive(c.leader(), func() {
 		last := c.stores[c.leader()].raft.LastIndex()
 		for voter := range c.stores {
 			c.stop(voter)
@@ -666,17 +671,17 @@
 		}
 		for voter := range c.stores {
 			c.start(voter, nil)
-			c.stores[voter].state.mu.Lock() // holds up what is applied: nothing is before there is a leader
+			c.stores[voter].state.mu.Lock() // blocks applying: nothing is applied before there is a leader
 		}
 		leader := c.stores[c.leader()]
 		proposed := make(chan error, 1)
-		go func() { proposed <- leader.Put(patient(t), "policy", 1) }()
-		eventually(t, "an entry beyond the leader's own first", func() bool { return leader.raft.LastIndex() >= last+2 })
+		go func() { proposed <- leader.Put(testContext(t), "policy", 1) }()
+		eventually(t, "an entry after the leader's first one", func() bool { return leader.raft.LastIndex() >= last+2 })
 		leader.agreedClock.mu.Lock()
 		agreed := leader.agreedClock.value
 		leader.agreedClock.mu.Unlock()
 		if agreed != 0 {
-			t.Errorf("it went by an agreed time of %v", agreed)
+			t.Errorf("the leader used an agreed time of %v before it applied the log", agreed)
 		}
 		for _, store := range c.stores {
 			store.state.mu.Unlock()
--- a/replica/cluster_test.go
+++ b/replica/cluster_test.go
@@ -16,7 +16,7 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// testTiming is quick, but bears a busy machine under the race detector.
+// testTiming is short, but long enough for a busy machine under the race detector.
 var testTiming = distribution.Timing{
 	BatchDelay:        10 * time.Millisecond,
 	HeartbeatInterval: 100 * time.Millisecond,
@@ -25,9 +25,9 @@
 	PurgeDeadline:     2 * time.Second,
 }
 
-// undisturbed returns a cluster and a subscriber of a test that checks that its lease never lapses: limits that a machine with
-// other work does not exceed by itself.
-var undisturbed = struct {
+// relaxedTimeouts adjusts the options of voters and subscribers in tests that check that a lease never expires: a busy machine
+// alone does not exceed these time-outs.
+var relaxedTimeouts = struct {
 	voter      func(voter int, opt *Options)
 	subscriber func(opt *SubscriberOptions)
 }{
@@ -89,7 +89,7 @@
 	return c
 }
 
-// prepare returns a further voter a name, an address and a disk. It is not started.
+// prepare gives a further voter an ID, an address and a directory. It is not started.
 func (c *cluster) prepare() (voter int) {
 	c.t.Helper()
 	voter = len(c.members)
@@ -108,7 +108,7 @@
 	return voter
 }
 
-// join starts a further voter, which the others have yet to take in.
+// join starts a further voter, which the group has not added yet.
 func (c *cluster) join() (voter int) {
 	c.t.Helper()
 	voter = c.prepare()
@@ -157,7 +157,7 @@
 	}
 }
 
-// leader waits for a leader that is none of some voters.
+// leader waits for a leader other than some voters, and returns it.
 func (c *cluster) leader(except ...int) (leader int) {
 	c.t.Helper()
 	eventually(c.t, "a leader", func() bool {
@@ -175,7 +175,7 @@
 // follower returns a voter that is not the leader.
 func (c *cluster) follower() int { return (c.leader() + 1) % len(c.stores) }
 
-// betweenVoters calls do for the relays between a voter and the others, both ways.
+// betweenVoters calls do for the relays between a voter and the others, in both directions.
 func (c *cluster) betweenVoters(voter int, do func(*relay)) {
 	for i, m := range c.members {
 		if i == voter {
@@ -192,7 +192,7 @@
 	s := &testSubscriber{t: c.t, cluster: c, name: name, effects: &recorder{}}
 	opt := SubscriberOptions{
 		Name: name, Voters: voters, TLS: c.client, Clock: clock.System(), Log: zerolog.Nop(), Effects: s.effects,
-		FreshnessChanged: s.noteFreshness, Timing: testTiming, RetryMin: 5 * time.Millisecond, RetryMax: 100 * time.Millisecond,
+		FreshnessChanged: s.recordFreshness, Timing: testTiming, RetryMin: 5 * time.Millisecond, RetryMax: 100 * time.Millisecond,
 		Dial: c.network.dialFrom(name),
 	}
 	if adjust != nil {
@@ -206,7 +206,7 @@
 	return s
 }
 
-// testSubscriber is a subscriber with what it was notified of.
+// testSubscriber is a subscriber with a record of its notifications.
 type testSubscriber struct {
 	*Subscriber
 	t       testing.TB
@@ -216,39 +216,39 @@
 	freshnessLog
 }
 
-// freshnessLog records freshness as its owner is notified of it.
+// freshnessLog records the calls of FreshnessChanged.
 type freshnessLog struct {
-	mu    sync.Mutex
-	turns []bool
+	mu      sync.Mutex
+	changes []bool
 }
 
-func (l *freshnessLog) noteFreshness(fresh bool) {
+func (l *freshnessLog) recordFreshness(fresh bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.turns = append(l.turns, fresh)
+	l.changes = append(l.changes, fresh)
 }
 
-// turned returns the changes of freshness.
-func (l *freshnessLog) turned() []bool {
+// freshnessChanges returns the arguments of the calls so far.
+func (l *freshnessLog) freshnessChanges() []bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.turns)
+	return slices.Clone(l.changes)
 }
 
-// monitor checks all the time that a copy of the state never claims to have been complete at a time after a change was
-// acknowledged that it does not hold. Acknowledged enters such a change, and the test's end ends the check.
+// monitor checks continuously that a copy of the state is never reported as complete at a time after the acknowledgement of a
+// change that the copy does not contain. recordAcknowledged adds such a change. The check runs until the end of the test.
 type monitor struct {
 	t      testing.TB
 	name   string
 	status func() LeaseStatus
 	mu     sync.Mutex
-	acks   []acknowledged
+	acks   []acknowledgedChange
 	stop   chan struct{}
 	done   chan struct{}
 }
 
-// acknowledged is a change that was acknowledged to its proposer by a time.
-type acknowledged struct {
+// acknowledgedChange is a change that had been acknowledged to its proposer at a time.
+type acknowledgedChange struct {
 	revision distribution.Revision
 	at       time.Time
 }
@@ -274,11 +274,11 @@
 	return m
 }
 
-// acknowledged enters the last change of a store, which was acknowledged before the call.
-func (m *monitor) acknowledged(by *Store) {
+// recordAcknowledged adds the last change of a store, which was acknowledged before the call.
+func (m *monitor) recordAcknowledged(by *Store) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.acks = append(m.acks, acknowledged{by.Position().Revision, time.Now()})
+	m.acks = append(m.acks, acknowledgedChange{by.Position().Revision, time.Now()})
 }
 
 func (m *monitor) check() {
@@ -288,7 +288,7 @@
 	status := m.status()
 	for _, a := range acks {
 		if status.CompleteAt.After(a.at) && status.Position.Revision < a.revision {
-			m.t.Errorf("%s claims to be complete at %v after the acknowledgement of %d, and is at %d",
+			m.t.Errorf("%s reports to be complete at %v after the acknowledgement of revision %d, but is at %d",
 				m.name, status.CompleteAt.Sub(a.at), a.revision, status.Position.Revision)
 		}
 	}
@@ -299,8 +299,8 @@
 	<-m.done
 }
 
-// preferring returns a name of a gateway whose first voter is a given one.
-func (c *cluster) preferring(voter int) string {
+// gatewayPreferring returns a name of a gateway that tries a given voter first.
+func (c *cluster) gatewayPreferring(voter int) string {
 	var addrs []string
 	for _, m := range c.members {
 		addrs = append(addrs, m.Addr)
@@ -313,10 +313,10 @@
 	}
 }
 
-// put sets configuration by way of the leader.
+// put sets a configuration value through the leader.
 func (c *cluster) put(name string, value any) {
 	c.t.Helper()
-	if err := c.stores[c.leader()].Put(patient(c.t), name, value); err != nil {
+	if err := c.stores[c.leader()].Put(testContext(c.t), name, value); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -328,33 +328,33 @@
 	return err == nil && policy == want
 }
 
-// awaitVoter waits until a voter has what the leader has.
+// awaitVoter waits until a voter has reached the leader's position.
 func (c *cluster) awaitVoter(voter int) {
 	c.t.Helper()
 	at := c.stores[c.leader()].Position()
 	eventually(c.t, fmt.Sprintf("voter %d at %v", voter, at), func() bool { return c.stores[voter].Position() == at })
 }
 
-// purge makes purges of consecutive objects by way of the leader, many at a time.
+// purge purges consecutive objects through the leader, up to 32 at a time.
 func (c *cluster) purge(first, count uint64) {
 	c.t.Helper()
 	leader := c.stores[c.leader()]
 	var group errgroup.Group
 	group.SetLimit(32)
 	for object := first; object < first+count; object++ {
-		group.Go(func() error { return leader.Purge(patient(c.t), object, 0) })
+		group.Go(func() error { return leader.Purge(testContext(c.t), object, 0) })
 	}
 	if err := group.Wait(); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// relay returns the relay to a voter.
+// relay returns the relay from the subscriber to a voter.
 func (s *testSubscriber) relay(voter int) *relay {
 	return s.cluster.network.between(s.name, s.cluster.members[voter].Addr)
 }
 
-// relays returns the relays to all voters.
+// relays calls do for the relays from the subscriber to all voters.
 func (s *testSubscriber) relays(do func(*relay)) {
 	for i := range s.cluster.members {
 		do(s.relay(i))
@@ -409,7 +409,7 @@
 	return objects
 }
 
-// receiveMessage reads a voter's message.
+// receiveMessage reads and decodes a voter's message.
 func receiveMessage(t testing.TB, conn net.Conn) (message voterMessage) {
 	t.Helper()
 	block, err := readBlock(conn, maxVoterMessage)
--- a/replica/command.go
+++ b/replica/command.go
@@ -8,7 +8,7 @@
 
 // The operations of commands. A step of a claim has its name in package claims.
 const (
-	opClaim  = "claim" // in logs of a version whose claims had no stages: grants an unclaimed name to the owner, for good
+	opClaim  = "claim" // in logs of a version whose claims had no stages: permanently grants an unclaimed name to the owner
 	opRevoke = "revoke"
 	opPut    = "put"   // sets a value of the operator's configuration
 	opPurge  = "purge" // invalidates cached copies, by object or group
--- a/replica/command_test.go
+++ b/replica/command_test.go
@@ -17,36 +17,36 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// mute is a voter that receives proposals and closes their connections without a response.
-type mute struct {
+// silentVoter is a voter that receives proposals and closes their connections without a response.
+type silentVoter struct {
 	listener net.Listener
 	mu       sync.Mutex
 	commands []string
 }
 
-func newMute(t *testing.T, conf *tls.Config) *mute {
+func newSilentVoter(t *testing.T, conf *tls.Config) *silentVoter {
 	t.Helper()
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", serverConfig(conf))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &mute{listener: listener}
+	m := &silentVoter{listener: listener}
 	go m.accept()
 	t.Cleanup(func() { listener.Close() })
 	return m
 }
 
-func (m *mute) accept() {
+func (m *silentVoter) accept() {
 	for {
 		conn, err := m.listener.Accept()
 		if err != nil {
 			return
 		}
-		go m.take(conn)
+		go m.receiveCommand(conn)
 	}
 }
 
-func (m *mute) take(conn net.Conn) {
+func (m *silentVoter) receiveCommand(conn net.Conn) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(eventuallyTimeout))
 	var kind [1]byte
@@ -62,18 +62,19 @@
 	m.commands = append(m.commands, string(block))
 }
 
-func (m *mute) count() int {
+func (m *silentVoter) count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.commands)
 }
 
-// A command whose fate is not known is not repeated, unless it is a claim's own step.
-func TestSubscriberRepeatsOnlySteps(t *testing.T) {
+// A command whose outcome is unknown is not proposed again, as it could be applied twice. Steps of a claim are: their owner may
+// repeat them.
+func TestSubscriberRetriesOnlyClaimSteps(t *testing.T) {
 	certs := authority(t)
-	voter := newMute(t, certs())
+	voter := newSilentVoter(t, certs())
 	s, err := OpenSubscriber(SubscriberOptions{
-		Name: "gateway", Voters: []Member{{ID: "mute", Addr: voter.listener.Addr().String()}}, TLS: certs(),
+		Name: "gateway", Voters: []Member{{ID: "silent", Addr: voter.listener.Addr().String()}}, TLS: certs(),
 		Clock: clock.System(), Log: zerolog.Nop(), Timing: testTiming,
 	})
 	if err != nil {
@@ -81,9 +82,9 @@
 	}
 	defer s.Close()
 	for i, do := range []func() error{
-		func() error { return s.Put(patient(t), "policy", 1) },
-		func() error { return s.Revoke(patient(t), "use", 1) },
-		func() error { return s.Purge(patient(t), 1, 1) },
+		func() error { return s.Put(testContext(t), "policy", 1) },
+		func() error { return s.Revoke(testContext(t), "use", 1) },
+		func() error { return s.Purge(testContext(t), 1, 1) },
 	} {
 		if err := do(); !errors.Is(err, ErrNoQuorum) {
 			t.Errorf("%d: %v", i, err)
@@ -107,7 +108,7 @@
 	}
 }
 
-// A subscriber that does not know the leader learns it from whichever voter it asks, and passes over voters that are gone.
+// A subscriber that does not know the leader learns its address from any voter, and skips voters that can't be reached.
 func TestCommandFindsLeader(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{}, nil)
 	leader := c.leader()
@@ -115,18 +116,18 @@
 	for i := range s.voters {
 		s.setLeader("")
 		s.nextVoter.Store(uint32(i))
-		if err := s.Put(patient(t), "policy", i); err != nil {
-			t.Errorf("by way of %d: %v", i, err)
+		if err := s.Put(testContext(t), "policy", i); err != nil {
+			t.Errorf("through voter %d: %v", i, err)
 		}
 		if got := s.proposalAddr(); got != c.members[c.leader()].Addr {
-			t.Errorf("by way of %d: commands go to %s", i, got)
+			t.Errorf("through voter %d: commands are sent to %s", i, got)
 		}
 	}
 	gone := (leader + 1) % 3
 	s.relay(gone).cut()
 	s.setLeader("")
 	s.nextVoter.Store(uint32(slices.Index(s.voters, c.members[gone].Addr)))
-	if err := s.Put(patient(t), "policy", "last"); err != nil {
+	if err := s.Put(testContext(t), "policy", "last"); err != nil {
 		t.Error(err)
 	}
 }
--- a/replica/confirm.go
+++ b/replica/confirm.go
@@ -25,7 +25,7 @@
 
 const (
 	periodic urgency = iota // once the interval since the last round has passed
-	urgent                  // earlier, as a subscriber waits for its first mark
+	urgent                  // sooner: a subscriber is waiting for its first mark
 )
 
 // confirmer has a majority confirm the leader, which a voter needs for issuing marks. It runs one round at a time, at most one in
@@ -114,7 +114,7 @@
 		last = time.Now()
 		if err := c.round(ctx, conn); err != nil {
 			c.store.opt.Log.Debug().Err(err).Msg("leader not confirmed")
-			c.request(urgent) // heartbeats still wait for it, and need not wait for an interval after an election
+			c.request(urgent) // pending heartbeats need a round, and after an election should not wait a full interval
 		}
 		if c.lease != nil {
 			c.request(periodic)
@@ -191,8 +191,8 @@
 	c.cancelRound = cancel
 }
 
-// watchLeader cancels the current round, and so has another one requested, when this member learns of a new leader or of the loss
-// of one. A request to a leader that is partitioned would otherwise wait for its time-out, while subscribers wait for marks.
+// watchLeader cancels the current round, which then requests another one, when this member learns of a new leader or that the
+// leader is lost. A request to a partitioned leader would otherwise wait for its time-out, while subscribers wait for marks.
 func (c *confirmer) watchLeader(ctx context.Context) {
 	changes := make(chan raft.Observation, 1)
 	observer := raft.NewObserver(changes, false, func(o *raft.Observation) bool {
@@ -241,7 +241,7 @@
 // It appends a barrier to the log. raft.VerifyLeader is not enough, in spite of its name: it counts every positive response of a
 // member that arrives, also those to heartbeats and to pipelined entries that were sent before it was called. A leader whose
 // responses were delayed could thus be confirmed after another was elected. The barrier also ensures that everything is applied
-// here that earlier leaders acknowledged, and that a leader whose disk refuses writes is not confirmed.
+// here that earlier leaders acknowledged, and that a leader whose disk rejects writes is not confirmed.
 func (s *Store) verifyLeadership(ctx context.Context) (distribution.Revision, error) {
 	select {
 	case s.verifications <- struct{}{}:
--- a/replica/confirm_conn.go
+++ b/replica/confirm_conn.go
@@ -13,7 +13,7 @@
 const (
 	// confirmTimeout limits the leader's verification for another voter.
 	confirmTimeout = 2 * time.Second
-	// confirmIdleTimeout closes a connection without requests.
+	// confirmIdleTimeout is how long a connection may be idle before the leader closes it.
 	confirmIdleTimeout = time.Minute
 	// maxConfirmBlock bounds the size of a request and of a response.
 	maxConfirmBlock = 1 << 10
@@ -29,8 +29,8 @@
 	Err     string                `json:"err,omitempty"`
 }
 
-// confirmConn is a voter's persistent connection to the leader, for one confirmation request after the other. After an error it
-// is dialed anew, so that a late response is not taken for that to another request.
+// confirmConn is a voter's persistent connection to the leader, over which it sends one confirmation request at a time. After an
+// error it is dialed anew, so that a late response is not mistaken for the response to another request.
 type confirmConn struct {
 	store *Store
 	addr  string
--- a/replica/conn_slots_test.go
+++ b/replica/conn_slots_test.go
@@ -15,8 +15,8 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// running reports whether any goroutine is in a function whose name has a part.
-func running(part string) bool {
+// goroutineRuns reports whether any goroutine is in a function whose name contains part.
+func goroutineRuns(part string) bool {
 	stacks := make([]byte, 1<<20)
 	for {
 		n := runtime.Stack(stacks, true)
@@ -27,13 +27,13 @@
 	}
 }
 
-// sockets counts the process's sockets.
-func sockets(t *testing.T) (count int) {
+// countSockets returns the number of the process's open sockets.
+func countSockets(t *testing.T) (count int) {
 	t.Helper()
 	const descriptors = "/proc/self/fd"
 	entries, err := os.ReadDir(descriptors)
 	if err != nil {
-		t.Fatal("no list of descriptors:", err)
+		t.Fatal("can't list descriptors:", err)
 	}
 	for _, entry := range entries {
 		if target, err := os.Readlink(descriptors + "/" + entry.Name()); err == nil && strings.HasPrefix(target, "socket:") {
@@ -43,29 +43,29 @@
 	return count
 }
 
-// A standalone member has nothing that serves subscribers: no goroutine, socket or timer.
-func TestStandaloneServesNobody(t *testing.T) {
-	before := sockets(t)
+// A standalone member does not serve subscribers: it has no goroutine, socket or timer for them.
+func TestStandaloneServesNoSubscribers(t *testing.T) {
+	before := countSockets(t)
 	s, err := Open(Options{Clock: clock.System(), Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if err := s.Put(patient(t), "policy", 1); err != nil {
+	if err := s.Put(testContext(t), "policy", 1); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Purge(patient(t), 1, 1); err != nil {
+	if err := s.Purge(testContext(t), 1, 1); err != nil {
 		t.Fatal(err)
 	}
 	if s.feed != nil || s.confirmer != nil || s.transport != nil || s.state.feed != nil {
 		t.Error("it has parts that serve subscribers")
 	}
 	for _, part := range []string{"(*confirmer)", "(*transport)", "(*watch"} {
-		if running("replica." + part) {
+		if goroutineRuns("replica." + part) {
 			t.Error("a goroutine runs", part)
 		}
 	}
-	if after := sockets(t); after > before {
+	if after := countSockets(t); after > before {
 		t.Errorf("%d sockets, %d before", after, before)
 	}
 	if !s.Fresh() || s.MaxCopyAge() != 0 {
@@ -73,8 +73,8 @@
 	}
 }
 
-// A voter without subscribers confirms nothing and sets no timer, before the first and after the last.
-func TestNoSubscribersNoWork(t *testing.T) {
+// A voter without subscribers runs no confirmation rounds and sets no timer, both before the first and after the last one.
+func TestVoterIdleWithoutSubscribers(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{}, nil)
 	idle := func() bool {
 		for _, store := range c.stores {
@@ -85,7 +85,7 @@
 				return false
 			}
 		}
-		return !running("replica.(*confirmer)") && !running("replica.(*confirmConn)") && !running("replica.(*watch")
+		return !goroutineRuns("replica.(*confirmer)") && !goroutineRuns("replica.(*confirmConn)") && !goroutineRuns("replica.(*watch")
 	}
 	c.put("policy", 1)
 	if !idle() {
@@ -93,20 +93,20 @@
 	}
 	s := c.subscriber("gateway", c.members, nil)
 	s.awaitFresh()
-	if !running("replica.(*confirmer).run") {
-		t.Error("nothing runs with a subscriber: this test looks for the wrong name")
+	if !goroutineRuns("replica.(*confirmer).run") {
+		t.Error("no confirmer runs with a subscriber: this test searches for the wrong function name")
 	}
 	s.Close()
-	eventually(t, "nothing to run any more", idle)
+	eventually(t, "the voters to be idle again", idle)
 	c.put("policy", 2)
 	if !idle() {
 		t.Error("something runs after the last subscriber")
 	}
 }
 
-// Subscribers beyond the limit are rejected, by the publisher or for lack of a connection slot; Raft's connections and
-// proposals have slots of their own. A rejected subscriber is admitted once there is capacity.
-func TestSubscribersStarveNobody(t *testing.T) {
+// Subscribers beyond the limit are rejected, by the publisher or for lack of a connection slot, without taking slots from
+// Raft's connections and proposals. A rejected subscriber is admitted once there is capacity.
+func TestSubscriberLimitLeavesOtherSlots(t *testing.T) {
 	const capacity = 2
 	c := newCluster(t, 3, distribution.Limits{Subscribers: capacity}, nil)
 	voter := c.follower()
@@ -118,23 +118,23 @@
 		admitted = append(admitted, s)
 	}
 	rejected := c.subscriber("rejected", only, nil)
-	eventually(t, "it is rejected", func() bool { return rejected.Status().MessagesIn > 0 })
+	eventually(t, "the subscriber beyond the limit to be rejected", func() bool { return rejected.Status().MessagesIn > 0 })
 	if rejected.Fresh() {
 		t.Error("fresh though rejected")
 	}
 
 	watchSlots := c.stores[voter].transport.slots[connWatch]
-	for watchSlots.tryAcquire() { // as that many connections would
+	for watchSlots.tryAcquire() { // occupies all slots, as connections would
 	}
 	message := rawWatch(t, c, voter, subscribeRequest{Name: "raw", Heartbeat: 1})
 	if message.Rejection == nil || message.Rejection.Reason != distribution.RejectFull || message.Rejection.RetryAfterMS <= 0 {
-		t.Errorf("answered %+v", message)
+		t.Errorf("the response is %+v", message)
 	}
 	if len(message.Rejection.Voters) != 2 {
 		t.Errorf("other voters: %v", message.Rejection.Voters)
 	}
 	hold := claims.Step{Op: claims.Hold, Owner: "a", Until: 1e15}
-	if _, ok, err := admitted[0].Step(patient(t), "k", hold); !ok || err != nil {
+	if _, ok, err := admitted[0].Step(testContext(t), "k", hold); !ok || err != nil {
 		t.Errorf("hold: %v, %v", ok, err)
 	}
 
@@ -145,10 +145,10 @@
 	c.awaitVoter(voter)
 }
 
-// rawWatch opens a watch by hand and gives the first answer.
+// rawWatch opens a watch without a Subscriber and returns the first message of the voter.
 func rawWatch(t *testing.T, c *cluster, voter int, request subscribeRequest) (message voterMessage) {
 	t.Helper()
-	conn, err := newDialer(c.client, nil).dial(patient(t), c.members[voter].Addr, connWatch)
+	conn, err := newDialer(c.client, nil).dial(testContext(t), c.members[voter].Addr, connWatch)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,11 +164,11 @@
 	return receiveMessage(t, conn)
 }
 
-// Bad input ends the connection that it came over, and nothing else.
-func TestBadInputEndsTheConnection(t *testing.T) {
-	c := newCluster(t, 3, distribution.Limits{}, undisturbed.voter)
+// Invalid input closes the connection over which it arrived, and does not disturb other connections.
+func TestBadInputClosesOnlyItsConnection(t *testing.T) {
+	c := newCluster(t, 3, distribution.Limits{}, relaxedTimeouts.voter)
 	voter := c.leader()
-	good := c.subscriber("good", c.members[voter:voter+1], undisturbed.subscriber)
+	good := c.subscriber("good", c.members[voter:voter+1], relaxedTimeouts.subscriber)
 	good.awaitFresh()
 	opened, err := encodeBlock(subscribeRequest{Name: "bad", Heartbeat: 1})
 	if err != nil {
@@ -183,21 +183,21 @@
 		kind connKind
 		sent string
 	}{
-		"unknown kind":          {'x', block("{}")},
-		"watch: no JSON":        {connWatch, block("watch me")},
-		"watch: too long":       {connWatch, "\xff\xff\xff\xff"},
-		"watch: no heartbeat":   {connWatch, block(`{"name":"a"}`)},
-		"watch: negative":       {connWatch, block(`{"name":"a","heartbeat":-1}`)},
-		"watch: long name":      {connWatch, block(`{"name":"` + strings.Repeat("a", maxGatewayName+1) + `","heartbeat":1}`)},
-		"watch: then no JSON":   {connWatch, string(opened) + block("heartbeat")},
-		"watch: then too long":  {connWatch, string(opened) + "\x7f\xff\xff\xff"},
-		"confirm: no JSON":      {connConfirm, block("lead")},
-		"confirm: too long":     {connConfirm, "\x00\x10\x00\x00"},
-		"forward: too long":     {connForward, "\x7f\x00\x00\x00"},
-		"watch: another's kind": {connWatch, block(`{"heartbeat":"1"}`)},
+		"unknown kind":         {'x', block("{}")},
+		"watch: no JSON":       {connWatch, block("watch me")},
+		"watch: too long":      {connWatch, "\xff\xff\xff\xff"},
+		"watch: no heartbeat":  {connWatch, block(`{"name":"a"}`)},
+		"watch: negative":      {connWatch, block(`{"name":"a","heartbeat":-1}`)},
+		"watch: long name":     {connWatch, block(`{"name":"` + strings.Repeat("a", maxGatewayName+1) + `","heartbeat":1}`)},
+		"watch: then no JSON":  {connWatch, string(opened) + block("heartbeat")},
+		"watch: then too long": {connWatch, string(opened) + "\x7f\xff\xff\xff"},
+		"confirm: no JSON":     {connConfirm, block("lead")},
+		"confirm: too long":    {connConfirm, "\x00\x10\x00\x00"},
+		"forward: too long":    {connForward, "\x7f\x00\x00\x00"},
+		"watch: string number": {connWatch, block(`{"heartbeat":"1"}`)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn, err := newDialer(c.client, nil).dial(patient(t), c.members[voter].Addr, test.kind)
+			conn, err := newDialer(c.client, nil).dial(testContext(t), c.members[voter].Addr, test.kind)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -217,7 +217,7 @@
 			}
 		})
 	}
-	if !good.Fresh() || len(good.turned()) != 1 {
-		t.Errorf("another subscriber was disturbed: %v", good.turned())
+	if !good.Fresh() || len(good.freshnessChanges()) != 1 {
+		t.Errorf("another subscriber was disturbed: its freshness changed to %v", good.freshnessChanges())
 	}
 }
--- a/replica/damage_test.go
+++ b/replica/damage_test.go
@@ -18,21 +18,21 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// sector is what a disk writes at once.
+// sector is the number of bytes that a disk writes atomically.
 const sector = 512
 
-// keptMember is the folder of a member that has ended, and what it had acknowledged.
-type keptMember struct {
+// stoppedMember is the directory of a member that was stopped, and the values that it had acknowledged.
+type stoppedMember struct {
 	*cluster
-	kept   string
+	dir    string
 	values map[string]string
 	index  uint64 // of the newest snapshot
 }
 
-// newKeptMember runs the only member of a group for a while: changes, a snapshot, and more changes. Compacted: the log begins
-// behind the snapshot, as after a long time.
-func newKeptMember(t *testing.T, compacted bool) *keptMember {
-	m := &keptMember{values: map[string]string{}}
+// newStoppedMember starts the only member of a group, makes changes, a snapshot and more changes, and stops it. With compacted
+// the log begins after the last entry of the snapshot, as in a member that has run for long.
+func newStoppedMember(t *testing.T, compacted bool) *stoppedMember {
+	m := &stoppedMember{values: map[string]string{}}
 	m.cluster = newCluster(t, 1, distribution.Limits{}, func(_ int, opt *Options) { opt.HeartbeatTimeout = 30 * time.Millisecond })
 	put := func(from, to int) {
 		for i := from; i < to; i++ {
@@ -61,12 +61,12 @@
 			t.Fatal(err)
 		}
 	}
-	m.kept = m.keepDirs()[0]
+	m.dir = m.copyDirs()[0]
 	return m
 }
 
-// open starts the member on a folder.
-func (m *keptMember) open(dir string) (*Store, error) {
+// open starts the member on a directory.
+func (m *stoppedMember) open(dir string) (*Store, error) {
 	listener, err := net.Listen("tcp", m.members[0].Addr)
 	if err != nil {
 		m.t.Fatal(err)
@@ -82,8 +82,8 @@
 	return s, err
 }
 
-// has reports whether a member knows all that was acknowledged.
-func (m *keptMember) has(s *Store) bool {
+// hasAll reports whether a member has all acknowledged values.
+func (m *stoppedMember) hasAll(s *Store) bool {
 	for name, value := range m.values {
 		var got string
 		if ok, err := s.Get(name, &got); !ok || err != nil || got != value {
@@ -93,26 +93,27 @@
 	return true
 }
 
-// check starts the member on a damaged folder: it knows all that was acknowledged, or refuses and names the file.
-func (m *keptMember) check(what, dir, file string) (started bool) {
+// checkStart starts the member on a damaged directory, and checks that it either has all acknowledged values or fails to start
+// with an error that names the file.
+func (m *stoppedMember) checkStart(what, dir, file string) (started bool) {
 	m.t.Helper()
 	s, err := m.open(dir)
 	if err != nil {
 		if !strings.Contains(err.Error(), file) {
-			m.t.Errorf("%s: the error names no file: %v", what, err)
+			m.t.Errorf("%s: the error does not name the file: %v", what, err)
 		}
 		return false
 	}
 	defer s.Close()
-	eventually(m.t, what+": all that was acknowledged", func() bool { return m.has(s) })
+	eventually(m.t, what+": all acknowledged values", func() bool { return m.hasAll(s) })
 	return true
 }
 
-// damaged copies the folder and has a file of it altered; the name is relative to the folder.
-func (m *keptMember) damaged(file string, alter func(content []byte) []byte) (dir string) {
+// damagedCopy copies the directory and alters one file of the copy. The file's name is relative to the directory.
+func (m *stoppedMember) damagedCopy(file string, alter func(content []byte) []byte) (dir string) {
 	m.t.Helper()
 	dir = filepath.Join(m.t.TempDir(), "member")
-	if err := os.CopyFS(dir, os.DirFS(m.kept)); err != nil {
+	if err := os.CopyFS(dir, os.DirFS(m.dir)); err != nil {
 		m.t.Fatal(err)
 	}
 	path := filepath.Join(dir, file)
@@ -126,16 +127,16 @@
 	return dir
 }
 
-// files names the member's files.
-func (m *keptMember) files() (files []string) {
+// files returns the names of the member's files, relative to the directory.
+func (m *stoppedMember) files() (files []string) {
 	m.t.Helper()
 	for _, pattern := range []string{logFile, "snapshots/*/meta.json", "snapshots/*/state.bin"} {
-		list, err := filepath.Glob(filepath.Join(m.kept, pattern))
+		list, err := filepath.Glob(filepath.Join(m.dir, pattern))
 		if err != nil || len(list) == 0 {
 			m.t.Fatal(pattern, list, err)
 		}
 		for _, path := range list {
-			file, err := filepath.Rel(m.kept, path)
+			file, err := filepath.Rel(m.dir, path)
 			if err != nil {
 				m.t.Fatal(err)
 			}
@@ -145,56 +146,56 @@
 	return files
 }
 
-// Each file of a member is cut at each sector, and its last page torn: the member starts with all that was acknowledged, or
-// refuses to and names the file. Undamaged it starts.
+// Each file of a member is truncated at each sector, and its last page is partly overwritten: the member starts with all
+// acknowledged values, or fails with an error that names the file. The undamaged member starts.
 func TestDamagedFiles(t *testing.T) {
 	for _, compacted := range []bool{false, true} {
 		t.Run(fmt.Sprintf("compacted=%t", compacted), func(t *testing.T) {
-			m := newKeptMember(t, compacted)
+			m := newStoppedMember(t, compacted)
 			same := func(content []byte) []byte { return content }
-			if !m.check("undamaged", m.damaged(logFile, same), logFile) {
-				t.Fatal("refused without damage")
+			if !m.checkStart("undamaged", m.damagedCopy(logFile, same), logFile) {
+				t.Fatal("the undamaged member does not start")
 			}
 			for _, file := range m.files() {
-				whole, err := os.ReadFile(filepath.Join(m.kept, file))
+				original, err := os.ReadFile(filepath.Join(m.dir, file))
 				if err != nil {
 					t.Fatal(err)
 				}
 				started, refused := 0, 0
 				count := func(what string, alter func([]byte) []byte) {
-					if m.check(file+" "+what, m.damaged(file, alter), file) {
+					if m.checkStart(file+" "+what, m.damagedCopy(file, alter), file) {
 						started++
 					} else {
 						refused++
 					}
 				}
-				for size := 0; size < len(whole); size += sector {
-					count(fmt.Sprint("cut to ", size), func(content []byte) []byte { return content[:size] })
+				for size := 0; size < len(original); size += sector {
+					count(fmt.Sprint("truncated to ", size), func(content []byte) []byte { return content[:size] })
 				}
-				lastPage := (len(whole) - 1) / 4096 * 4096
-				for from := lastPage; from < len(whole); from += sector {
+				lastPage := (len(original) - 1) / 4096 * 4096
+				for from := lastPage; from < len(original); from += sector {
 					for _, fill := range []byte{0, 0xff} {
 						count(fmt.Sprintf("overwritten from %d with %d", from, fill), func(content []byte) []byte {
-							return overwritten(content, from, len(content), fill)
+							return overwrite(content, from, len(content), fill)
 						})
 					}
 				}
-				t.Logf("%s, %d bytes: %d started, %d refused", filepath.Base(file), len(whole), started, refused)
+				t.Logf("%s, %d bytes: %d started, %d failed to start", filepath.Base(file), len(original), started, refused)
 				if compacted && file != logFile && started > 0 {
-					t.Errorf("%s: needed, and started without it", file)
+					t.Errorf("%s is needed, but the member started although it is damaged", file)
 				}
 			}
 		})
 	}
 }
 
-// overwritten fills a part of a content.
-func overwritten(content []byte, from, to int, fill byte) []byte {
+// overwrite sets a part of content to fill, in place, and returns content.
+func overwrite(content []byte, from, to int, fill byte) []byte {
 	copy(content[from:to], bytes.Repeat([]byte{fill}, to-from))
 	return content
 }
 
-// storedEntries returns what a storage holds.
+// storedEntries returns the log entries in a storage.
 func storedEntries(t *testing.T, s *storage) (entries []raft.Log) {
 	t.Helper()
 	first, err := s.FirstIndex()
@@ -212,15 +213,16 @@
 	return entries
 }
 
-// Each page of the log's file is torn at each of its sectors: the file is refused, or holds what it held. The first sector of
-// the two pages that say where everything is stands out: a kill may leave one of them half written, and then the other counts.
+// Each page of the log's file is overwritten from each of its sectors to its end: the file is rejected, or has the same
+// entries, term and vote as before. The first sectors of the two meta pages are excepted: a process that is killed may leave
+// one of them half written, and then the other is used.
 func TestTornPages(t *testing.T) {
-	m := newKeptMember(t, false)
-	whole, err := os.ReadFile(filepath.Join(m.kept, logFile))
+	m := newStoppedMember(t, false)
+	original, err := os.ReadFile(filepath.Join(m.dir, logFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	intact, err := openStorage(m.kept, nil, zerolog.Nop())
+	intact, err := openStorage(m.dir, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,14 +232,14 @@
 	}
 	const pageSize = 4096
 	refused, opened := 0, 0
-	for from := 0; from < len(whole); from += sector {
+	for from := 0; from < len(original); from += sector {
 		if from == 0 || from == pageSize {
 			continue
 		}
 		for _, fill := range []byte{0, 0xff} {
 			dir := t.TempDir()
 			to := from/pageSize*pageSize + pageSize
-			torn := overwritten(bytes.Clone(whole), from, min(to, len(whole)), fill)
+			torn := overwrite(bytes.Clone(original), from, min(to, len(original)), fill)
 			if err := os.WriteFile(filepath.Join(dir, logFile), torn, 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -262,31 +264,31 @@
 			}
 		}
 	}
-	t.Logf("%d bytes: %d refused, %d opened", len(whole), refused, opened)
+	t.Logf("%d bytes: %d refused, %d opened", len(original), refused, opened)
 	if refused == 0 {
-		t.Error("no page in use was torn")
+		t.Error("no damaged file was rejected")
 	}
 }
 
-// A log that is lost beside a snapshot is not made anew: the term and the vote are lost with it.
+// A member whose log is missing beside a snapshot does not start: a new log would lack the term and the vote.
 func TestLogLostBesideSnapshot(t *testing.T) {
-	m := newKeptMember(t, false)
-	dir := m.damaged(logFile, func(content []byte) []byte { return content })
+	m := newStoppedMember(t, false)
+	dir := m.damagedCopy(logFile, func(content []byte) []byte { return content })
 	if err := os.Remove(filepath.Join(dir, logFile)); err != nil {
 		t.Fatal(err)
 	}
 	s, err := m.open(dir)
 	if err == nil {
 		s.Close()
-		t.Fatal("started anew")
+		t.Fatal("the member started with a new log")
 	}
 	if !strings.Contains(err.Error(), logFile) {
 		t.Errorf("%v", err)
 	}
 }
 
-// A first start that was killed left a part of a file behind: the next one begins anew.
-func TestKilledFirstStart(t *testing.T) {
+// A process that was killed during a member's first start left an incomplete file: the next start creates the file again.
+func TestInterruptedFirstStart(t *testing.T) {
 	c := newCluster(t, 1, distribution.Limits{}, nil)
 	c.stop(0)
 	c.dirs[0] = t.TempDir()
@@ -297,7 +299,7 @@
 	c.put("policy", "value")
 }
 
-// Entries that an earlier version wrote, without checksums, are read.
+// Entries that an earlier version wrote without checksums can be read.
 func TestEntriesWithoutChecksums(t *testing.T) {
 	dir := t.TempDir()
 	database, err := OpenLogDatabase(filepath.Join(dir, logFile))
--- a/replica/errors.go
+++ b/replica/errors.go
@@ -37,21 +37,22 @@
 	return errors.As(err, &unknown)
 }
 
-// remoteError is an error with which another member answered.
+// remoteError is an error that another member returned.
 type remoteError struct{ text string }
 
 // Error returns the other member's text.
 func (e *remoteError) Error() string { return e.text }
 
-// notLeaderError is the answer of a member that is not the leader, with the leader's address if it knows that.
+// notLeaderError is the response of a member that is not the leader, with the leader's address if it is known.
 type notLeaderError struct{ leader string }
 
-// Error returns the text by which members answer that they are not the leader.
+// Error returns the text with which members respond that they are not the leader.
 func (e *notLeaderError) Error() string { return notLeader }
 
-// withoutOutcome returns the cause of an outcomeUnknownError, and other errors as they are. A caller that gives up a proposal
-// returns the cause, so that a proposal which contains that one does not count as one of unknown outcome itself.
-func withoutOutcome(err error) error {
+// outcomeUnknownCause returns the cause of an outcomeUnknownError, and other errors as they are. A caller that abandons a
+// proposal returns the cause, so that the outcome of an enclosing proposal (a replacement proposes commands) is not treated as
+// unknown as well.
+func outcomeUnknownCause(err error) error {
 	var unknown *outcomeUnknownError
 	if errors.As(err, &unknown) {
 		return unknown.err
--- a/replica/faults_test.go
+++ b/replica/faults_test.go
@@ -13,8 +13,8 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// keepDirs copies the directories of all voters, which are stopped.
-func (c *cluster) keepDirs() (kept []string) {
+// copyDirs copies the directories of all voters, which must be stopped.
+func (c *cluster) copyDirs() (kept []string) {
 	c.t.Helper()
 	for _, dir := range c.dirs {
 		to := filepath.Join(c.t.TempDir(), "kept")
@@ -38,13 +38,14 @@
 	}
 }
 
-// All voters are restored to a backup, or lose everything. A subscriber that knows more than they do takes over their state,
-// and keeps what makes it refuse: revocations. It drops copies, as purges may have been lost.
-func TestRevisionFromTheFuture(t *testing.T) {
+// All voters are restored from a backup, or lose all data. A subscriber whose position is later than theirs adopts their state,
+// but keeps its revocations, so that it still rejects those tokens. It is notified that purges may be missing, so that it
+// drops cached copies.
+func TestVotersRestoredToOlderRevision(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		restore func(c *cluster, kept []string) []string
-		policy  string // after it; "": none
+		policy  string // afterwards; "": none
 	}{
 		{"backup", func(_ *cluster, kept []string) []string { return kept }, "old"},
 		{"nothing", func(c *cluster, _ []string) []string {
@@ -55,13 +56,13 @@
 			c := newCluster(t, 3, distribution.Limits{}, nil)
 			c.put("policy", "old")
 			c.stopAll()
-			kept := c.keepDirs()
+			kept := c.copyDirs()
 			c.startAll()
 
 			s := c.subscriber("gateway", c.members, nil)
 			c.put("policy", "lost")
 			c.purge(1, 100)
-			if err := s.Revoke(patient(t), "use", s.opt.Clock.Unix()+600000); err != nil {
+			if err := s.Revoke(testContext(t), "use", s.opt.Clock.Unix()+600000); err != nil {
 				t.Fatal(err)
 			}
 			s.awaitPosition(c.stores[c.leader()].Position())
@@ -71,7 +72,7 @@
 			c.dirs = test.restore(c, kept)
 			c.startAll()
 			leader := c.stores[c.leader()]
-			if _, err := leader.verifyLeadership(patient(t)); err != nil { // has what was restored applied
+			if _, err := leader.verifyLeadership(testContext(t)); err != nil { // waits until the restored entries are applied
 				t.Fatal(err)
 			}
 			restored := leader.Position()
@@ -85,7 +86,7 @@
 				t.Errorf("policy %q, %v", policy, err)
 			}
 			if !s.Revoked("use") {
-				t.Error("a revocation that was lost no longer counts here")
+				t.Error("the subscriber dropped a revocation that the voters lost")
 			}
 			s.effects.mu.Lock()
 			if len(s.effects.missed) == 0 {
@@ -103,7 +104,7 @@
 
 var errDiskFull = errors.New("no space left on device")
 
-// faultyLogs is a log store whose disk can be made full.
+// faultyLogs is a log store that can be made to fail as on a full disk.
 type faultyLogs struct {
 	raft.LogStore
 	full *atomic.Bool
@@ -118,7 +119,7 @@
 	return f.LogStore.StoreLogs(logs)
 }
 
-// newFaultyCluster starts voters whose disks can be made full.
+// newFaultyCluster starts three voters whose log stores can be made to fail as on a full disk.
 func newFaultyCluster(t *testing.T) (*cluster, []*atomic.Bool) {
 	full := []*atomic.Bool{{}, {}, {}}
 	c := newCluster(t, 3, distribution.Limits{}, func(voter int, opt *Options) {
@@ -127,13 +128,13 @@
 	return c, full
 }
 
-// A voter's disk is full: it no longer learns of changes. Its marks stop as soon as there is one, and a subscriber that may
-// turns to another voter.
-func TestFollowersDiskFull(t *testing.T) {
+// A follower whose disk is full receives no further changes. It issues no marks after the next change, and a subscriber that
+// knows other voters connects to another one.
+func TestFollowerDiskFull(t *testing.T) {
 	c, full := newFaultyCluster(t)
 	faulty := c.follower()
 	bound := c.subscriber("bound", c.members[faulty:faulty+1], nil)
-	free := c.subscriber(c.preferring(faulty), c.members, nil)
+	free := c.subscriber(c.gatewayPreferring(faulty), c.members, nil)
 	bound.awaitFresh()
 	free.awaitFresh()
 	monitors := []*monitor{bound.monitor(), free.monitor()}
@@ -141,12 +142,12 @@
 	full[faulty].Store(true)
 	c.put("policy", "after")
 	for _, m := range monitors {
-		m.acknowledged(c.stores[c.leader()])
+		m.recordAcknowledged(c.stores[c.leader()])
 	}
 	acknowledgedAt := time.Now()
 	free.awaitPosition(c.stores[c.leader()].Position())
-	eventually(t, "the other to be complete", func() bool { return free.Status().CompleteAt.After(acknowledgedAt) })
-	eventually(t, "its own to be stale", func() bool { return !bound.Fresh() })
+	eventually(t, "the subscriber of all voters to be complete", func() bool { return free.Status().CompleteAt.After(acknowledgedAt) })
+	eventually(t, "the subscriber of the faulty voter to be stale", func() bool { return !bound.Fresh() })
 
 	full[faulty].Store(false)
 	bound.awaitFresh()
@@ -156,21 +157,21 @@
 	}
 }
 
-// The leader's disk is full: what it cannot write it does not confirm either, and another leads.
-func TestLeadersDiskFull(t *testing.T) {
+// A leader whose disk is full can't append the barrier of a confirmation, so it is not confirmed, and another leader is elected.
+func TestLeaderDiskFull(t *testing.T) {
 	c, full := newFaultyCluster(t)
 	old := c.leader()
-	s := c.subscriber(c.preferring(old), c.members, nil)
+	s := c.subscriber(c.gatewayPreferring(old), c.members, nil)
 	s.awaitFresh()
 	m := s.monitor()
 	full[old].Store(true)
 	next := c.leader(old)
 	eventually(t, "a change to be acknowledged", func() bool {
-		return c.stores[next].Put(patient(t), "policy", "after") == nil
+		return c.stores[next].Put(testContext(t), "policy", "after") == nil
 	})
-	m.acknowledged(c.stores[next])
+	m.recordAcknowledged(c.stores[next])
 	acknowledgedAt := time.Now()
-	eventually(t, "complete", func() bool { return s.Status().CompleteAt.After(acknowledgedAt) })
+	eventually(t, "the subscriber to be complete", func() bool { return s.Status().CompleteAt.After(acknowledgedAt) })
 	var policy string
 	if _, err := s.Get("policy", &policy); err != nil || policy != "after" {
 		t.Errorf("policy %q, %v", policy, err)
@@ -179,7 +180,7 @@
 	s.awaitFresh()
 }
 
-// Purges are kept for their retention by the log's own times, and a snapshot says from when on it has them all.
+// Purges are kept for purgeRetention by the times in the log, and a snapshot states the time since which it has all purges.
 func TestPurgeRetention(t *testing.T) {
 	const minute = 60 * 1000.0
 	s := newStateMachine()
@@ -203,18 +204,18 @@
 		t.Errorf("kept %v", got)
 	}
 	if since := s.distributedState().PurgesSince; since != 0 {
-		t.Errorf("since %d, but none was dropped", since)
+		t.Errorf("PurgesSince is %d, but none was dropped", since)
 	}
 	apply(command{Op: opPut, Name: "a", Value: []byte("1"), At: 11*minute + 100})
 	if got := objects(); !slices.Equal(got, []uint64{2, 3}) {
 		t.Errorf("kept %v", got)
 	}
 	if since := s.distributedState().PurgesSince; since != 10*minute+1 {
-		t.Errorf("since %d", since)
+		t.Errorf("PurgesSince is %d", since)
 	}
 }
 
-// The purges kept are bounded by number too.
+// The number of purges in the state is bounded.
 func TestPurgesBounded(t *testing.T) {
 	s := newStateMachine()
 	for i := range maxPurges + 1 {
@@ -225,7 +226,7 @@
 	if len(snapshot.Purges) != maxPurges/2+1 {
 		t.Errorf("%d purges kept", len(snapshot.Purges))
 	}
-	if first := snapshot.Purges[0]; snapshot.PurgesSince != first.At { // the last one dropped is of the ms before
-		t.Errorf("since %d, but the first is of %d", snapshot.PurgesSince, first.At)
+	if first := snapshot.Purges[0]; snapshot.PurgesSince != first.At { // the last dropped purge was 1 ms earlier
+		t.Errorf("PurgesSince is %d, but the first purge is of %d", snapshot.PurgesSince, first.At)
 	}
 }
--- a/replica/forward.go
+++ b/replica/forward.go
@@ -11,7 +11,7 @@
 	forwardResponseTimeout = 5 * time.Second // from a proposal's first byte to the last of its response
 	forwardTimeout         = 3 * time.Second // for Raft to commit and apply the proposal
 	maxForwardResponseSize = 64 << 10
-	// forwardIdleTimeout closes a connection without proposals. The forwarding side closes it after a shorter time.
+	// forwardIdleTimeout is how long a connection may be idle before this side closes it. The forwarding side closes it earlier.
 	forwardIdleTimeout = 3 * idleConnTTL
 	// notLeader is the text by which a member answers that it is not the leader. It is part of the wire form.
 	notLeader = "not the leader"
@@ -79,8 +79,8 @@
 	return writeForwardResponse(conn, response) == nil
 }
 
-// executeProposal executes a proposal if this member is the leader, and otherwise answers which member is: subscribers send their
-// proposals to any voter.
+// executeProposal executes a proposal if this member is the leader, and otherwise returns the leader's address: subscribers send
+// their proposals to any voter.
 func (t *transport) executeProposal(p proposal) forwardResponse {
 	if !t.store.Leads() {
 		leader, _ := t.store.raft.LeaderWithID()
@@ -104,7 +104,7 @@
 	return writeBlock(conn, encoded)
 }
 
-// unpack returns the result or the error that a response stands for.
+// unpack returns the result or the error that a response carries.
 func (r forwardResponse) unpack() (result, error) {
 	switch {
 	case r.Err == notLeader && r.NotApplied:
--- a/replica/hardcases_test.go
+++ b/replica/hardcases_test.go
@@ -13,8 +13,8 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// digestNow returns the digest of a subscriber that starts from nothing now.
-func (c *cluster) digestNow(name string) (distribution.Position, uint64) {
+// newSubscriberDigest returns the position and the digest of a new subscriber once it is fresh.
+func (c *cluster) newSubscriberDigest(name string) (distribution.Position, uint64) {
 	c.t.Helper()
 	s := c.subscriber(name, c.members, nil)
 	s.awaitFresh()
@@ -22,8 +22,8 @@
 	return status.Position, status.Digest
 }
 
-// checkOncesInOrder checks that each purge was received once, in the order of the log.
-func checkOncesInOrder(t *testing.T, effects *recorder, want int) {
+// checkEachOnceInOrder checks that each of want purges was received once, in the order of the log.
+func checkEachOnceInOrder(t *testing.T, effects *recorder, want int) {
 	t.Helper()
 	effects.mu.Lock()
 	defer effects.mu.Unlock()
@@ -31,19 +31,19 @@
 	seen := map[uint64]bool{}
 	for _, purge := range effects.purged {
 		if purge.Revision <= last {
-			t.Errorf("purge of revision %d behind %d", purge.Revision, last)
+			t.Errorf("purge of revision %d received after revision %d", purge.Revision, last)
 		}
 		if seen[purge.Object] {
-			t.Errorf("purge of %d received twice", purge.Object)
+			t.Errorf("purge of object %d received twice", purge.Object)
 		}
 		last, seen[purge.Object] = purge.Revision, true
 	}
 	if len(seen) != want {
-		t.Errorf("%d purges, want %d", len(seen), want)
+		t.Errorf("%d purges received, want %d", len(seen), want)
 	}
 }
 
-// A subscriber that was away for longer than the journal reaches back resumes by snapshot, and misses nothing.
+// A subscriber that was disconnected for longer than the journal reaches back resumes with a snapshot, and misses no change.
 func TestResumeAtCompactedRevision(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{JournalChanges: 32}, nil)
 	c.purge(1, 5)
@@ -58,42 +58,43 @@
 	if after := s.Status().Snapshots; after != before+1 {
 		t.Errorf("%d snapshots, want one more than %d", after, before)
 	}
-	checkOncesInOrder(t, s.effects, 205)
-	if at, digest := c.digestNow("another"); at != s.Status().Position || digest != s.Status().Digest {
+	checkEachOnceInOrder(t, s.effects, 205)
+	if at, digest := c.newSubscriberDigest("another"); at != s.Status().Position || digest != s.Status().Digest {
 		t.Error("the state differs from that of a new subscriber")
 	}
 }
 
-// A voter is killed with half of a batch on its way. Its subscriber resumes at another: nothing is lost, nothing received twice,
-// and the order holds.
+// A voter is stopped when it has sent half of a batch. Its subscriber resumes at another voter and receives each change once, in
+// order.
 func TestVoterKilledInBatch(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{}, nil)
 	killed := c.follower()
-	s := c.subscriber(c.preferring(killed), c.members, nil)
+	s := c.subscriber(c.gatewayPreferring(killed), c.members, nil)
 	s.awaitFresh()
 	c.purge(1, 20)
 	s.awaitPosition(c.stores[c.leader()].Position())
 
-	link := s.relay(killed)
-	link.stallAfter(toDialer, 8<<10) // a batch of the purges below has some 40 kB
+	voterRelay := s.relay(killed)
+	voterRelay.stallAfter(toDialer, 8<<10) // a batch of the purges below has about 40 kB
 	c.purge(21, 400)
-	eventually(t, "the batch to be half sent", func() bool { return link.stalled(toDialer) })
+	eventually(t, "the batch to be half sent", func() bool { return voterRelay.stalled(toDialer) })
 	c.stop(killed)
-	link.cut()
+	voterRelay.cut()
 	c.purge(421, 10)
 	s.awaitPosition(c.stores[c.leader()].Position())
-	checkOncesInOrder(t, s.effects, 430)
+	checkEachOnceInOrder(t, s.effects, 430)
 	if snapshots := s.Status().Snapshots; snapshots > 0 {
-		t.Errorf("%d snapshots, but it was never far behind", snapshots)
+		t.Errorf("%d snapshots, but the journal reached back far enough", snapshots)
 	}
 }
 
-// The leader is cut off from the other voters while subscribers hang on it. Its marks stop, and nobody is made fresh by it
-// once the others may have acknowledged changes. A subscriber that may turns to another voter, and is fresh again with them.
-func TestLeaderCutOff(t *testing.T) {
+// The leader is partitioned from the other voters while subscribers watch it. It issues no marks, so it makes no subscriber
+// fresh once the others may have acknowledged changes. A subscriber that knows other voters connects to one of them and is
+// fresh again, with the changes.
+func TestLeaderPartitioned(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{}, nil)
 	old := c.leader()
-	free := c.subscriber(c.preferring(old), c.members, nil)
+	free := c.subscriber(c.gatewayPreferring(old), c.members, nil)
 	bound := c.subscriber("bound", c.members[old:old+1], nil)
 	free.awaitFresh()
 	bound.awaitFresh()
@@ -104,22 +105,22 @@
 
 	c.betweenVoters(old, func(r *relay) { r.stall(toTarget, toDialer) })
 	elected := c.leader(old)
-	if err := c.stores[elected].Put(patient(t), "policy", "after"); err != nil {
+	if err := c.stores[elected].Put(testContext(t), "policy", "after"); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range monitors {
-		m.acknowledged(c.stores[elected])
+		m.recordAcknowledged(c.stores[elected])
 	}
 	acknowledgedAt := time.Now()
-	eventually(t, "the subscriber of the old leader alone to be stale", func() bool { return !bound.Fresh() })
-	eventually(t, "the other to be complete again", func() bool { return free.Status().CompleteAt.After(acknowledgedAt) })
+	eventually(t, "the subscriber of only the old leader to be stale", func() bool { return !bound.Fresh() })
+	eventually(t, "the subscriber of all voters to be complete again", func() bool { return free.Status().CompleteAt.After(acknowledgedAt) })
 	free.awaitFresh()
 	var policy string
 	if _, err := free.Get("policy", &policy); err != nil || policy != "after" {
 		t.Errorf("policy %q, %v", policy, err)
 	}
 	if bound.Fresh() {
-		t.Error("a leader that was deposed made a subscriber fresh")
+		t.Error("the partitioned leader made a subscriber fresh")
 	}
 
 	c.betweenVoters(old, (*relay).heal)
@@ -129,23 +130,23 @@
 	}
 }
 
-// Everything that the voter sends is delayed, for a while, by more than the lease. What arrives late does not make the
-// state fresh: a mark counts from when its heartbeat was sent.
-func TestMarksHeldUp(t *testing.T) {
+// Everything that the voter sends is delayed by more than the lease's TTL. Marks that arrive late do not make the state fresh:
+// a mark renews the lease from the time at which its heartbeat was sent.
+func TestDelayedMarksDoNotMakeFresh(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{}, nil)
 	voter := c.follower()
 	s := c.subscriber("gateway", c.members[voter:voter+1], func(opt *SubscriberOptions) {
-		opt.Timing.SilenceTimeout = 2 * testTiming.LeaseTTL // it stays, and gets all that was held up
+		opt.Timing.SilenceTimeout = 2 * testTiming.LeaseTTL // it keeps the connection, and receives what was delayed
 	})
 	s.awaitFresh()
 	m := s.monitor()
-	link := s.relay(voter)
-	link.stall(toDialer)
+	voterRelay := s.relay(voter)
+	voterRelay.stall(toDialer)
 	c.put("policy", "after")
-	m.acknowledged(c.stores[c.leader()])
+	m.recordAcknowledged(c.stores[c.leader()])
 	eventually(t, "stale", func() bool { return !s.Fresh() })
-	link.slow(20 * time.Millisecond)
-	link.release()
+	voterRelay.slow(20 * time.Millisecond)
+	voterRelay.release()
 	s.awaitFresh()
 	var policy string
 	if _, err := s.Get("policy", &policy); err != nil || policy != "after" {
@@ -156,15 +157,15 @@
 	}
 }
 
-// A subscriber is cut off for longer than its lease. It says that it is stale, begins no claim, and bounds the age of copies
-// once a purge may be missing that has to hold; it is fresh again only when it is complete.
-func TestCutForLongerThanLease(t *testing.T) {
+// A subscriber is disconnected for longer than its lease's TTL. It becomes stale, begins no claims, and bounds the age of cached
+// copies once a purge older than the purge deadline may be missing. It is fresh again only when its state is complete.
+func TestDisconnectedLongerThanLease(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{}, nil)
 	c.put("policy", "before")
 	s := c.subscriber("gateway", c.members, nil)
 	s.awaitFresh()
 	hold := claims.Step{Op: claims.Hold, Owner: "a", Until: 1e15}
-	if _, ok, err := s.Step(patient(t), "begun", hold); !ok || err != nil {
+	if _, ok, err := s.Step(testContext(t), "begun", hold); !ok || err != nil {
 		t.Fatalf("hold: %v, %v", ok, err)
 	}
 	watch := s.monitor()
@@ -172,17 +173,17 @@
 	s.relays(func(r *relay) { r.stall(toTarget, toDialer) })
 	c.put("policy", "after")
 	c.purge(1, 1)
-	watch.acknowledged(c.stores[c.leader()])
+	watch.recordAcknowledged(c.stores[c.leader()])
 	eventually(t, "stale", func() bool { return !s.Fresh() })
-	if _, _, err := s.Step(patient(t), "new", hold); !errors.Is(err, ErrStale) {
+	if _, _, err := s.Step(testContext(t), "new", hold); !errors.Is(err, ErrStale) {
 		t.Errorf("hold while stale: %v", err)
 	}
-	eventually(t, "a bound for copies", func() bool { return s.MaxCopyAge() != 0 })
+	eventually(t, "a bound for the age of copies", func() bool { return s.MaxCopyAge() != 0 })
 	if status := s.Status(); status.CompleteAge < testTiming.PurgeDeadline {
-		t.Errorf("copies are bounded %v after the state was complete", status.CompleteAge)
+		t.Errorf("the age of copies is bounded already %v after the state was complete", status.CompleteAge)
 	}
 	if age := s.MaxCopyAge(); age > testTiming.PurgeDeadline {
-		t.Errorf("copies of %v may be served", age)
+		t.Errorf("copies of age %v may be served", age)
 	}
 
 	s.relays((*relay).heal)
@@ -195,39 +196,41 @@
 		t.Errorf("fresh with purges %v", objects)
 	}
 	if age := s.MaxCopyAge(); age != 0 {
-		t.Errorf("copies are bounded to %v though fresh", age)
+		t.Errorf("the age of copies is bounded to %v although the state is fresh", age)
 	}
-	eventually(t, "notified of each turn", func() bool { return slices.Equal(s.turned(), []bool{true, false, true}) })
-	if _, ok, err := s.Step(patient(t), "begun", claims.Step{Op: claims.Send, Owner: "a"}); !ok || err != nil {
+	eventually(t, "notification of each change of freshness", func() bool { return slices.Equal(s.freshnessChanges(), []bool{true, false, true}) })
+	if _, ok, err := s.Step(testContext(t), "begun", claims.Step{Op: claims.Send, Owner: "a"}); !ok || err != nil {
 		t.Errorf("send of the claim begun before: %v, %v", ok, err)
 	}
 }
 
-// While a gateway is stale, a step that ends work in hand still goes: only its watch is lost here, not its way to the leader.
-func TestStaleEndsWorkInHand(t *testing.T) {
+// A stale subscriber still performs the further steps of claims that it has begun, and begins no new ones. In this test only
+// its watch is lost, not its connection to the leader.
+func TestStaleSubscriberContinuesClaims(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{}, nil)
 	s := c.subscriber("gateway", c.members, nil)
 	s.awaitFresh()
-	if _, ok, err := s.Step(patient(t), "k", claims.Step{Op: claims.Hold, Owner: "a", Until: 1e15}); !ok || err != nil {
+	if _, ok, err := s.Step(testContext(t), "k", claims.Step{Op: claims.Hold, Owner: "a", Until: 1e15}); !ok || err != nil {
 		t.Fatalf("hold: %v, %v", ok, err)
 	}
-	s.cancel() // of the watch; Step is given the rest by hand, as isClosed ends its retries
+	s.cancel() // ends the watch; Step still makes one attempt, but no retries, as the subscriber counts as closed
 	<-s.ended
 	eventually(t, "stale", func() bool { return !s.Fresh() })
-	if _, ok, err := s.Step(patient(t), "k", claims.Step{Op: claims.Send, Owner: "a"}); !ok || err != nil {
+	if _, ok, err := s.Step(testContext(t), "k", claims.Step{Op: claims.Send, Owner: "a"}); !ok || err != nil {
 		t.Errorf("send: %v, %v", ok, err)
 	}
-	if _, _, err := s.Step(patient(t), "l", claims.Step{Op: claims.Hold, Owner: "a", Until: 1e15}); !errors.Is(err, ErrStale) {
+	if _, _, err := s.Step(testContext(t), "l", claims.Step{Op: claims.Hold, Owner: "a", Until: 1e15}); !errors.Is(err, ErrStale) {
 		t.Errorf("hold: %v", err)
 	}
 }
 
-// A subscriber stops reading. The voter's others are served as before; it is cut off, and resumes by snapshot.
+// A subscriber stops reading. The voter disconnects it and serves its other subscribers as before. The subscriber resumes with a
+// snapshot.
 func TestSubscriberStopsReading(t *testing.T) {
-	c := newCluster(t, 3, distribution.Limits{JournalBytes: 2 << 20}, undisturbed.voter)
+	c := newCluster(t, 3, distribution.Limits{JournalBytes: 2 << 20}, relaxedTimeouts.voter)
 	voter := c.follower()
 	stopped := c.subscriber("stopped", c.members[voter:voter+1], nil)
-	other := c.subscriber("other", c.members[voter:voter+1], undisturbed.subscriber)
+	other := c.subscriber("other", c.members[voter:voter+1], relaxedTimeouts.subscriber)
 	stopped.awaitFresh()
 	other.awaitFresh()
 	before := stopped.Status().Snapshots
@@ -235,14 +238,14 @@
 	stopped.relay(voter).stall(toDialer)
 	for i := range 3 {
 		c.put(fmt.Sprint("large-", i), strings.Repeat("x", 1<<20-2))
-		other.awaitPosition(c.stores[c.leader()].Position()) // the journal holds no more than two of these
+		other.awaitPosition(c.stores[c.leader()].Position()) // the journal holds at most two of these values
 	}
-	eventually(t, "the subscriber to be cut off", func() bool {
+	eventually(t, "the subscriber to be disconnected", func() bool {
 		subscribers, _ := c.stores[voter].Subscribers()
 		return subscribers == 1
 	})
-	if turned := other.turned(); !slices.Equal(turned, []bool{true}) {
-		t.Errorf("the other's freshness turned: %v", turned)
+	if changes := other.freshnessChanges(); !slices.Equal(changes, []bool{true}) {
+		t.Errorf("the other subscriber's freshness changed to %v", changes)
 	}
 	stopped.relay(voter).heal()
 	stopped.awaitPosition(c.stores[c.leader()].Position())
@@ -254,19 +257,19 @@
 	}
 }
 
-// A subscriber never reads and does not leave by itself. The voter ends its watch, and serves the others meanwhile.
+// A subscriber never reads, but keeps sending heartbeats. The voter disconnects it, and serves its other subscribers meanwhile.
 func TestWatchThatNeverReads(t *testing.T) {
-	c := newCluster(t, 3, distribution.Limits{}, undisturbed.voter)
+	c := newCluster(t, 3, distribution.Limits{}, relaxedTimeouts.voter)
 	voter := c.follower()
-	other := c.subscriber("other", c.members[voter:voter+1], undisturbed.subscriber)
+	other := c.subscriber("other", c.members[voter:voter+1], relaxedTimeouts.subscriber)
 	other.awaitFresh()
-	link, err := newDialer(c.client, nil).dial(patient(t), c.members[voter].Addr, connWatch)
+	conn, err := newDialer(c.client, nil).dial(testContext(t), c.members[voter].Addr, connWatch)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeNow(link)
+	defer closeNow(conn)
 	ended := make(chan error, 1)
-	go func() { ended <- heartbeatsOnly(link) }()
+	go func() { ended <- heartbeatsOnly(conn) }()
 	eventually(t, "two subscribers", func() bool {
 		subscribers, _ := c.stores[voter].Subscribers()
 		return subscribers == 2
@@ -277,27 +280,27 @@
 			break
 		}
 		if i == 40 {
-			t.Fatal("not cut off after 20 MiB")
+			t.Fatal("not disconnected after 20 MiB")
 		}
 	}
 	if err := <-ended; err == nil {
-		t.Error("its link goes on")
+		t.Error("its connection was not closed")
 	}
 	other.awaitPosition(c.stores[c.leader()].Position())
 	other.awaitFresh()
-	if turned := other.turned(); !slices.Equal(turned, []bool{true}) {
-		t.Errorf("the other's freshness turned: %v", turned)
+	if changes := other.freshnessChanges(); !slices.Equal(changes, []bool{true}) {
+		t.Errorf("the other subscriber's freshness changed to %v", changes)
 	}
 }
 
 // heartbeatsOnly subscribes and sends heartbeats until its connection ends. It reads nothing.
-func heartbeatsOnly(link net.Conn) error {
+func heartbeatsOnly(conn net.Conn) error {
 	message, err := encodeBlock(subscribeRequest{Name: "never reads", Heartbeat: 1})
 	if err != nil {
 		return nil
 	}
 	for number := uint64(2); ; number++ {
-		if _, err := link.Write(message); err != nil {
+		if _, err := conn.Write(message); err != nil {
 			return err
 		}
 		if message, err = encodeBlock(heartbeatMessage{Heartbeat: number}); err != nil {
@@ -307,10 +310,10 @@
 	}
 }
 
-// The state changes while a snapshot of it is on its way: what changed follows behind it.
-func TestSnapshotChangesWhileSent(t *testing.T) {
+// The state changes while a snapshot of it is being sent: the changes are sent after the snapshot.
+func TestStateChangesDuringSnapshotTransfer(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{JournalChanges: 64}, func(_ int, opt *Options) {
-		opt.Timing.SilenceTimeout = 5 * time.Second // the stall below is no reason to be cut off
+		opt.Timing.SilenceTimeout = 5 * time.Second // the stall below must not end the connection
 	})
 	for i := range 3 {
 		c.put(fmt.Sprint("large-", i), strings.Repeat("x", 1<<20-2))
@@ -322,11 +325,11 @@
 		opt.RetryMin, opt.RetryMax = time.Millisecond, time.Millisecond
 		opt.Timing.SilenceTimeout = 5 * time.Second
 	})
-	link := s.relay(voter)
-	link.stallAfter(toDialer, 256<<10)
-	eventually(t, "a snapshot to be under way", func() bool {
+	voterRelay := s.relay(voter)
+	voterRelay.stallAfter(toDialer, 256<<10)
+	eventually(t, "a snapshot transfer to be in progress", func() bool {
 		_, snapshots := c.stores[voter].Subscribers()
-		return snapshots == 1 && link.stalled(toDialer)
+		return snapshots == 1 && voterRelay.stalled(toDialer)
 	})
 	c.put("large-0", "changed")
 	c.put("new", "new")
@@ -334,27 +337,27 @@
 	if _, snapshots := c.stores[voter].Subscribers(); snapshots != 1 {
 		t.Fatal("the snapshot was sent before the state changed")
 	}
-	link.heal()
+	voterRelay.heal()
 	s.awaitPosition(c.stores[c.leader()].Position())
 	s.awaitFresh()
 	if snapshots := s.Status().Snapshots; snapshots != 1 {
 		t.Errorf("%d snapshots", snapshots)
 	}
-	checkOncesInOrder(t, s.effects, 75)
+	checkEachOnceInOrder(t, s.effects, 75)
 	var value string
 	if _, err := s.Get("large-0", &value); err != nil || value != "changed" {
 		t.Errorf("value of %d bytes, %v", len(value), err)
 	}
-	if at, digest := c.digestNow("another"); at != s.Status().Position || digest != s.Status().Digest {
+	if at, digest := c.newSubscriberDigest("another"); at != s.Status().Position || digest != s.Status().Digest {
 		t.Error("the state differs from that of a new subscriber")
 	}
 }
 
-// A tenth of the subscribers comes back at once and needs snapshots, of which only two may be under way. All become fresh,
-// and the others do not notice.
-func TestTenthReconnectsAtOnce(t *testing.T) {
+// A tenth of the subscribers reconnects at once and needs snapshots, of which only two may be sent at a time. All become fresh,
+// and the freshness of the others does not change.
+func TestManySubscribersReconnectAtOnce(t *testing.T) {
 	const all, back, transfers = 200, 20, 2
-	// The time limits of use, as a busy machine serves so many slowly under the race detector.
+	// The default timing, as a busy machine serves this number of subscribers slowly under the race detector.
 	c := newCluster(t, 3, distribution.Limits{JournalChanges: 64, Snapshots: transfers}, func(_ int, opt *Options) {
 		opt.Timing, opt.HeartbeatTimeout = distribution.Timing{}, 2*time.Second
 	})
@@ -375,31 +378,31 @@
 	}
 	steady := make([]int, all)
 	for i, s := range subscribers[back:] {
-		steady[back+i] = len(s.turned())
+		steady[back+i] = len(s.freshnessChanges())
 	}
-	// In groups that the others take before the journal, which reaches back to the last 64, moves on beyond them.
+	// The purges are made in groups that the others receive before the journal, which holds 64 changes, drops them.
 	const groups, group = 6, 30
 	for i := range uint64(groups) {
 		c.purge(1+i*group, group)
 		target := c.stores[c.leader()].Position()
-		eventually(t, "the others to keep up", func() bool {
-			time.Sleep(20 * time.Millisecond) // to look at all takes a while itself
+		eventually(t, "the others to receive the purges", func() bool {
+			time.Sleep(20 * time.Millisecond) // polling all subscribers takes CPU time itself
 			return !slices.ContainsFunc(subscribers[back:], func(s *testSubscriber) bool { return s.Status().Position != target })
 		})
 	}
 	target := c.stores[c.leader()].Position()
 	for _, m := range watched {
-		m.acknowledged(c.stores[c.leader()])
+		m.recordAcknowledged(c.stores[c.leader()])
 	}
 	for _, s := range subscribers[:back] {
 		s.relays((*relay).heal)
 	}
 	term := c.stores[0].raft.CurrentTerm()
-	eventually(t, "all to come back", func() bool {
-		time.Sleep(20 * time.Millisecond) // to look at all takes a while itself
+	eventually(t, "all to be fresh again", func() bool {
+		time.Sleep(20 * time.Millisecond) // polling all subscribers takes CPU time itself
 		for _, store := range c.stores {
 			if _, snapshots := store.Subscribers(); snapshots > transfers {
-				t.Errorf("%d snapshots under way", snapshots)
+				t.Errorf("%d snapshots are being sent", snapshots)
 			}
 		}
 		for _, s := range subscribers {
@@ -412,16 +415,16 @@
 	digest := subscribers[0].Status().Digest
 	for i, s := range subscribers {
 		if s.Status().Digest != digest {
-			t.Errorf("%s: another digest", s.name)
+			t.Errorf("%s: its digest differs", s.name)
 		}
-		if i >= back && len(s.turned()) != steady[i] {
-			t.Errorf("%s: its freshness turned: %v; term %d, %d before", s.name, s.turned(), c.stores[0].raft.CurrentTerm(), term)
+		if i >= back && len(s.freshnessChanges()) != steady[i] {
+			t.Errorf("%s: freshness changed to %v; term %d, %d before", s.name, s.freshnessChanges(), c.stores[0].raft.CurrentTerm(), term)
 		}
 	}
 }
 
-// A change of 1 MiB goes out among small ones, in their order.
-func TestLargeChangeAmongSmall(t *testing.T) {
+// A change of almost 1 MiB among small ones is delivered in the order of the log.
+func TestLargeChangeKeepsOrder(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{}, nil)
 	s := c.subscriber("gateway", c.members, nil)
 	s.awaitFresh()
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -58,8 +58,8 @@
 	return res, nil
 }
 
-// awaitEarlierTerms waits until this leader has applied all entries of earlier terms: only then it knows the agreed time. After
-// the first call of a term it returns at once.
+// awaitEarlierTerms waits until this leader has applied all entries of earlier terms: only then does it know the agreed time.
+// After the first call of a term it returns at once.
 func (s *Store) awaitEarlierTerms(ctx context.Context) error {
 	term := s.raft.CurrentTerm()
 	if s.caughtUpTerm.Load() == term {
--- a/replica/leader_conns.go
+++ b/replica/leader_conns.go
@@ -13,8 +13,8 @@
 	maxIdleConns = 4
 	// idleConnTTL is how long an idle connection is kept. It is well below the idle timeout of the leader.
 	idleConnTTL = 5 * time.Second
-	// reusedConnTimeout limits the wait for a response over a reused connection, which may be dead without notice: a new
-	// connection is tried afterwards.
+	// reusedConnTimeout limits the wait for a response over a reused connection, which may be broken without having been
+	// closed: a new connection is tried afterwards.
 	reusedConnTimeout = 500 * time.Millisecond
 )
 
@@ -85,7 +85,7 @@
 	return response, json.Unmarshal(block, &response)
 }
 
-// takeIdle removes and returns the idle connection to an address that was used last; nil if there is none.
+// takeIdle removes and returns the most recently used idle connection to an address; nil if there is none.
 func (l *leaderConns) takeIdle(addr string) net.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +124,7 @@
 	l.closeOldest(expired)
 }
 
-// closeOldest closes the n oldest idle connections; l.mu is held.
+// closeOldest closes the n connections that have been idle for the longest time; l.mu is held.
 func (l *leaderConns) closeOldest(n int) {
 	for _, idle := range l.idle[:n] {
 		closeNow(idle.conn)
--- a/replica/leader_conns_test.go
+++ b/replica/leader_conns_test.go
@@ -10,15 +10,16 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// commander is a follower of a cluster that forwards commands to the leader through a relay.
-type commander struct {
+// forwardingFollower is a follower that forwards commands to the leader through a relay.
+type forwardingFollower struct {
 	*Store
 	t     *testing.T
 	relay *relay // to the leader
 }
 
-func newCommander(t *testing.T) *commander {
-	c := newCluster(t, 3, distribution.Limits{}, func(_ int, opt *Options) { opt.HeartbeatTimeout = 2 * time.Second }) // nobody else leads soon
+func newForwardingFollower(t *testing.T) *forwardingFollower {
+	// The heartbeat timeout is long, so that no other leader is elected during the test.
+	c := newCluster(t, 3, distribution.Limits{}, func(_ int, opt *Options) { opt.HeartbeatTimeout = 2 * time.Second })
 	leader := c.leader()
 	follower := c.follower()
 	c.awaitVoter(follower)
@@ -26,21 +27,21 @@
 		addr, _ := c.stores[follower].raft.LeaderWithID()
 		return string(addr) == c.members[leader].Addr
 	})
-	return &commander{
+	return &forwardingFollower{
 		Store: c.stores[follower], t: t, relay: c.network.between(c.members[follower].ID, c.members[leader].Addr),
 	}
 }
 
-// hold makes a step of a claim.
-func (c *commander) hold(name string) {
+// hold makes the first step of a claim.
+func (c *forwardingFollower) hold(name string) {
 	c.t.Helper()
-	if _, ok, err := c.Step(patient(c.t), name, claims.Step{Op: claims.Hold, Owner: "o", Until: 1e15}); !ok || err != nil {
+	if _, ok, err := c.Step(testContext(c.t), name, claims.Step{Op: claims.Hold, Owner: "o", Until: 1e15}); !ok || err != nil {
 		c.t.Fatalf("%s: %v, %v", name, ok, err)
 	}
 }
 
-// opens counts the connections to the leader that something takes.
-func (c *commander) opens(do func()) int {
+// connectionsOpened returns the number of connections to the leader that are opened during do.
+func (c *forwardingFollower) connectionsOpened(do func()) int {
 	before, _ := c.relay.count()
 	do()
 	after, _ := c.relay.count()
@@ -48,44 +49,44 @@
 }
 
 // idleConns returns the number of pooled connections.
-func (c *commander) idleConns() int {
+func (c *forwardingFollower) idleConns() int {
 	c.leaderConns.mu.Lock()
 	defer c.leaderConns.mu.Unlock()
 	return len(c.leaderConns.idle)
 }
 
-// Steps of claims, one after the other, reuse a connection to the leader. Proposals that are not idempotent have a new one each.
-func TestStepsShareAConnection(t *testing.T) {
-	c := newCommander(t)
-	steps := c.opens(func() {
+// Consecutive steps of claims reuse a connection to the leader. Proposals that are not idempotent use a new one each.
+func TestClaimStepsReuseConnection(t *testing.T) {
+	c := newForwardingFollower(t)
+	steps := c.connectionsOpened(func() {
 		for i := range 20 {
 			c.hold(fmt.Sprint("use-", i))
 		}
 	})
 	if steps != 1 {
-		t.Errorf("20 steps took %d connections", steps)
+		t.Errorf("20 steps used %d connections", steps)
 	}
-	puts := c.opens(func() {
+	puts := c.connectionsOpened(func() {
 		for i := range 3 {
-			if err := c.Put(patient(t), "policy", i); err != nil {
+			if err := c.Put(testContext(t), "policy", i); err != nil {
 				t.Fatal(err)
 			}
 		}
 	})
 	if puts != 3 {
-		t.Errorf("3 values took %d connections", puts)
+		t.Errorf("3 values used %d connections", puts)
 	}
 }
 
-// A pooled connection is lost: it was closed, or it falls silent while new ones work. The next step uses a new one, and is
-// granted to its owner.
+// A pooled connection is lost: it was closed, or it stops delivering data while new connections work. The next step uses a
+// new connection, and is granted to its owner.
 func TestReusedConnectionIsLost(t *testing.T) {
 	for name, lose := range map[string]func(r *relay){
-		"ended":  func(r *relay) { r.cut(); r.heal() },
-		"silent": (*relay).freeze,
+		"closed":  func(r *relay) { r.cut(); r.heal() },
+		"stalled": (*relay).freeze,
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCommander(t)
+			c := newForwardingFollower(t)
 			c.hold("use")
 			lose(c.relay)
 			begun := time.Now()
@@ -97,13 +98,14 @@
 	}
 }
 
-// However many proposals there are at once, few connections are pooled; none for long, and none after close.
+// The pool of connections is bounded, whatever the number of concurrent proposals. Idle connections are closed after
+// idleConnTTL, and none is pooled after close.
 func TestIdleConnectionsAreBounded(t *testing.T) {
-	c := newCommander(t)
+	c := newForwardingFollower(t)
 	var steps sync.WaitGroup
 	for i := range 40 {
 		steps.Go(func() {
-			if _, ok, err := c.Step(patient(t), fmt.Sprint("use-", i), claims.Step{Op: claims.Hold, Owner: "o", Until: 1e15}); !ok || err != nil {
+			if _, ok, err := c.Step(testContext(t), fmt.Sprint("use-", i), claims.Step{Op: claims.Hold, Owner: "o", Until: 1e15}); !ok || err != nil {
 				t.Errorf("%d: %v, %v", i, ok, err)
 			}
 		})
@@ -118,10 +120,10 @@
 	}
 	c.leaderConns.mu.Unlock()
 	if conn := c.leaderConns.takeIdle(c.leaderConns.addr); conn != nil {
-		t.Error("a connection is reused that was idle for too long")
+		t.Error("a connection that was idle for idleConnTTL is reused")
 	}
 	if kept := c.idleConns(); kept != 0 {
-		t.Errorf("%d connections are pooled for too long", kept)
+		t.Errorf("%d connections are still pooled after idleConnTTL", kept)
 	}
 	c.hold("last")
 	c.leaderConns.close()
@@ -134,8 +136,8 @@
 	}
 }
 
-// A leader without a slot for idle connections answers a proposal and closes the connection. A leader without a slot for
-// proposals says so on a reused connection, and the proposal is retried.
+// A leader without a slot for idle connections executes a proposal and closes the connection. A leader without a slot for
+// proposals rejects one on a reused connection, and the proposal is retried.
 func TestLeaderHasNoFreeSlots(t *testing.T) {
 	// A leader elected meanwhile would have free slots.
 	c := newCluster(t, 3, distribution.Limits{}, func(_ int, opt *Options) { opt.HeartbeatTimeout = 2 * time.Second })
@@ -143,7 +145,7 @@
 	follower := c.stores[c.follower()]
 	hold := func(name string) {
 		t.Helper()
-		if _, ok, err := follower.Step(patient(t), name, claims.Step{Op: claims.Hold, Owner: "o", Until: 1e15}); !ok || err != nil {
+		if _, ok, err := follower.Step(testContext(t), name, claims.Step{Op: claims.Hold, Owner: "o", Until: 1e15}); !ok || err != nil {
 			t.Fatalf("%s: %v, %v", name, ok, err)
 		}
 	}
@@ -158,7 +160,7 @@
 	}
 	done := make(chan error, 1)
 	go func() {
-		_, _, err := follower.Step(patient(t), "second", claims.Step{Op: claims.Hold, Owner: "o", Until: 1e15})
+		_, _, err := follower.Step(testContext(t), "second", claims.Step{Op: claims.Hold, Owner: "o", Until: 1e15})
 		done <- err
 	}()
 	select {
--- a/replica/log_checksum.go
+++ b/replica/log_checksum.go
@@ -14,7 +14,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// withChecksum returns a copy of an entry with a checksum, as it is stored on this disk.
+// withChecksum returns a copy of an entry with a checksum, in the form in which it is stored on disk.
 func withChecksum(entry *raft.Log) *raft.Log {
 	checksummed := *entry
 	checksummed.Extensions = binary.BigEndian.AppendUint32([]byte(checksumPrefix), checksum(entry))
--- a/replica/member_lease_test.go
+++ b/replica/member_lease_test.go
@@ -24,7 +24,7 @@
 	c := newCluster(t, voters, distribution.Limits{}, func(voter int, opt *Options) {
 		opt.OwnLease = true
 		if voter < voters { // others join later
-			opt.FreshnessChanged = members[voter].noteFreshness
+			opt.FreshnessChanged = members[voter].recordFreshness
 			opt.Purged = members[voter].effects.Purged
 		}
 	})
@@ -56,13 +56,13 @@
 
 			c.betweenVoters(cutOff, func(r *relay) { r.stall(toTarget, toDialer) })
 			elected := c.leader(cutOff)
-			if err := c.stores[elected].Purge(patient(t), 7, 0); err != nil {
+			if err := c.stores[elected].Purge(testContext(t), 7, 0); err != nil {
 				t.Fatal(err)
 			}
-			monitor.acknowledged(c.stores[elected])
+			monitor.recordAcknowledged(c.stores[elected])
 			eventually(t, "the voter that is cut off to be stale", func() bool { return !store.Fresh() })
 			eventually(t, "a bound on the age of copies", func() bool { return store.MaxCopyAge() > 0 })
-			eventually(t, "notified of it", func() bool { return slices.Equal(members[cutOff].turned(), []bool{true, false}) })
+			eventually(t, "notified of it", func() bool { return slices.Equal(members[cutOff].freshnessChanges(), []bool{true, false}) })
 			if objects := members[cutOff].effects.objects(); len(objects) > 0 {
 				t.Errorf("it knows the purge, so it is not cut off: %v", objects)
 			}
@@ -93,10 +93,10 @@
 	c.betweenVoters(follower, func(r *relay) { r.stall(toTarget, toDialer) })
 	elected := c.leader(follower)
 	for object := range uint64(20) {
-		if err := c.stores[elected].Purge(patient(t), object, 0); err != nil {
+		if err := c.stores[elected].Purge(testContext(t), object, 0); err != nil {
 			t.Fatal(err)
 		}
-		monitor.acknowledged(c.stores[elected])
+		monitor.recordAcknowledged(c.stores[elected])
 	}
 	eventually(t, "stale", func() bool { return !store.Fresh() })
 	c.betweenVoters(follower, (*relay).heal)
--- a/replica/member_replacement.go
+++ b/replica/member_replacement.go
@@ -20,7 +20,7 @@
 	configurationChangeTimeout = 2 * time.Second
 	// catchUpPollInterval is the delay between requests for the progress of a joining member.
 	catchUpPollInterval = 100 * time.Millisecond
-	// maxCatchUpLag is how many log entries a member that counts as caught up may lack: new ones are appended meanwhile.
+	// maxCatchUpLag is how many log entries a member that counts as caught up may lag behind: new ones are appended meanwhile.
 	maxCatchUpLag = 256
 )
 
@@ -73,7 +73,7 @@
 	return result{OK: err == nil, Members: members}, err
 }
 
-// runReplacement makes one change of the group after the other.
+// runReplacement makes the changes of the group one by one, until the replacement is complete.
 func (s *Store) runReplacement(ctx context.Context, replacement membership.Replacement) error {
 	caughtUp := false
 	for {
@@ -139,8 +139,8 @@
 	return group, nil
 }
 
-// awaitCatchUp waits until a joining member has applied what this member, the leader, has committed, but for maxCatchUpLag
-// entries.
+// awaitCatchUp waits until a joining member has applied what this member, the leader, has committed, except for at most
+// maxCatchUpLag entries.
 func (s *Store) awaitCatchUp(ctx context.Context, joining Member) error {
 	conn := &confirmConn{store: s}
 	defer conn.close()
@@ -161,7 +161,7 @@
 	}
 }
 
-// publishVoters sets ConfigMembers to the present voters, unless it lists them already.
+// publishVoters sets ConfigMembers to the current voters, unless it lists them already.
 func (s *Store) publishVoters(ctx context.Context) ([]Member, error) {
 	group, err := s.configuration()
 	if err != nil {
--- a/replica/options.go
+++ b/replica/options.go
@@ -13,7 +13,7 @@
 	"turnfork.dev/turnfork/membership"
 )
 
-// Member is a member as the operator's file names it.
+// Member is a member as listed in the operator's file.
 type Member = membership.Member
 
 // Options configures a member.
@@ -34,7 +34,7 @@
 	Missed func(before int64)
 
 	HeartbeatTimeout time.Duration // of Raft; 0: 500 ms, standalone 50 ms
-	Join             bool          // the group exists already, and adds this member by ReplaceMember
+	Join             bool          // the group exists already, and this member is added by ReplaceMember
 
 	// OwnLease makes the member keep a lease on its own state, for a gateway in the same process: Fresh and MaxCopyAge depend
 	// on it. Without one, and in a standalone member, the state counts as complete.
--- a/replica/proposer.go
+++ b/replica/proposer.go
@@ -107,7 +107,7 @@
 			return res, nil
 		}
 		mayApplyTwice := isOutcomeUnknown(err) && !proposed.idempotent
-		err = withoutOutcome(err)
+		err = outcomeUnknownCause(err)
 		if mayApplyTwice || errors.Is(err, raft.ErrRaftShutdown) || p.stopped() {
 			return result{}, fmt.Errorf("%w: %w", ErrNoQuorum, err)
 		}
--- a/replica/raft_setup.go
+++ b/replica/raft_setup.go
@@ -36,7 +36,8 @@
 	servers   []raft.Server
 }
 
-// newRaftParts returns the parts of a standalone member, in memory, or of one of several members, with files and connections.
+// newRaftParts returns the parts of a standalone member, which is in memory, or of a member of a group, which has files and
+// connections.
 func (s *Store) newRaftParts() (*raftParts, error) {
 	if len(s.opt.Members) == 0 {
 		return s.newStandaloneParts(), nil
@@ -104,7 +105,7 @@
 // raftServers checks the options of a member and returns the members in Raft's form.
 func (s *Store) raftServers() ([]raft.Server, error) {
 	if s.opt.TLS == nil || s.opt.Listener == nil {
-		return nil, errors.New("members: links need a listener and certificates")
+		return nil, errors.New("members: connections between members need a listener and certificates")
 	}
 	var servers []raft.Server
 	found := false
@@ -152,7 +153,7 @@
 	}
 	return createLog(s.opt.Dir, s.opt.OpenLogs, func(database LogDatabase) error {
 		if newestIndex > 0 || len(damaged) > 0 {
-			return errors.New("there are snapshots, but no log: the term and the vote are lost")
+			return errors.New("snapshots exist, but the log is missing: the term and the vote are lost")
 		}
 		if s.opt.Join {
 			return nil
@@ -178,7 +179,7 @@
 	return err
 }
 
-// raftConfig returns Raft's settings, with a heartbeat time-out for options that set none.
+// raftConfig returns Raft's settings. heartbeatTimeout applies if the options set none.
 func raftConfig(opt Options, heartbeatTimeout time.Duration) *raft.Config {
 	if opt.HeartbeatTimeout != 0 {
 		heartbeatTimeout = opt.HeartbeatTimeout
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -14,7 +14,7 @@
 	"turnfork.dev/turnfork/internal/fakestore"
 )
 
-// authority returns a maker of certificates that a test's own authority issues.
+// authority returns a function that creates TLS settings with a certificate issued by the test's own authority.
 func authority(t testing.TB) func() *tls.Config {
 	t.Helper()
 	make, err := fakestore.Authority()
@@ -30,40 +30,42 @@
 	}
 }
 
-// newTrio starts three voters.
-func newTrio(t *testing.T) *cluster {
+// newThreeVoters starts a cluster of three voters.
+func newThreeVoters(t *testing.T) *cluster {
 	t.Helper()
 	return newCluster(t, 3, distribution.Limits{}, func(_ int, opt *Options) { opt.HeartbeatTimeout = 200 * time.Millisecond })
 }
 
-// patient returns a context whose deadline only a hanging test reaches.
-func patient(t testing.TB) context.Context {
+// testContext returns a context whose deadline is reached only if the test hangs.
+func testContext(t testing.TB) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// mustClaim holds a use and begins to send it, and checks whether that is granted.
+// mustClaim makes the steps hold and send of a claim, and checks whether they are granted.
 func mustClaim(t *testing.T, s *Store, name, owner string, want bool) {
 	t.Helper()
-	// With a leader that was just lost a proposal's outcome may be unknown; the tests ask for the claim with another owner
-	// afterwards, so only an answer without an error counts here.
-	_, got, err := s.Step(patient(t), name, claims.Step{Op: claims.Hold, Owner: owner, Until: s.opt.Clock.Unix() + 60000})
-	if got && err == nil { // about to send: from here on it is taken
-		_, got, err = s.Step(patient(t), name, claims.Step{Op: claims.Send, Owner: owner})
+	// With a leader that was just lost a proposal's outcome may be unknown. The tests try the claim with another owner
+	// afterwards, so only a result without an error counts here.
+	_, got, err := s.Step(testContext(t), name, claims.Step{Op: claims.Hold, Owner: owner, Until: s.opt.Clock.Unix() + 60000})
+	if got && err == nil { // once it is sent, no other owner can hold it
+		_, got, err = s.Step(testContext(t), name, claims.Step{Op: claims.Send, Owner: owner})
 	}
 	if err != nil || got != want {
 		t.Errorf("claim of %s by %s: %v, %v; want %v", name, owner, got, err, want)
 	}
 }
 
+// A claim that was granted through one member is rejected through all others, also after the leader was stopped and after a
+// restart of all members. A minority grants no claim.
 func TestClaimsAcrossMembers(t *testing.T) {
-	c := newTrio(t)
+	c := newThreeVoters(t)
 	at := c.leader()
 	mustClaim(t, c.stores[at], "k/1", "a", true)
 	mustClaim(t, c.stores[(at+1)%3], "k/1", "b", false) // forwarded to the leader
 	mustClaim(t, c.stores[(at+2)%3], "k/2", "c", true)
-	if _, ok, err := c.stores[at].Step(patient(t), "k/2", claims.Step{Op: claims.Release, Owner: "b"}); ok || err != nil {
+	if _, ok, err := c.stores[at].Step(testContext(t), "k/2", claims.Step{Op: claims.Release, Owner: "b"}); ok || err != nil {
 		t.Errorf("another owner's claim was released: %v, %v", ok, err)
 	}
 
@@ -79,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 700*time.Millisecond)
 	defer cancel()
 	if _, ok, err := c.stores[next].Step(ctx, "k/4", claims.Step{Op: claims.Hold, Owner: "e", Until: 1e15}); ok || !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("a minority answered a claim with %v, %v", ok, err)
+		t.Errorf("a claim through a minority: granted %v, error %v", ok, err)
 	}
 
 	// All restart: the claims are still there.
@@ -98,7 +100,7 @@
 
 // A connection without a certificate of the members' authority is not served.
 func TestConnectionNeedsMembersCertificate(t *testing.T) {
-	c := newTrio(t)
+	c := newThreeVoters(t)
 	c.leader()
 	for name, conf := range map[string]*tls.Config{
 		"no certificate":    {InsecureSkipVerify: true},
@@ -128,12 +130,12 @@
 	}
 	defer s.Close()
 	mustClaim(t, s, "k/1", "a", true)
-	mustClaim(t, s, "k/1", "a", false) // even its own owner can't take it twice
-	if err := s.Revoke(patient(t), "k/9", 2e12); err != nil || !s.Revoked("k/9") || s.Revoked("k/1") {
+	mustClaim(t, s, "k/1", "a", false) // even its owner can't use it twice
+	if err := s.Revoke(testContext(t), "k/9", 2e12); err != nil || !s.Revoked("k/9") || s.Revoked("k/1") {
 		t.Error("revocation:", err)
 	}
 	mustClaim(t, s, "k/9", "a", false)
-	if err := s.Put(patient(t), "policy", []int{4}); err != nil {
+	if err := s.Put(testContext(t), "policy", []int{4}); err != nil {
 		t.Fatal(err)
 	}
 	var got []int
@@ -142,17 +144,17 @@
 	}
 }
 
-// A claim is kept well beyond its end, whatever the clock of a later proposer says, and dropped in the end.
+// A claim is kept for expiredRetention after its end, and dropped by a later command.
 func TestExpiredClaimIsDropped(t *testing.T) {
 	s := newStateMachine()
 	if !s.applyLocked(command{Op: opClaim, Name: "a", Owner: "x", At: 1000, Until: 5000}).OK {
-		t.Fatal("no claim")
+		t.Fatal("the claim was rejected")
 	}
 	if s.applyLocked(command{Op: opClaim, Name: "a", Owner: "y", At: 5000 + expiredRetention, Until: 1e9}).OK {
-		t.Error("dropped while it may be needed")
+		t.Error("the claim was dropped within expiredRetention")
 	}
 	s.applyLocked(command{Op: opRevoke, Name: "z", At: 6000 + 2*expiredRetention, Until: 1e9})
 	if _, ok := s.Claims["a"]; ok {
-		t.Error("never dropped")
+		t.Error("the claim was not dropped")
 	}
 }
--- a/replica/snapshot_verify.go
+++ b/replica/snapshot_verify.go
@@ -61,7 +61,7 @@
 		knownThrough = max(newestIndex, last)
 	} else if first > 0 {
 		return errors.Join(
-			fmt.Errorf("%s: it begins with entry %d, and the snapshots end with %d", filepath.Join(dir, logFile), first, newestIndex),
+			fmt.Errorf("%s: log begins at entry %d, but the newest intact snapshot ends at entry %d", filepath.Join(dir, logFile), first, newestIndex),
 			firstError(corrupted),
 		)
 	}
@@ -147,7 +147,7 @@
 		return 0, err
 	}
 	if size != meta.Size || !bytes.Equal(sum.Sum(nil), meta.CRC) {
-		return 0, fmt.Errorf("%s: %w: %d bytes of %d, or another checksum", path, errCorrupted, size, meta.Size)
+		return 0, fmt.Errorf("%s: %w: size is %d of %d bytes, or the checksum does not match", path, errCorrupted, size, meta.Size)
 	}
 	return meta.Index, nil
 }
--- a/replica/state.go
+++ b/replica/state.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// applyClaim applies a claim of a log whose claims had no stages; s.mu is held. An expired claim is taken until it is
-// dropped: its token has expired all the same.
+// applyClaim applies a claim from a log whose claims had no stages; s.mu is held. An expired claim still blocks its name until
+// it is dropped, as its token has expired too.
 func (s *stateMachine) applyClaim(c command) result {
 	if _, taken := s.Claims[c.Name]; taken {
 		return result{}
--- a/replica/state_test.go
+++ b/replica/state_test.go
@@ -13,22 +13,22 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// savedBySink is a snapshot's sink in memory.
-type savedBySink struct{ bytes.Buffer }
+// memorySink is a raft.SnapshotSink in memory.
+type memorySink struct{ bytes.Buffer }
 
-func (*savedBySink) ID() string    { return "" }
-func (*savedBySink) Cancel() error { return nil }
-func (*savedBySink) Close() error  { return nil }
+func (*memorySink) ID() string    { return "" }
+func (*memorySink) Cancel() error { return nil }
+func (*memorySink) Close() error  { return nil }
 
-// A snapshot carries all that is distributed, and its position.
-func TestSnapshotCarriesDistribution(t *testing.T) {
+// A snapshot contains everything that is distributed to gateways, and the position.
+func TestSnapshotContainsDistributedState(t *testing.T) {
 	before := newStateMachine()
 	for i, c := range []command{
 		{Op: opPut, Name: "policy", Value: []byte(`{"a":1}`), At: 1000},
 		{Op: opRevoke, Name: "use", Until: 9000.5, At: 1001},
 		{Op: opPurge, Object: 5, Group: 2, At: 1002},
 		{Op: opPurge, Group: 3, At: 1003},
-		{Op: "hold", Name: "k", Owner: "a", Until: 9000, At: 1004}, // is not distributed
+		{Op: "hold", Name: "k", Owner: "a", Until: 9000, At: 1004}, // not distributed
 	} {
 		if res, _ := before.applyCommand(distribution.Position{Revision: distribution.Revision(10 + i), Term: 3}, c); !res.OK {
 			t.Fatalf("%+v: %+v", c, res)
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var sink savedBySink
+	var sink memorySink
 	if err := taken.Persist(&sink); err != nil {
 		t.Fatal(err)
 	}
@@ -55,12 +55,12 @@
 		t.Errorf("%+v", want)
 	}
 	if last := after.feed.publisher.Last(); last != want.At {
-		t.Errorf("the feed goes on after %v", last)
+		t.Errorf("the feed continues after %v, want %v", last, want.At)
 	}
 }
 
-// A snapshot from before there were positions still loads. A subscriber without anything does not pass for one that holds
-// what it holds.
+// A snapshot of a version that recorded no positions can be restored. A subscriber without any state must then be sent a
+// snapshot if there is something to distribute: it must not be mistaken for one that has this state.
 func TestOldSnapshotLoads(t *testing.T) {
 	for encoded, want := range map[string]distribution.Admission{
 		`{"claims":{},"revoked":{},"config":{},"latest":5}`:                  distribution.AdmitResume,
@@ -80,8 +80,8 @@
 	}
 }
 
-// A snapshot is of the moment in which it was taken, though it is encoded while further entries are applied.
-func TestSnapshotIsOfItsMoment(t *testing.T) {
+// A snapshot holds the state at the time of the call of Snapshot, although it is encoded while further entries are applied.
+func TestSnapshotIsPointInTime(t *testing.T) {
 	s := newStateMachine()
 	revision := distribution.Revision(0)
 	apply := func(c command) {
@@ -107,7 +107,7 @@
 	apply(command{Op: opPurge, Object: 6})
 	apply(command{Op: "send", Name: "k", Owner: "a"})
 	apply(command{Op: "hold", Name: "l", Owner: "a", Until: 1e15})
-	var sink savedBySink
+	var sink memorySink
 	if err := taken.Persist(&sink); err != nil {
 		t.Fatal(err)
 	}
@@ -120,22 +120,22 @@
 	}
 }
 
-// Nothing is applied while a snapshot is taken, so its encoding, which takes most of the time, is left for later.
-func TestSnapshotLeavesEncodingForLater(t *testing.T) {
+// Raft applies no entries during Snapshot, so the encoding, which takes most of the time, is done later, by Persist.
+func TestSnapshotEncodingIsDeferred(t *testing.T) {
 	s := newStateMachine()
 	for i := range 100_000 {
 		name := fmt.Sprint("url-1/", i)
 		s.Claims[name] = claims.Record{Owner: name, Until: 1e15, Stage: claims.Ran, Outcome: "served 64 bytes"}
 	}
 	var copying, encoding time.Duration
-	for range 3 { // the least of each, as the machine may have other work
+	for range 3 { // the minimum of each is compared, as other processes may slow down single runs
 		begun := time.Now()
 		taken, err := s.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
 		took := time.Since(begun)
-		var sink savedBySink
+		var sink memorySink
 		begun = time.Now()
 		if err := taken.Persist(&sink); err != nil {
 			t.Fatal(err)
@@ -149,6 +149,6 @@
 		}
 	}
 	if copying > encoding/2 {
-		t.Errorf("it takes %v to take a snapshot, and %v to write it", copying, encoding)
+		t.Errorf("Snapshot takes %v, want at most half of the %v of Persist", copying, encoding)
 	}
 }
--- a/replica/storage.go
+++ b/replica/storage.go
@@ -46,7 +46,7 @@
 
 // storage is a member's log and stable store, on a disk that may fail for a while. After a failed write no write is performed
 // until the file has been rewritten, synced, reopened and compared with what was acknowledged: a sync that succeeds after a
-// failed one says nothing about the earlier data.
+// failed one does not prove that the data of the failed one is on disk.
 //
 // Meanwhile log entries are rejected, so that a leader steps down and a follower acknowledges nothing. Terms and votes block,
 // as the Raft library panics if a term is rejected: a blocked member sends no heartbeats and grants no votes, and the others
@@ -147,7 +147,7 @@
 			return err
 		}
 		if first <= s.acknowledged.lastIndex && s.acknowledged.lastIndex <= last {
-			s.acknowledged.lastIndex = first - 1 // the end after a conflict; or all, before a snapshot is installed
+			s.acknowledged.lastIndex = first - 1 // the tail after a conflict, or the whole log before a snapshot is installed
 		}
 		return nil
 	})
@@ -220,7 +220,7 @@
 }
 
 // read reads from the database. While the database can't be reopened it blocks, as the Raft library panics if an entry can't
-// be read; on shutdown it blocks for good.
+// be read; on shutdown it blocks forever.
 func (s *storage) read(do func(LogDatabase) error) error {
 	for {
 		s.mu.RLock()
@@ -265,7 +265,7 @@
 		recovered := s.recovered
 		s.mu.RUnlock()
 		if recovered == nil {
-			continue // it works again already
+			continue // the disk has recovered already
 		}
 		select {
 		case <-recovered:
@@ -284,7 +284,7 @@
 	}
 }
 
-// stop unblocks the writes that wait, and rejects all further ones.
+// stop unblocks the waiting writes, which fail, and rejects all further ones.
 func (s *storage) stop() { s.closeOnce.Do(func() { close(s.closed) }) }
 
 // Close stops the storage and closes the file.
--- a/replica/storage_open.go
+++ b/replica/storage_open.go
@@ -30,8 +30,7 @@
 		(sameVote || d.voteTerm > acknowledged.voteTerm)
 }
 
-// openLog opens a log file. If its disk rejects writes it opens the file for reading alone, and returns the rejection as
-// writeErr.
+// openLog opens a log file. If its disk rejects writes it opens the file read-only, and returns the rejection as writeErr.
 func openLog(
 	path string, open func(path string) (LogDatabase, error),
 ) (database LogDatabase, stored durableState, writeErr, err error) {
@@ -49,7 +48,7 @@
 }
 
 // openVerified opens the database in a file, unless it is damaged, and reads the state to compare. It rewrites and syncs the file
-// first: a sync may have failed in a process that was killed before it could do so.
+// first: a sync may have failed in an earlier process that was killed before it rewrote the file.
 func openVerified(path string, open func(path string) (LogDatabase, error)) (LogDatabase, durableState, error) {
 	if err := verifyLogFile(path, true); err != nil {
 		return nil, durableState{}, err
@@ -57,7 +56,7 @@
 	return openAndRead(path, open)
 }
 
-// openVerifiedReadOnly opens the database in a file for reading alone.
+// openVerifiedReadOnly opens the database in a file read-only, unless it is damaged, and reads the state to compare.
 func openVerifiedReadOnly(path string) (LogDatabase, durableState, error) {
 	if err := verifyLogFile(path, false); err != nil {
 		return nil, durableState{}, err
@@ -78,8 +77,8 @@
 	return database, stored, nil
 }
 
-// createLog creates the database in a member's directory if there is none, and has fill, which may be nil, write its first
-// content. The file is renamed when it is complete, so that a file of the right name that is incomplete is known to be
+// createLog creates the database in a member's directory if there is none, and calls fill, which may be nil, to write its
+// initial content. The file gets its final name only when it is complete, so an incomplete file of that name is known to be
 // damaged.
 func createLog(dir string, open func(path string) (LogDatabase, error), fill func(LogDatabase) error) error {
 	path := filepath.Join(dir, logFile)
--- a/replica/storage_recovery.go
+++ b/replica/storage_recovery.go
@@ -80,7 +80,7 @@
 		return errors.Join(errAcknowledgedLost, database.Close())
 	}
 	s.database = database
-	return database.DeleteRange(0, 0) // deletes nothing, and is written and synced as any change
+	return database.DeleteRange(0, 0) // deletes nothing, but is written and synced like any change
 }
 
 // rewriteAndSync writes a file's content to it again and syncs it, so that the sync covers what a failed one may have
--- a/replica/storage_test.go
+++ b/replica/storage_test.go
@@ -17,8 +17,8 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// diskFault is how a disk fails. One whose sync fails has made the write, and then drops it from its cache: it is gone when
-// the file is opened again.
+// diskFault is how a disk fails. If the sync fails, the write has been made and is then dropped from the page cache: the data
+// is missing when the file is opened again.
 type diskFault struct {
 	name string
 	err  error
@@ -35,15 +35,15 @@
 type faultyDisk struct {
 	mu       sync.Mutex
 	injected *diskFault // nil: it works
-	times    int        // that it still fails; negative: until told otherwise
+	times    int        // remaining failures; negative: unlimited
 	opens    int
 	fails    int
 }
 
-// set has the disk fail from now on, or with nil work.
+// set makes all writes fail from now on, or with nil none.
 func (d *faultyDisk) set(fault *diskFault) { d.setTimes(fault, -1) }
 
-// setTimes has the disk fail so many times.
+// setTimes makes the next writes fail, as many as times.
 func (d *faultyDisk) setTimes(fault *diskFault, times int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,7 +58,7 @@
 
 func (d *faultyDisk) open(path string) (LogDatabase, error) {
 	if fault := d.next(); fault != nil {
-		return nil, fault.err // opening writes
+		return nil, fault.err // opening a database writes to it
 	}
 	database, err := OpenLogDatabase(path)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return &faultyDatabase{LogDatabase: database, disk: d, path: path}, nil
 }
 
-// next returns the fault of a write; nil: it works.
+// next returns the fault of the next write; nil if it succeeds.
 func (d *faultyDisk) next() *diskFault {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -143,17 +143,17 @@
 	return c, disks
 }
 
-// claimOnce tries for a short while to claim a token.
-func claimOnce(s *Store, name string) (granted bool, err error) {
+// tryClaim tries to claim a token, for 300 ms.
+func tryClaim(s *Store, name string) (granted bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	_, granted, err = s.Step(ctx, name, claims.Step{Op: claims.Hold, Owner: "owner", Until: s.opt.Clock.Unix() + 60000})
 	return granted, err
 }
 
-// A voter's disk fails just when it has to write a term and a vote. The voter keeps running and reading, reports the error, and
-// grants no vote: the group has no majority and refuses claims. Once the disk works the group comes back by itself, and knows
-// all that was acknowledged, also after a restart.
+// A voter's disk fails when the voter has to write a term and a vote. The voter keeps running and reading, reports the error,
+// and grants no vote: the group has no majority and rejects claims. Once the disk works the group recovers without a restart,
+// and has all acknowledged changes, also after a later restart.
 func TestDiskFailsAtElection(t *testing.T) {
 	for _, fault := range diskFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -161,7 +161,7 @@
 			c.put("policy", "before")
 			gone := c.leader()
 			faulty := (gone + 1) % 3
-			eventually(t, "the change to be known", func() bool {
+			eventually(t, "the follower to have the change", func() bool {
 				return c.stores[faulty].Position() == c.stores[gone].Position()
 			})
 			disks[faulty].set(&fault)
@@ -174,7 +174,7 @@
 				if s == nil {
 					continue
 				}
-				if granted, err := claimOnce(s, "token"); granted || !errors.Is(err, ErrNoQuorum) {
+				if granted, err := tryClaim(s, "token"); granted || !errors.Is(err, ErrNoQuorum) {
 					t.Errorf("voter %d: a claim without a majority: %t, %v", i, granted, err)
 				}
 			}
@@ -186,7 +186,7 @@
 			disks[faulty].set(nil)
 			c.leader()
 			c.put("policy", "after")
-			eventually(t, "no trouble", func() bool { return c.stores[faulty].StorageError() == nil })
+			eventually(t, "no storage error", func() bool { return c.stores[faulty].StorageError() == nil })
 			mustClaim(t, c.stores[faulty], "token", "owner", true)
 			c.stop(faulty)
 			c.start(faulty, nil)
@@ -197,30 +197,31 @@
 	}
 }
 
-// The leader's disk fails: it steps back, another leads, and what it acknowledged is known there. It comes back by itself.
-func TestLeadersDiskFails(t *testing.T) {
+// The leader's disk fails: the leader steps down, and another one is elected that has all acknowledged changes. Once the disk
+// works the member recovers without a restart.
+func TestLeaderDiskFails(t *testing.T) {
 	for _, fault := range diskFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			c, disks := newFaultyDisks(t, 3)
 			mustClaim(t, c.stores[c.leader()], "token", "owner", true)
 			old := c.leader()
 			disks[old].set(&fault)
-			claimOnce(c.stores[old], "another") // has it write
+			tryClaim(c.stores[old], "another") // makes it write
 			next := c.leader(old)
 			if c.stores[old].StorageError() == nil {
-				t.Error("the disk that fails is not told")
+				t.Error("the failure of the disk is not reported")
 			}
 			mustClaim(t, c.stores[next], "token", "other", false)
 			c.put("policy", "after")
 			disks[old].set(nil)
-			eventually(t, "the member to come back", func() bool {
+			eventually(t, "the member to recover", func() bool {
 				return c.hasPolicy(old, "after") && c.stores[old].StorageError() == nil
 			})
 		})
 	}
 }
 
-// A voter starts while its disk refuses writes: it starts, says what is wrong, and takes part once the disk works.
+// A voter starts although its disk rejects writes, reports the error, and takes part in the group once the disk works.
 func TestStartOnFailingDisk(t *testing.T) {
 	for _, fault := range diskFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -242,12 +243,12 @@
 	}
 }
 
-// A member ends while its term waits for the disk, and starts once that works.
-func TestCloseWhileTermWaits(t *testing.T) {
+// A member can be closed while the write of a term is blocked on the disk, and starts again once the disk works.
+func TestCloseWhileTermWriteBlocks(t *testing.T) {
 	c, disks := newFaultyDisks(t, 1)
 	c.put("policy", "before")
 	c.stop(0)
-	c.start(0, nil) // before it elects itself anew
+	c.start(0, nil) // it has not elected itself yet
 	disks[0].set(&diskFaults[0])
 	eventually(t, "the member to write", func() bool { return c.stores[0].StorageError() != nil })
 	c.stop(0)
@@ -256,7 +257,7 @@
 	c.put("policy", "after")
 }
 
-// newStorage opens a storage on a disk that can be made to fail, with an entry that it has acknowledged.
+// newStorage opens a storage on a disk that can be made to fail, and stores a term and an entry.
 func newStorage(t *testing.T) (*storage, *faultyDisk) {
 	t.Helper()
 	disk := &faultyDisk{}
@@ -275,20 +276,21 @@
 	return s, disk
 }
 
-// One write fails, and the next would succeed: nothing is acknowledged before the file has been written anew and opened again.
-// A term that waits is then written, whatever became of it at the first attempt; an entry that was refused is not there.
+// One write fails, and the next would succeed: nothing is acknowledged before the file has been rewritten and reopened. A term
+// that is waiting is then written, whether or not its first attempt was performed. An entry that was rejected is not in the
+// log.
 func TestFailedWriteIsNotTrusted(t *testing.T) {
 	for _, fault := range diskFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			s, disk := newStorage(t)
 			disk.setTimes(&fault, 1)
 			if err := s.StoreLog(&raft.Log{Index: 2, Term: 1}); !errors.Is(err, fault.err) {
-				t.Fatalf("an entry that the disk refused: %v", err)
+				t.Fatalf("storing an entry on a failing disk: %v", err)
 			}
 			if err := s.StoreLog(&raft.Log{Index: 3, Term: 1}); !errors.Is(err, fault.err) {
-				t.Fatalf("an entry before the file was restored: %v", err)
+				t.Fatalf("storing an entry before the recovery: %v", err)
 			}
-			if err := s.SetUint64(keyCurrentTerm, 2); err != nil { // waits
+			if err := s.SetUint64(keyCurrentTerm, 2); err != nil { // blocks until the recovery
 				t.Fatal(err)
 			}
 			if opens, fails := disk.counts(); opens != 2 || fails != 1 {
@@ -313,7 +315,7 @@
 	}
 }
 
-// The disk has lost an entry that it acknowledged: the storage stays failed, and reports why.
+// A disk that has lost an acknowledged entry: the storage remains in the failed state, and reports the loss.
 func TestLostAcknowledgedEntry(t *testing.T) {
 	s, disk := newStorage(t)
 	before, err := os.ReadFile(s.path)
@@ -324,23 +326,23 @@
 		t.Fatal(err)
 	}
 	database := s.database.(*faultyDatabase)
-	database.synced = before // is what remains
+	database.synced = before // Close restores this content
 	disk.setTimes(&diskFaults[2], 1)
 	if err := s.StoreLog(&raft.Log{Index: 3, Term: 1}); err == nil {
-		t.Fatal("no fault")
+		t.Fatal("the injected fault was not returned")
 	}
-	eventually(t, "the loss to be told", func() bool { return errors.Is(s.err(), errAcknowledgedLost) })
+	eventually(t, "the loss to be reported", func() bool { return errors.Is(s.err(), errAcknowledgedLost) })
 	if err := s.StoreLog(&raft.Log{Index: 2, Term: 2}); !errors.Is(err, errAcknowledgedLost) {
 		t.Errorf("%v", err)
 	}
 }
 
-// A database that can't be opened again for a while makes reads wait, not fail.
+// While a database can't be reopened, reads block instead of failing: the Raft library panics if a read fails.
 func TestReadsWaitForReopening(t *testing.T) {
 	s, disk := newStorage(t)
 	aside := fmt.Sprint(s.path, ".aside")
 	disk.setTimes(&diskFaults[1], 1)
-	s.writeMu.Lock() // holds the restoring back
+	s.writeMu.Lock() // delays the recovery
 	if err := os.Rename(s.path, aside); err != nil {
 		t.Fatal(err)
 	}
@@ -365,6 +367,6 @@
 			t.Error(err)
 		}
 	case <-time.After(eventuallyTimeout):
-		t.Fatal("the read never ended")
+		t.Fatal("the read did not return after the recovery")
 	}
 }
--- a/replica/store.go
+++ b/replica/store.go
@@ -14,11 +14,11 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// shutdownTimeout limits the wait for Raft's shutdown, which may wait for a disk that can't be opened.
+// shutdownTimeout limits the wait for Raft's shutdown, which may be blocked on a log file that can't be reopened.
 const shutdownTimeout = 5 * time.Second
 
-// errShutdownTimeout is returned by Close when Raft is left behind.
-var errShutdownTimeout = errors.New("replica: Raft waits for the disk and is left behind")
+// errShutdownTimeout is returned by Close if Raft is still blocked on the disk after shutdownTimeout. Its goroutines remain.
+var errShutdownTimeout = errors.New("replica: Raft did not shut down in time: it is blocked on the disk")
 
 // Store is a member of the group that votes. Without other members it is standalone.
 type Store struct {
@@ -88,7 +88,7 @@
 	return errors.Join(s.shutDownRaft(), s.release())
 }
 
-// shutDownRaft shuts Raft down, also if it waits for the disk.
+// shutDownRaft shuts Raft down, even if it is blocked on the disk.
 func (s *Store) shutDownRaft() error {
 	shutdown := s.raft.Shutdown()
 	if s.storage == nil {
--- a/replica/transport.go
+++ b/replica/transport.go
@@ -178,8 +178,8 @@
 	return kind, slots
 }
 
-// rejectFull answers a connection for which there is no slot, within the deadline of the handshake. It reads the request first:
-// closing a connection with unread bytes may discard the answer.
+// rejectFull responds on a connection for which there is no slot, within the deadline of the handshake. It reads the request
+// first: closing a connection with unread bytes may discard the response.
 func (t *transport) rejectFull(kind connKind, conn net.Conn) {
 	switch kind {
 	case connForward, connMembers:
--- a/replica/watch_test.go
+++ b/replica/watch_test.go
@@ -13,7 +13,7 @@
 func TestVoterServesSubscriber(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{}, nil)
 	leader := c.leader()
-	if err := c.stores[leader].Put(patient(t), "policy", "first"); err != nil {
+	if err := c.stores[leader].Put(testContext(t), "policy", "first"); err != nil {
 		t.Fatal(err)
 	}
 	for i := range c.members {
@@ -27,13 +27,13 @@
 
 	s := c.subscriber("gateway", c.members, nil)
 	s.awaitFresh()
-	if err := s.Put(patient(t), "policy", "second"); err != nil {
+	if err := s.Put(testContext(t), "policy", "second"); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Revoke(patient(t), "use", s.opt.Clock.Unix()+60000); err != nil {
+	if err := s.Revoke(testContext(t), "use", s.opt.Clock.Unix()+60000); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Purge(patient(t), 7, 3); err != nil {
+	if err := s.Purge(testContext(t), 7, 3); err != nil {
 		t.Fatal(err)
 	}
 	s.awaitPosition(c.stores[c.leader()].Position())
@@ -48,10 +48,10 @@
 		t.Errorf("purged %v", objects)
 	}
 	hold := claims.Step{Op: claims.Hold, Owner: "a", Until: s.opt.Clock.Unix() + 60000}
-	if _, ok, err := s.Step(patient(t), "k", hold); !ok || err != nil {
+	if _, ok, err := s.Step(testContext(t), "k", hold); !ok || err != nil {
 		t.Errorf("hold: %v, %v", ok, err)
 	}
-	if _, ok, err := s.Step(patient(t), "use", hold); ok || err != nil {
+	if _, ok, err := s.Step(testContext(t), "use", hold); ok || err != nil {
 		t.Errorf("hold of a revoked use: %v, %v", ok, err)
 	}
 	if status := s.Status(); status.BytesIn == 0 || status.MessagesIn == 0 || status.Voter == "" || status.Leader == "" {
@@ -65,7 +65,7 @@
 	c.leader()
 	s := c.subscriber("gateway", c.members, func(opt *SubscriberOptions) { opt.RetryMin = testTiming.LeaseTTL })
 	s.relays((*relay).cut)
-	_, _, err := s.Step(patient(t), "k", claims.Step{Op: claims.Hold, Owner: "a", Until: 1e15})
+	_, _, err := s.Step(testContext(t), "k", claims.Step{Op: claims.Hold, Owner: "a", Until: 1e15})
 	if !errors.Is(err, ErrStale) {
 		t.Errorf("hold: %v", err)
 	}
