--- a/replica/batch_message.go
+++ b/replica/batch_message.go
@@ -19,7 +19,7 @@
 	Revision uint64            `json:"r"`           // difference
 	Term     uint64            `json:"t,omitempty"` // difference
 	At       int64             `json:"a,omitempty"` // difference, in ms
-	Kind     distribution.Kind `json:"k,omitempty"` // none: a purge
+	Kind     distribution.Kind `json:"k,omitempty"` // omitted: a purge
 	Name     string            `json:"n,omitempty"`
 	Value    json.RawMessage   `json:"v,omitempty"`
 	Until    int64             `json:"u,omitempty"`
@@ -49,7 +49,8 @@
 	return message
 }
 
-// batch is the inverse of newBatchMessage. Differences that overflow yield positions that follow nothing, which a View rejects.
+// batch is the inverse of newBatchMessage. Differences that overflow result in positions that are out of order, which
+// a View rejects.
 func (m *batchMessage) batch() *distribution.Batch {
 	batch := &distribution.Batch{After: m.After, Changes: make([]distribution.Change, 0, len(m.Changes))}
 	position, at := m.After, m.At
--- a/replica/batch_message_test.go
+++ b/replica/batch_message_test.go
@@ -9,7 +9,7 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// A batch survives its wire form unchanged, and a purge takes few bytes in it.
+// Encoding and decoding a batch returns it unchanged, and a purge is encoded in few bytes.
 func TestBatchMessage(t *testing.T) {
 	at := func(revision distribution.Revision, term uint64) distribution.Position {
 		return distribution.Position{Revision: revision, Term: term}
@@ -19,14 +19,14 @@
 		return distribution.Change{Position: at(revision, 7), Kind: distribution.KindPurge, Object: math.MaxUint64 - uint64(revision), At: atMS}
 	}
 	batches := map[string]*distribution.Batch{
-		"nothing": {After: at(3, 1)},
+		"empty": {After: at(3, 1)},
 		"every kind": {After: at(100, 6), Changes: []distribution.Change{
 			purge(101, now),
 			{Position: at(102, 7), Kind: distribution.KindPurge, Group: 17, At: now - 40},
 			{Position: at(107, 7), Kind: distribution.KindPut, Name: "keys", Value: json.RawMessage(`[{"id":"a<b"}]`), At: now + 3},
 			{Position: at(108, 9), Kind: distribution.KindRevoke, Name: "k/1", Until: math.MaxInt64, At: now + 3},
 		}},
-		"from the start, out of the order of times": {Changes: []distribution.Change{purge(1, now), purge(math.MaxUint64, 0)}},
+		"from the first position, times not ascending": {Changes: []distribution.Change{purge(1, now), purge(math.MaxUint64, 0)}},
 	}
 	for name, batch := range batches {
 		t.Run(name, func(t *testing.T) {
@@ -40,11 +40,11 @@
 			}
 			got := message.Batch.batch()
 			if got.After != batch.After || len(got.Changes) != len(batch.Changes) {
-				t.Fatalf("%+v, not %+v", got, batch)
+				t.Fatalf("got %+v, want %+v", got, batch)
 			}
 			for i := range got.Changes {
 				if !reflect.DeepEqual(got.Changes[i], batch.Changes[i]) {
-					t.Errorf("%+v, not %+v", got.Changes[i], batch.Changes[i])
+					t.Errorf("got %+v, want %+v", got.Changes[i], batch.Changes[i])
 				}
 			}
 		})
@@ -60,6 +60,6 @@
 		t.Fatal(err)
 	}
 	if each := len(block) / purges; each > maxBytes {
-		t.Errorf("%d bytes a purge, %d at most", each, maxBytes)
+		t.Errorf("%d bytes for each purge, want at most %d", each, maxBytes)
 	}
 }
--- a/replica/block.go
+++ b/replica/block.go
@@ -37,7 +37,7 @@
 	}
 	n := binary.BigEndian.Uint32(header[:])
 	if n > limit {
-		return 0, fmt.Errorf("replica: block of %d bytes exceeds the limit of %d", n, limit)
+		return 0, fmt.Errorf("replica: a block of %d bytes, %d at most", n, limit)
 	}
 	return n, nil
 }
--- a/replica/command_test.go
+++ b/replica/command_test.go
@@ -123,10 +123,10 @@
 			t.Errorf("through voter %d: commands are sent to %s", i, got)
 		}
 	}
-	gone := (leader + 1) % 3
-	s.relay(gone).cut()
+	unreachable := (leader + 1) % 3
+	s.relay(unreachable).cut()
 	s.setLeader("")
-	s.nextVoter.Store(uint32(slices.Index(s.voters, c.members[gone].Addr)))
+	s.nextVoter.Store(uint32(slices.Index(s.voters, c.members[unreachable].Addr)))
 	if err := s.Put(testContext(t), "policy", "last"); err != nil {
 		t.Error(err)
 	}
--- a/replica/control.go
+++ b/replica/control.go
@@ -25,7 +25,7 @@
 	Purge(ctx context.Context, object uint64, group uint16) error
 	// ReplaceMember replaces a member that is lost by a new one, and returns the voters afterwards.
 	ReplaceMember(ctx context.Context, replacement membership.Replacement) ([]Member, error)
-	// Fresh reports whether what is known here is complete but for the last seconds.
+	// Fresh reports whether the state here is known to have been complete within the lease's TTL.
 	Fresh() bool
 	// MaxCopyAge returns the greatest age of a cached copy that may be served now; 0: no bound.
 	MaxCopyAge() time.Duration
--- a/replica/damage_test.go
+++ b/replica/damage_test.go
@@ -161,12 +161,12 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				started, refused := 0, 0
+				started, failed := 0, 0
 				count := func(what string, alter func([]byte) []byte) {
 					if m.checkStart(file+" "+what, m.damagedCopy(file, alter), file) {
 						started++
 					} else {
-						refused++
+						failed++
 					}
 				}
 				for size := 0; size < len(original); size += sector {
@@ -180,7 +180,7 @@
 						})
 					}
 				}
-				t.Logf("%s, %d bytes: %d started, %d failed to start", filepath.Base(file), len(original), started, refused)
+				t.Logf("%s, %d bytes: %d started, %d failed to start", filepath.Base(file), len(original), started, failed)
 				if compacted && file != logFile && started > 0 {
 					t.Errorf("%s is needed, but the member started although it is damaged", file)
 				}
@@ -231,7 +231,7 @@
 		t.Fatal(err)
 	}
 	const pageSize = 4096
-	refused, opened := 0, 0
+	rejected, opened := 0, 0
 	for from := 0; from < len(original); from += sector {
 		if from == 0 || from == pageSize {
 			continue
@@ -245,7 +245,7 @@
 			}
 			s, err := openStorage(dir, nil, zerolog.Nop())
 			if err != nil {
-				refused++
+				rejected++
 				if !errors.Is(err, errCorrupted) || !strings.Contains(err.Error(), logFile) {
 					t.Errorf("torn from %d: %v", from, err)
 				}
@@ -264,8 +264,8 @@
 			}
 		}
 	}
-	t.Logf("%d bytes: %d refused, %d opened", len(original), refused, opened)
-	if refused == 0 {
+	t.Logf("%d bytes: %d rejected, %d opened", len(original), rejected, opened)
+	if rejected == 0 {
 		t.Error("no damaged file was rejected")
 	}
 }
--- a/replica/errors.go
+++ b/replica/errors.go
@@ -19,7 +19,7 @@
 	errNoLeader              = errors.New("no leader")
 	errNoResult              = errors.New("no result")
 	errReplacementInProgress = errors.New("replica: another replacement is under way")
-	errWatchRejected         = errors.New("replica: refused")
+	errWatchRejected         = errors.New("replica: subscription rejected")
 )
 
 // outcomeUnknownError is returned for a proposal that may or may not be applied. With any other error it is not applied.
--- a/replica/feed.go
+++ b/replica/feed.go
@@ -14,8 +14,8 @@
 //
 // The lock is never held during I/O: the state machine takes it for appending, so nothing that is done under it may block.
 //
-// A new batch wakes each writer once. An append wakes a single writer, whose call of next shows when the batch is due; the feed's
-// timer wakes all writers then.
+// A new batch wakes each writer once. An append wakes a single writer, whose call of next sets the feed's timer to the time
+// when the batch is due. The timer then wakes all writers.
 type feed struct {
 	timing distribution.Timing
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// reset restarts the journal after a position, as the state was replaced.
+// reset restarts the journal after a position. It is called when the state was replaced.
 func (f *feed) reset(at distribution.Position) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,7 +57,7 @@
 	f.wakeAll()
 }
 
-// wakeOne wakes the next writer that waits.
+// wakeOne wakes one waiting writer. It does not block.
 func (f *feed) wakeOne() {
 	select {
 	case f.wakeSingle <- struct{}{}:
@@ -71,8 +71,8 @@
 	f.wakeBroadcast = make(chan struct{})
 }
 
-// wakeAt sets the timer to wake every writer at a time, unless it is set; f.mu is held. All writers wait for the same open batch,
-// so one timer is enough.
+// wakeAt sets the timer to wake every writer at a time, unless it is set already; f.mu is held. All writers wait for the same
+// open batch, so one timer is enough.
 func (f *feed) wakeAt(at time.Time) {
 	if f.timer != nil {
 		return
@@ -85,29 +85,30 @@
 	})
 }
 
-// delivery is what a subscriber is to be sent now. If that is nothing, its writer waits for wake or wakeSingle.
+// delivery is what a subscriber is to be sent now. If there is neither a batch nor a mark, its writer waits for wake or
+// wakeSingle.
 type delivery struct {
 	batch *distribution.Batch
 	mark  *distribution.Mark
 	wake  <-chan struct{}
 }
 
-// next returns a subscriber's next delivery. wokenAlone states that its writer was woken by wakeOne, and so has to see to the
-// others.
+// next returns a subscriber's next delivery. wokenAlone states that its writer was woken by wakeOne, and so must wake the other
+// writers if necessary.
 func (f *feed) next(id distribution.SubscriberID, wokenAlone bool) (delivery, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	batch, mark, wakeTime, err := f.publisher.Next(id, time.Now())
 	if err != nil {
 		if wokenAlone {
-			f.wakeOne() // in place of this writer, which ends
+			f.wakeOne() // instead of this writer, which ends
 		}
 		return delivery{}, err
 	}
 	if !wakeTime.IsZero() {
 		f.wakeAt(wakeTime)
 	} else if wokenAlone {
-		f.wakeAll() // something is due for the others already
+		f.wakeAll() // a batch or a mark may be due for the others already
 	}
 	return delivery{batch: batch, mark: mark, wake: f.wakeBroadcast}, nil
 }
--- a/replica/feed_test.go
+++ b/replica/feed_test.go
@@ -7,8 +7,8 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// feedOf returns a feed with subscribers that hold nothing.
-func feedOf(t *testing.T, subscribers int) (*feed, []distribution.SubscriberID) {
+// newTestFeed returns a feed with subscribers that have no state yet.
+func newTestFeed(t *testing.T, subscribers int) (*feed, []distribution.SubscriberID) {
 	t.Helper()
 	f := newFeed(distribution.Limits{}, distribution.Timing{BatchDelay: 20 * time.Millisecond})
 	var ids []distribution.SubscriberID
@@ -22,7 +22,7 @@
 	return f, ids
 }
 
-func feedChange(revision int, size int) distribution.Change {
+func newTestChange(revision int, size int) distribution.Change {
 	return distribution.Change{
 		Position: distribution.Position{Revision: distribution.Revision(revision), Term: 1},
 		Kind:     distribution.KindPut, Name: "a", Value: make([]byte, size),
@@ -39,8 +39,8 @@
 	return d
 }
 
-// singleWakes receives a wake of a single writer, if there is one, and returns the number received.
-func singleWakes(f *feed) int {
+// receiveSingleWake receives the wake of a single writer, if there is one, and returns the number of wakes received.
+func receiveSingleWake(f *feed) int {
 	select {
 	case <-f.wakeSingle:
 		return 1
@@ -49,24 +49,24 @@
 	}
 }
 
-// Many changes wake one writer at first, and all of them once the batch is due, which they share.
+// The first of many changes wakes one writer. All writers are woken once the batch is due, and share it.
 func TestBatchWakesWritersOnce(t *testing.T) {
-	f, ids := feedOf(t, 3)
+	f, ids := newTestFeed(t, 3)
 	waits := make([]<-chan struct{}, len(ids))
 	for i, id := range ids {
 		waits[i] = mustNext(t, f, id, false).wake
 	}
-	f.append(feedChange(1, 1))
-	if singleWakes(f) != 1 {
-		t.Fatal("nobody is woken")
+	f.append(newTestChange(1, 1))
+	if receiveSingleWake(f) != 1 {
+		t.Fatal("no writer is woken")
 	}
 	if d := mustNext(t, f, ids[1], true); d.batch != nil {
-		t.Error("a batch before it is due")
+		t.Error("a batch is delivered before it is due")
 	}
 	for revision := 2; revision <= 40; revision++ {
-		f.append(feedChange(revision, 1))
+		f.append(newTestChange(revision, 1))
 	}
-	if singleWakes(f) != 0 {
+	if receiveSingleWake(f) != 0 {
 		t.Error("a second writer is woken before the batch is due")
 	}
 	var shared *distribution.Batch
@@ -85,37 +85,37 @@
 		}
 		shared = d.batch
 		if d := mustNext(t, f, id, false); d.batch != nil {
-			t.Error("more than there is")
+			t.Error("a batch is delivered twice")
 		}
 	}
 	if f.timer != nil {
-		t.Error("a timer with nothing to send")
+		t.Error("the timer is set although nothing is to be sent")
 	}
 }
 
 // A woken writer whose subscription has ended wakes another one.
-func TestWokenWriterIsGone(t *testing.T) {
-	f, ids := feedOf(t, 2)
-	f.append(feedChange(1, 1))
+func TestWokenWriterHasEnded(t *testing.T) {
+	f, ids := newTestFeed(t, 2)
+	f.append(newTestChange(1, 1))
 	f.remove(ids[0])
-	if singleWakes(f) != 1 {
-		t.Fatal("nobody is woken")
+	if receiveSingleWake(f) != 1 {
+		t.Fatal("no writer is woken")
 	}
 	if _, err := f.next(ids[0], true); err == nil {
-		t.Error("a subscriber that is gone gets something")
+		t.Error("a removed subscriber has a delivery")
 	}
-	if singleWakes(f) != 1 {
-		t.Error("nobody is woken in its place")
+	if receiveSingleWake(f) != 1 {
+		t.Error("no other writer is woken instead")
 	}
 }
 
-// What is due at once is due for all.
+// A batch that is full is due at once, so the woken writer wakes the others.
 func TestWokenWriterFindsFullBatch(t *testing.T) {
-	f, ids := feedOf(t, 2)
+	f, ids := newTestFeed(t, 2)
 	waiting := mustNext(t, f, ids[1], false).wake
-	f.append(feedChange(1, maxValue))
-	if singleWakes(f) != 1 {
-		t.Fatal("nobody is woken")
+	f.append(newTestChange(1, maxValue))
+	if receiveSingleWake(f) != 1 {
+		t.Fatal("no writer is woken")
 	}
 	if d := mustNext(t, f, ids[0], true); d.batch == nil {
 		t.Error("a full batch is not due")
@@ -123,27 +123,27 @@
 	select {
 	case <-waiting:
 	default:
-		t.Error("the other is not woken")
+		t.Error("the other writer is not woken")
 	}
 	if d := mustNext(t, f, ids[1], false); d.batch == nil {
-		t.Error("the other gets nothing")
+		t.Error("the other subscriber has no delivery")
 	}
 }
 
-// Without a subscriber nothing is woken and no timer runs.
+// Without a subscriber no writer is woken and no timer is set.
 func TestFeedWithoutSubscribers(t *testing.T) {
-	f, ids := feedOf(t, 1)
-	f.append(feedChange(1, 1))
-	mustNext(t, f, ids[0], singleWakes(f) == 1)
+	f, ids := newTestFeed(t, 1)
+	f.append(newTestChange(1, 1))
+	mustNext(t, f, ids[0], receiveSingleWake(f) == 1)
 	if f.timer == nil {
-		t.Fatal("no timer for the batch")
+		t.Fatal("no timer is set for the batch")
 	}
 	f.remove(ids[0])
 	if f.timer != nil {
-		t.Error("a timer after the last subscriber")
+		t.Error("the timer is set after the last subscriber was removed")
 	}
-	f.append(feedChange(2, 1))
-	if singleWakes(f) != 0 || f.timer != nil {
-		t.Error("somebody is to be woken, but nobody is there")
+	f.append(newTestChange(2, 1))
+	if receiveSingleWake(f) != 0 || f.timer != nil {
+		t.Error("a writer is woken or the timer is set without a subscriber")
 	}
 }
--- a/replica/member_lease_test.go
+++ b/replica/member_lease_test.go
@@ -8,7 +8,7 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// leasedMember is a member of a cluster with what its gateway was notified of.
+// leasedMember is a record of the notifications that a voter's gateway received.
 type leasedMember struct {
 	effects recorder
 	freshnessLog
@@ -23,7 +23,7 @@
 	}
 	c := newCluster(t, voters, distribution.Limits{}, func(voter int, opt *Options) {
 		opt.OwnLease = true
-		if voter < voters { // others join later
+		if voter < voters { // further ones join later
 			opt.FreshnessChanged = members[voter].recordFreshness
 			opt.Purged = members[voter].effects.Purged
 		}
@@ -39,51 +39,51 @@
 	}
 }
 
-// A voter is cut off from the others by silence: the leader, which considers itself the leader for a while, or one that
-// follows. Its own gateway does not rely on its copy beyond the lease, while the others agree on changes; it is fresh again only
-// with all of them.
-func TestMemberCutOffIsStale(t *testing.T) {
+// A voter is partitioned from the others by stalled connections: the leader, which considers itself the leader for a while
+// longer, or a follower. While the others commit changes its own state becomes stale at the end of the lease. It is fresh again
+// only with all of the changes.
+func TestPartitionedMemberIsStale(t *testing.T) {
 	for _, role := range []string{"leader", "follower"} {
 		t.Run(role, func(t *testing.T) {
 			c, members := newLeasedCluster(t, 3)
 			c.awaitAllFresh()
-			cutOff := c.leader()
+			partitioned := c.leader()
 			if role == "follower" {
-				cutOff = c.follower()
+				partitioned = c.follower()
 			}
-			store := c.stores[cutOff]
+			store := c.stores[partitioned]
 			monitor := startMonitor(t, role, store.LeaseStatus)
 
-			c.betweenVoters(cutOff, func(r *relay) { r.stall(toTarget, toDialer) })
-			elected := c.leader(cutOff)
+			c.betweenVoters(partitioned, func(r *relay) { r.stall(toTarget, toDialer) })
+			elected := c.leader(partitioned)
 			if err := c.stores[elected].Purge(testContext(t), 7, 0); err != nil {
 				t.Fatal(err)
 			}
 			monitor.recordAcknowledged(c.stores[elected])
-			eventually(t, "the voter that is cut off to be stale", func() bool { return !store.Fresh() })
+			eventually(t, "the partitioned voter to be stale", func() bool { return !store.Fresh() })
 			eventually(t, "a bound on the age of copies", func() bool { return store.MaxCopyAge() > 0 })
-			eventually(t, "notified of it", func() bool { return slices.Equal(members[cutOff].freshnessChanges(), []bool{true, false}) })
-			if objects := members[cutOff].effects.objects(); len(objects) > 0 {
-				t.Errorf("it knows the purge, so it is not cut off: %v", objects)
+			eventually(t, "the notification of staleness", func() bool { return slices.Equal(members[partitioned].freshnessChanges(), []bool{true, false}) })
+			if objects := members[partitioned].effects.objects(); len(objects) > 0 {
+				t.Errorf("the partitioned voter received the purges %v", objects)
 			}
 			for i, other := range c.stores {
-				if i != cutOff {
-					eventually(t, "the others fresh", other.Fresh)
+				if i != partitioned {
+					eventually(t, "the other voters to be fresh", other.Fresh)
 				}
 			}
 
-			c.betweenVoters(cutOff, (*relay).heal)
+			c.betweenVoters(partitioned, (*relay).heal)
 			eventually(t, "fresh again", store.Fresh)
-			if objects := members[cutOff].effects.objects(); !slices.Equal(objects, []uint64{7}) {
+			if objects := members[partitioned].effects.objects(); !slices.Equal(objects, []uint64{7}) {
 				t.Errorf("fresh with the purges %v", objects)
 			}
 		})
 	}
 }
 
-// The responses between members are delayed by more than the lease. They make no voter fresh when they arrive: a round counts
-// from its beginning.
-func TestMemberConfirmationHeldUp(t *testing.T) {
+// The responses between members are delayed by more than the lease's TTL. They make no voter fresh when they arrive: a round
+// renews the lease from the time at which the round began.
+func TestDelayedConfirmationDoesNotMakeFresh(t *testing.T) {
 	c, _ := newLeasedCluster(t, 3)
 	c.awaitAllFresh()
 	follower := c.follower()
@@ -102,12 +102,12 @@
 	c.betweenVoters(follower, (*relay).heal)
 	eventually(t, "fresh again", store.Fresh)
 	if at, want := store.LeaseStatus().Position, c.stores[elected].Position(); at != want {
-		t.Errorf("fresh at %v, not at %v", at, want)
+		t.Errorf("fresh at %v, want %v", at, want)
 	}
 }
 
-// A voter that starts again is stale until a majority has confirmed its leader, and stays so without one.
-func TestMemberStartsStale(t *testing.T) {
+// A voter that restarts is stale until a majority has confirmed its leader, and remains stale without a majority.
+func TestRestartedMemberIsStale(t *testing.T) {
 	c, _ := newLeasedCluster(t, 3)
 	c.awaitAllFresh()
 	for voter := range 3 {
@@ -115,7 +115,7 @@
 	}
 	c.start(0, nil)
 	if c.stores[0].Fresh() || c.stores[0].MaxCopyAge() == 0 {
-		t.Error("a voter without a majority relies on what it had on disk")
+		t.Error("a restarted voter without a majority is fresh or does not bound the age of copies")
 	}
 	c.start(1, nil)
 	eventually(t, "fresh with a majority", c.stores[0].Fresh)
--- a/replica/member_replacement.go
+++ b/replica/member_replacement.go
@@ -24,7 +24,7 @@
 	maxCatchUpLag = 256
 )
 
-// ReplaceMember replaces a member that is lost for good by a new one, and returns the voters afterwards. The new member has to be
+// ReplaceMember replaces a permanently lost member by a new one, and returns the voters afterwards. The new member has to be
 // started first, with Options.Join. A replacement that was interrupted is resumed by calling ReplaceMember again.
 func (p *proposer) ReplaceMember(ctx context.Context, replacement membership.Replacement) ([]Member, error) {
 	if err := replacement.Check(); err != nil {
--- a/replica/raft_setup.go
+++ b/replica/raft_setup.go
@@ -119,7 +119,7 @@
 	return servers, nil
 }
 
-// openLogAndSnapshots opens the log and the snapshots, and checks that together they hold the whole state.
+// openLogAndSnapshots opens the log and the snapshots, and checks that together they hold the complete state.
 func (s *Store) openLogAndSnapshots(parts *raftParts) error {
 	if err := os.MkdirAll(s.opt.Dir, 0o700); err != nil {
 		return err
--- a/replica/relay_test.go
+++ b/replica/relay_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// relayBuffer bounds what the kernel takes of a stalled connection, about.
+// relayBuffer bounds, approximately, what the kernel buffers for a stalled connection.
 const relayBuffer = 64 << 10
 
-// relay is a TCP relay on loopback that a test can cut, stall and slow down.
+// relay is a TCP relay on the loopback interface whose connections a test can cut, stall and slow down.
 type relay struct {
 	listener net.Listener
 	target   string
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	isCut   bool
-	toward  [2]bool // whether a direction is stalled
-	budget  [2]int  // bytes that a direction passes before it stalls; 0: no such limit
-	delay   time.Duration
-	conns   map[net.Conn]struct{}
-	frozen  map[net.Conn]bool // stalled whatever goes for the others
-	wg      sync.WaitGroup
-	opened  int // connections so far
+	mu        sync.Mutex
+	changed   *sync.Cond
+	isCut     bool
+	isStalled [2]bool // whether a direction is stalled
+	budget    [2]int  // bytes that a direction passes before it stalls; 0: no limit
+	delay     time.Duration
+	conns     map[net.Conn]struct{}
+	frozen    map[net.Conn]bool // stalled by freeze, independently of isStalled
+	wg        sync.WaitGroup
+	opened    int // number of connections so far
 }
 
 // Directions of a relay.
@@ -70,11 +70,11 @@
 		return
 	}
 	defer target.Close()
-	target.(*net.TCPConn).SetReadBuffer(relayBuffer) // so that a stall is soon felt
-	if !r.enter(dialer, target) {
+	target.(*net.TCPConn).SetReadBuffer(relayBuffer) // so that a stall soon blocks the sender
+	if !r.addConns(dialer, target) {
 		return
 	}
-	defer r.leave(dialer, target)
+	defer r.removeConns(dialer, target)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -84,7 +84,7 @@
 	<-done
 }
 
-// copy copies one direction until it ends, and ends the other with it.
+// copy copies one direction until it ends, and then closes both connections.
 func (r *relay) copy(to, from net.Conn, direction int) {
 	defer to.Close()
 	defer from.Close()
@@ -100,28 +100,28 @@
 	}
 }
 
-// pass waits while a direction is stalled, and for the delay; false: the connection was cut meanwhile.
+// pass waits while a direction is stalled, and for the delay. It reports false if the connection was cut meanwhile.
 func (r *relay) pass(direction int, conn net.Conn, bytes int) bool {
 	r.mu.Lock()
 	if r.budget[direction] > 0 {
 		r.budget[direction] -= bytes
-		r.toward[direction] = r.budget[direction] <= 0
+		r.isStalled[direction] = r.budget[direction] <= 0
 	}
-	for (r.toward[direction] || r.frozen[conn]) && r.holds(conn) {
+	for (r.isStalled[direction] || r.frozen[conn]) && r.isOpen(conn) {
 		r.changed.Wait()
 	}
-	delay, held := r.delay, r.holds(conn)
+	delay, held := r.delay, r.isOpen(conn)
 	r.mu.Unlock()
 	time.Sleep(delay)
 	return held
 }
 
-func (r *relay) holds(conn net.Conn) bool {
+func (r *relay) isOpen(conn net.Conn) bool {
 	_, ok := r.conns[conn]
 	return ok
 }
 
-func (r *relay) enter(conns ...net.Conn) bool {
+func (r *relay) addConns(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.isCut {
@@ -134,7 +134,7 @@
 	return true
 }
 
-func (r *relay) leave(conns ...net.Conn) {
+func (r *relay) removeConns(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range conns {
@@ -143,7 +143,8 @@
 	}
 }
 
-// freeze stalls the connections that are open now, as a middlebox that has lost their state; new ones work. heal ends it.
+// freeze stalls the connections that are open now, as a middlebox does that has lost their state. New connections work. heal
+// ends it.
 func (r *relay) freeze() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,14 +153,14 @@
 	}
 }
 
-// count returns the connections so far, and those that are open.
+// count returns the number of connections so far, and of those that are open.
 func (r *relay) count() (opened, open int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.opened, len(r.conns) / 2
 }
 
-// cut ends all connections and refuses new ones until heal.
+// cut closes all connections, and new ones at once, until heal.
 func (r *relay) cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,16 +173,16 @@
 	r.changed.Broadcast()
 }
 
-// stall delays what is sent in a direction, as a network that loses every packet; heal ends it.
+// stall holds back what is sent in some directions, as a network that loses every packet, until heal or release.
 func (r *relay) stall(directions ...int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, direction := range directions {
-		r.toward[direction] = true
+		r.isStalled[direction] = true
 	}
 }
 
-// stallAfter stalls a direction once it has passed about some bytes.
+// stallAfter stalls a direction once it has passed about the given number of bytes.
 func (r *relay) stallAfter(direction, bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,29 +193,29 @@
 func (r *relay) stalled(direction int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.toward[direction]
+	return r.isStalled[direction]
 }
 
-// slow delays everything.
+// slow delays each chunk that is relayed.
 func (r *relay) slow(delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = delay
 }
 
-// release ends a stall. What was delayed is delivered.
+// release ends a stall. What was held back is delivered.
 func (r *relay) release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.toward, r.budget = [2]bool{}, [2]int{}
+	r.isStalled, r.budget = [2]bool{}, [2]int{}
 	r.changed.Broadcast()
 }
 
-// heal ends what cut, stall and slow began.
+// heal ends the effects of cut, stall, freeze and slow.
 func (r *relay) heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.isCut, r.toward, r.budget, r.delay = false, [2]bool{}, [2]int{}, 0
+	r.isCut, r.isStalled, r.budget, r.delay = false, [2]bool{}, [2]int{}, 0
 	clear(r.frozen)
 	r.changed.Broadcast()
 }
@@ -225,7 +226,7 @@
 	r.wg.Wait()
 }
 
-// network gives each pair of a dialer and an address a relay of its own.
+// network has a relay for each pair of a dialer and an address.
 type network struct {
 	t      testing.TB
 	mu     sync.Mutex
@@ -247,7 +248,7 @@
 	return n.relays[key]
 }
 
-// dialFrom returns a dialer its way to the others.
+// dialFrom returns a DialFunc that connects through the relays of a dialer.
 func (n *network) dialFrom(from string) DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, network, n.between(from, addr).listener.Addr().String())
--- a/replica/snapshot_cache.go
+++ b/replica/snapshot_cache.go
@@ -9,7 +9,7 @@
 )
 
 // snapshotReuse is how long an encoded snapshot is shared with further transfers. The journal reaches back much further, so
-// what changed since then follows from it.
+// the changes since then are sent from it.
 const snapshotReuse = 2 * time.Second
 
 // encodedSnapshot is a snapshot as it is sent to subscribers.
--- a/replica/snapshot_verify.go
+++ b/replica/snapshot_verify.go
@@ -61,7 +61,8 @@
 		knownThrough = max(newestIndex, last)
 	} else if first > 0 {
 		return errors.Join(
-			fmt.Errorf("%s: log begins at entry %d, but the newest intact snapshot ends at entry %d", filepath.Join(dir, logFile), first, newestIndex),
+			fmt.Errorf("%s: log begins at entry %d, but the newest intact snapshot ends at entry %d",
+				filepath.Join(dir, logFile), first, newestIndex),
 			firstError(corrupted),
 		)
 	}
--- a/replica/storage_test.go
+++ b/replica/storage_test.go
@@ -159,13 +159,13 @@
 		t.Run(fault.name, func(t *testing.T) {
 			c, disks := newFaultyDisks(t, 3)
 			c.put("policy", "before")
-			gone := c.leader()
-			faulty := (gone + 1) % 3
+			stopped := c.leader()
+			faulty := (stopped + 1) % 3
 			eventually(t, "the follower to have the change", func() bool {
-				return c.stores[faulty].Position() == c.stores[gone].Position()
+				return c.stores[faulty].Position() == c.stores[stopped].Position()
 			})
 			disks[faulty].set(&fault)
-			c.stop(gone)
+			c.stop(stopped)
 			eventually(t, "the voter to write", func() bool { return c.stores[faulty].StorageError() != nil })
 			if err := c.stores[faulty].StorageError(); !errors.Is(err, fault.err) {
 				t.Errorf("%v", err)
@@ -190,7 +190,7 @@
 			mustClaim(t, c.stores[faulty], "token", "owner", true)
 			c.stop(faulty)
 			c.start(faulty, nil)
-			c.start(gone, nil)
+			c.start(stopped, nil)
 			mustClaim(t, c.stores[faulty], "token", "other", false)
 			eventually(t, "the change after a restart", func() bool { return c.hasPolicy(faulty, "after") })
 		})
--- a/replica/subscriber.go
+++ b/replica/subscriber.go
@@ -53,7 +53,7 @@
 // Subscriber is the copy of the replicated state of a gateway that does not vote. It watches one voter at a time, and sends
 // proposals to the leader.
 //
-// It costs one goroutine that reads, a timer for heartbeats and one for the end of its lease.
+// It uses one goroutine, which reads, a timer for heartbeats and one for the end of its lease.
 type Subscriber struct {
 	opt         SubscriberOptions
 	timing      distribution.Timing
@@ -75,10 +75,10 @@
 	voter       string    // address of the watched voter; "": none
 	connections uint64    // number of watches begun
 	snapshots   uint64    // number of snapshots received
-	lastDropAt  time.Time // when dropExpired last did something
+	lastDropAt  time.Time // when dropExpired last dropped expired entries
 
-	digest    atomic.Pointer[knownDigest] // cached; nil: none since the last snapshot
-	nextVoter atomic.Uint32               // index into voters of the one to send proposals to while the leader is unknown
+	digest    atomic.Pointer[cachedDigest] // cached; nil: none since the last snapshot
+	nextVoter atomic.Uint32                // index into voters of the one to send proposals to while the leader is unknown
 
 	notifier freshnessNotifier
 }
--- a/replica/subscriber_status.go
+++ b/replica/subscriber_status.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// knownDigest is a computed digest.
-type knownDigest struct {
+// cachedDigest is the digest of the state at a position.
+type cachedDigest struct {
 	at    distribution.Position
 	value uint64
 }
@@ -45,7 +45,7 @@
 	if known := s.digest.Load(); known != nil && known.at == at {
 		return known.value
 	}
-	known := &knownDigest{at: at, value: s.view.Digest()}
+	known := &cachedDigest{at: at, value: s.view.Digest()}
 	s.digest.Store(known)
 	return known.value
 }
--- a/replica/subscription.go
+++ b/replica/subscription.go
@@ -15,11 +15,11 @@
 const (
 	// encodeTimeout limits how long a voter may take to encode a snapshot.
 	encodeTimeout = 20 * time.Second
-	// snapshotTimeout limits the receipt of a whole snapshot.
+	// snapshotTimeout limits the transfer of a complete snapshot.
 	snapshotTimeout = time.Minute
 )
 
-// run watches one voter after the other until the subscriber is closed.
+// run watches one voter at a time until the subscriber is closed.
 func (s *Subscriber) run() {
 	defer close(s.ended)
 	voters, _ := s.updateVoters()
@@ -123,8 +123,8 @@
 	w.Subscriber.voter = ""
 }
 
-// sendHeartbeat sends a heartbeat and schedules the next one. The lease takes the heartbeat's time before it is sent: the
-// mark that answers it proves completeness as of then.
+// sendHeartbeat sends a heartbeat and schedules the next one. The lease records the heartbeat's time before it is sent: the
+// mark that answers it proves that the state was complete at that time.
 func (w *subscription) sendHeartbeat() {
 	w.writeMu.Lock()
 	defer w.writeMu.Unlock()
@@ -153,7 +153,7 @@
 	return err
 }
 
-// extendReadDeadline gives the voter the silence time-out to send the next mark.
+// extendReadDeadline sets the deadline for the next mark to the silence time-out from now.
 func (w *subscription) extendReadDeadline() error {
 	return w.conn.SetReadDeadline(time.Now().Add(w.timing.SilenceTimeout))
 }
@@ -176,7 +176,7 @@
 	}
 }
 
-// handle handles a message. One of a kind that a later version sends is ignored.
+// handle handles a message. Kinds that only a later version sends are ignored.
 func (w *subscription) handle(message voterMessage) error {
 	switch {
 	case message.Batch != nil:
@@ -226,10 +226,10 @@
 	return w.extendReadDeadline()
 }
 
-// handleSnapshot receives the announced snapshot and replaces the state by it.
+// handleSnapshot receives the announced snapshot and replaces the state with it.
 func (w *subscription) handleSnapshot(announced snapshotMessage) error {
 	if announced.Bytes < 0 || announced.Bytes > maxSnapshotSize {
-		return fmt.Errorf("replica: a snapshot of %d bytes, %d at most", announced.Bytes, maxSnapshotSize)
+		return fmt.Errorf("replica: snapshot of %d bytes exceeds the limit of %d", announced.Bytes, maxSnapshotSize)
 	}
 	encoded, err := w.receiveChunks(announced.Bytes)
 	if err != nil {
@@ -247,8 +247,8 @@
 	return w.extendReadDeadline()
 }
 
-// receiveChunks reads the blocks of a snapshot, each of which extends the read deadline. The buffer grows with what was received,
-// not with the announced size.
+// receiveChunks reads the blocks of a snapshot, each of which extends the read deadline. The buffer grows with the bytes
+// received, so a wrong announced size allocates nothing in advance.
 func (w *subscription) receiveChunks(size int) (encoded []byte, err error) {
 	limit := time.Now().Add(snapshotTimeout)
 	for len(encoded) < size {
@@ -263,7 +263,7 @@
 		}
 		w.traffic.messagesIn.Add(1)
 		if len(chunk) == 0 || len(encoded)+len(chunk) > size {
-			return nil, fmt.Errorf("replica: a part of %d bytes does not fit a snapshot of %d", len(chunk), size)
+			return nil, fmt.Errorf("replica: snapshot chunk of %d bytes is empty or exceeds the announced size of %d", len(chunk), size)
 		}
 		encoded = append(encoded, chunk...)
 	}
--- a/replica/watch_messages.go
+++ b/replica/watch_messages.go
@@ -9,8 +9,8 @@
 )
 
 // The messages of a watch. A subscriber begins with a subscribeRequest and continues with heartbeatMessages; the voter sends
-// voterMessages. Each is a block of JSON. A snapshot is announced by a message and follows in blocks whose contents, joined, are
-// its JSON.
+// voterMessages. Each is a block of JSON. A snapshot is announced by a message and follows in blocks whose concatenated contents
+// are its JSON.
 
 // Size limits of the messages.
 const (
@@ -33,7 +33,7 @@
 	Heartbeat uint64 `json:"heartbeat"`
 }
 
-// voterMessage carries one of its fields.
+// voterMessage is a message of a voter. Exactly one of its fields is set.
 type voterMessage struct {
 	Admission *admissionMessage  `json:"admission,omitempty"`
 	Rejection *rejectionMessage  `json:"refusal,omitempty"`
@@ -98,7 +98,7 @@
 	return request, nil
 }
 
-// decodeHeartbeat decodes a subscriber's further message.
+// decodeHeartbeat decodes any message of a subscriber after the first one.
 func decodeHeartbeat(b []byte) (heartbeat heartbeatMessage, err error) {
 	err = json.Unmarshal(b, &heartbeat)
 	return heartbeat, err
--- a/replica/watch_server.go
+++ b/replica/watch_server.go
@@ -18,9 +18,9 @@
 // watchServer serves the watches of subscribers.
 //
 // A subscriber costs two goroutines, one that reads its heartbeats and one that writes to it, with a TLS connection between
-// them whose read buffer grows with what is read: heartbeats of some 20 bytes. What is sent to several subscribers is encoded
+// them whose read buffer grows with what is read: heartbeats of about 20 bytes. What is sent to several subscribers is encoded
 // once, and TLS takes its write buffers from a pool. A subscriber that does not read is disconnected by a write deadline, or when
-// it falls behind the journal; it delays no other.
+// it lags behind the journal; it does not delay the others.
 type watchServer struct {
 	feed        *feed
 	confirmer   *confirmer
@@ -67,7 +67,7 @@
 }
 
 // admit decides on a subscription. If its position is ahead of this voter's state, it waits for a confirmation that shows whether
-// the voter lags behind or the subscriber's history was lost.
+// the voter is lagging or the subscriber's history was lost.
 func (w *watchStream) admit(at distribution.Position) distribution.Decision {
 	decision, needed := w.feed.subscribe(at)
 	if needed {
@@ -89,14 +89,14 @@
 	return decision
 }
 
-// reject tells a subscriber to retry later, here or at another voter.
+// reject asks a subscriber to retry later, here or at another voter.
 func (w *watchStream) reject(decision distribution.Decision) error {
 	return w.send(voterMessage{Rejection: &rejectionMessage{
 		Reason: decision.Rejection, RetryAfterMS: decision.RetryAfter.Milliseconds(), Voters: w.otherVoters,
 	}})
 }
 
-// rejectFull tells a subscriber that there is no connection slot for it.
+// rejectFull rejects a subscriber for which there is no connection slot.
 func (w *watchServer) rejectFull(conn net.Conn) {
 	stream := &watchStream{watchServer: w, conn: conn}
 	stream.reject(distribution.Decision{Rejection: distribution.RejectFull, RetryAfter: fullRetryAfter})
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	written := make(chan error, 1)
 	go func() {
-		defer w.raw.Close() // ends the reading
+		defer w.raw.Close() // unblocks read
 		written <- w.write(ctx, admission)
 	}()
 	err := w.read()
@@ -119,7 +119,7 @@
 	return err
 }
 
-// read reads a subscriber's heartbeats. A subscriber that sends none for the duration of its lease is gone.
+// read reads a subscriber's heartbeats. A subscriber that sends none for the lease's TTL is disconnected.
 func (w *watchStream) read() error {
 	for {
 		w.conn.SetReadDeadline(time.Now().Add(w.timing.LeaseTTL))
@@ -137,7 +137,7 @@
 	}
 }
 
-// write sends a subscriber the changes that it lacks, and then each new one, with marks.
+// write sends a subscriber the changes that it has missed, and then each new one, with marks.
 func (w *watchStream) write(ctx context.Context, admission distribution.Admission) error {
 	needsSnapshot := admission == distribution.AdmitSnapshot
 	if err := w.send(voterMessage{Admission: &admissionMessage{Snapshot: needsSnapshot}}); err != nil {
@@ -218,7 +218,8 @@
 	return w.sendBlock(block)
 }
 
-// sendBlock sends an encoded message. Its deadline is the time after which the subscriber itself turns to another voter.
+// sendBlock sends an encoded message. Its deadline is the time-out after which the subscriber connects to another voter
+// anyway.
 func (w *watchStream) sendBlock(block []byte) error {
 	w.conn.SetWriteDeadline(time.Now().Add(w.timing.SilenceTimeout))
 	_, err := w.conn.Write(block)
--- a/replica/watch_test.go
+++ b/replica/watch_test.go
@@ -8,8 +8,8 @@
 	"turnfork.dev/turnfork/distribution"
 )
 
-// A subscriber gets what was there before it and what comes, by way of leaders and followers, and its commands reach the
-// leader.
+// A subscriber receives the existing state and later changes, whether it watches the leader or a follower, and its commands
+// reach the leader.
 func TestVoterServesSubscriber(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{}, nil)
 	leader := c.leader()
@@ -59,7 +59,7 @@
 	}
 }
 
-// A claim is not begun before the state is known to be complete.
+// A subscriber begins no claim before its state is known to be complete.
 func TestHoldNeedsFreshState(t *testing.T) {
 	c := newCluster(t, 3, distribution.Limits{}, nil)
 	c.leader()
