--- a/clock/clock.go
+++ b/clock/clock.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Step changes a manual clock's Unix time by ms, as a step of the system clock does; Now is not affected. On a system clock
+// StepUnix changes a manual clock's Unix time by ms, as a step of the system clock does; Now is not affected. On a system clock
 // it does nothing.
-func (c *Clock) Step(ms float64) {
+func (c *Clock) StepUnix(ms float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.manual {
--- a/clock_step_test.go
+++ b/clock_step_test.go
@@ -21,16 +21,16 @@
 	if code, _, _ := s.do("POST", once, ""); code != 200 {
 		t.Fatalf("first use: %d", code)
 	}
-	s.clock.Step(hour)
+	s.clock.StepUnix(hour)
 	s.expect("a valid token, clock an hour ahead", 403, "expired", "GET", u)
 	s.expect("a token issued by the stepped clock", 200, "", "GET", s.url(tile, 60, "ahead"))
-	s.clock.Step(-hour)
+	s.clock.StepUnix(-hour)
 	s.expect("back again", 200, "", "GET", u)
 	s.expectReplayed("back again", once)
-	s.clock.Step(-hour)
+	s.clock.StepUnix(-hour)
 	s.expect("an hour behind", 200, "", "GET", u)
 	s.expectReplayed("an hour behind", once)
-	s.clock.Step(hour)
+	s.clock.StepUnix(hour)
 
 	s.clock.Advance(20 * 60 * 1000)
 	s.expect("expired", 403, "expired", "GET", u)
@@ -39,7 +39,7 @@
 			t.Fatalf("use of a later token: %d", code)
 		}
 	}
-	s.clock.Step(-hour)
+	s.clock.StepUnix(-hour)
 	s.expect("an expired token, an hour behind", 200, "", "GET", u)
 	s.expectReplayed("an expired use, an hour behind", once)
 	if n := s.runs.Load(); n != 3 {
@@ -78,7 +78,7 @@
 			answered <- resp
 		}()
 		<-arrived
-		s.clock.Step(x.clockStep)
+		s.clock.StepUnix(x.clockStep)
 		s.clock.Advance(x.elapsed)
 		responses <- "NOENT"
 		responses <- "ACK" // for a fill, if one may start
--- a/core/clock_step_test.go
+++ b/core/clock_step_test.go
@@ -22,7 +22,7 @@
 		a := newRequest(h, 1, "tile", clk.Now())
 		a.AuthorizedUntil = clk.Now() + 100
 		c.Handle(a)
-		clk.Step(x.step)
+		clk.StepUnix(x.step)
 		clk.Advance(x.elapsed)
 		delete(h.open[h.sent[0].ID], 0)
 		c.Handle(AttemptResult{AttemptKey: h.sent[0].AttemptKey, Outcome: control.Overloaded})
@@ -48,7 +48,7 @@
 	} {
 		c, h, clk := newCore(t)
 		purgedAt := clk.Now() - x.before
-		clk.Step(x.step)
+		clk.StepUnix(x.step)
 		c.Handle(Purge{Object: 1, At: purgedAt})
 		c.Handle(newRequest(h, 1, "tile", clk.Now()))
 		if got := c.purgeAge(purgedAt); got != x.want {
@@ -65,7 +65,7 @@
 	c, h, clk := newCore(t)
 	c.sampler = newSampler(1)
 	for i := range uint64(2 * maxSampledPerSecond) {
-		clk.Step([]float64{hour, -hour}[i%2])
+		clk.StepUnix([]float64{hour, -hour}[i%2])
 		c.Handle(newRequest(h, i+1, "tile", clk.Now()))
 	}
 	traced := 0
--- a/front/accept_test.go
+++ b/front/accept_test.go
@@ -45,7 +45,7 @@
 			if got, err := io.ReadAll(conn); err != nil || string(got) != "served" {
 				t.Errorf("the connection received %q, error %v", got, err)
 			}
-			if n := faulty.Failed(); n != 3 {
+			if n := faulty.FailedAccepts(); n != 3 {
 				t.Errorf("accept failed %d times", n)
 			}
 			cancel()
--- a/internal/controlplane/controlplane_test.go
+++ b/internal/controlplane/controlplane_test.go
@@ -21,7 +21,7 @@
 		"this clock was set behind": {-hour, now},
 	} {
 		clk := clock.Manual(now)
-		clk.Step(x.step)
+		clk.StepUnix(x.step)
 		got := make(chan core.Event, 1)
 		p := New(nil, clk, zerolog.Nop())
 		p.events.Post = func(e core.Event) { got <- e }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -89,10 +89,10 @@
 	return f.Close()
 }
 
-// WriteFilePlaced is like WriteFile, but renames the file into place before it is synced, and then calls placed: other processes
-// can read the file even while the disk is slow. Until WriteFilePlaced returns without an error, a crash of the machine may lose
-// both the old and the new content, so the caller needs another copy.
-func WriteFilePlaced(files FileSystem, path string, content []byte, mode os.FileMode, placed func()) error {
+// WriteFileSyncLast is like WriteFile, but renames the file into place before it is synced, and then calls placed: other
+// processes can read the file even while the disk is slow. Until WriteFileSyncLast returns without an error, a crash of the
+// machine may lose both the old and the new content, so the caller needs another copy.
+func WriteFileSyncLast(files FileSystem, path string, content []byte, mode os.FileMode, placed func()) error {
 	dir := filepath.Dir(path)
 	temp := filepath.Join(dir, TempPrefix+rand.Text())
 	f, err := files.Create(temp, mode)
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -66,7 +66,7 @@
 }
 
 // A file that is renamed into place before it is synced keeps its new content from then on, even if a later step fails.
-func TestWriteFilePlaced(t *testing.T) {
+func TestWriteFileSyncLast(t *testing.T) {
 	for _, test := range []struct{ call, content string }{
 		{"", "new"}, {"create", "old"}, {"write", "old"}, {"sync", "new"}, {"close", "new"}, {"rename", "old"}, {"syncdir", "new"},
 	} {
@@ -76,7 +76,7 @@
 			t.Fatal(err)
 		}
 		placed := "old"
-		err := WriteFilePlaced(failingFileSystem{OS, test.call}, path, []byte("new"), 0o600, func() {
+		err := WriteFileSyncLast(failingFileSystem{OS, test.call}, path, []byte("new"), 0o600, func() {
 			content, err := os.ReadFile(path)
 			if err != nil {
 				t.Error(err)
--- a/internal/faultnet/faultnet.go
+++ b/internal/faultnet/faultnet.go
@@ -42,8 +42,8 @@
 	d.wrap = wrap
 }
 
-// Calls returns the number of dials, including those that failed.
-func (d *Dialer) Calls() int {
+// DialCount returns the number of dials, including those that failed.
+func (d *Dialer) DialCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
@@ -76,8 +76,8 @@
 	failed atomic.Int64
 }
 
-// Failed returns how many calls of Accept have failed with one of Errors.
-func (l *Listener) Failed() int { return int(l.failed.Load()) }
+// FailedAccepts returns how many calls of Accept have failed with one of Errors.
+func (l *Listener) FailedAccepts() int { return int(l.failed.Load()) }
 
 // Accept returns the next error or accepts a connection. Only one goroutine may call it.
 func (l *Listener) Accept() (net.Conn, error) {
--- a/internal/handover/overrides.go
+++ b/internal/handover/overrides.go
@@ -124,11 +124,12 @@
 // overrides in force in this process. The file is replaced atomically, so that a reader sees the old or the new one, also after
 // a crash. After an error the file may or may not have changed, and the caller has to repeat the update.
 func (r *Registry) Update(ctx context.Context, inForce Overrides, alter func(*Overrides)) (Overrides, error) {
-	return r.UpdatePlaced(ctx, inForce, alter, func() {})
+	return r.UpdateWithCallback(ctx, inForce, alter, func() {})
 }
 
-// UpdatePlaced is Update with a callback: it calls placed once the sibling processes can read the overrides, before the sync.
-func (r *Registry) UpdatePlaced(
+// UpdateWithCallback is Update with a callback: it calls placed once the sibling processes can read the overrides, before
+// the sync.
+func (r *Registry) UpdateWithCallback(
 	ctx context.Context, inForce Overrides, alter func(*Overrides), placed func(),
 ) (overrides Overrides, err error) {
 	if r == nil {
@@ -184,7 +185,7 @@
 		return err
 	}
 	text = append(text, '\n')
-	if err := durable.WriteFilePlaced(r.files, r.path(overridesName), text, 0o600, placed); err != nil {
+	if err := durable.WriteFileSyncLast(r.files, r.path(overridesName), text, 0o600, placed); err != nil {
 		return err
 	}
 	return durable.WriteFile(r.files, r.path(backupName), text, 0o600)
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -28,9 +28,9 @@
 	syscall.EPROTONOSUPPORT,
 }
 
-// Local reports whether an error is caused by this host, and not by an endpoint. A failed name lookup is local too, because no
+// IsLocal reports whether an error is caused by this host, and not by an endpoint. A failed name lookup is local too, because no
 // endpoint was contacted, unless the response was that the name does not exist.
-func Local(err error) bool {
+func IsLocal(err error) bool {
 	if err == nil {
 		return false
 	}
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -24,7 +24,7 @@
 			errno, os.NewSyscallError("connect", errno), fmt.Errorf("dial: %w", errno),
 			&net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)},
 		} {
-			if got := Local(err); got != want {
+			if got := IsLocal(err); got != want {
 				t.Errorf("%#v: local %t, want %t", err, got, want)
 			}
 		}
@@ -42,7 +42,7 @@
 		{&net.OpError{Op: "dial", Err: &net.DNSError{Err: "server misbehaving", IsTemporary: true}}, true},
 		{&net.OpError{Op: "dial", Err: &net.DNSError{Err: "no such host", IsNotFound: true}}, false},
 	} {
-		if got := Local(c.err); got != c.want {
+		if got := IsLocal(c.err); got != c.want {
 			t.Errorf("%v: local %t, want %t", c.err, got, c.want)
 		}
 	}
@@ -60,7 +60,7 @@
 		conn.Close()
 		t.Fatal("another process listens on the port")
 	}
-	if Local(err) {
+	if IsLocal(err) {
 		t.Errorf("%v counts as local", err)
 	}
 }
--- a/internal/sigv4/sigv4.go
+++ b/internal/sigv4/sigv4.go
@@ -12,11 +12,11 @@
 // The name of the algorithm, the layout of its timestamps, and the value that replaces the digest of an unsigned body.
 const (
 	Algorithm       = "AWS4-HMAC-SHA256"
-	Time            = "20060102T150405Z"
+	TimeFormat      = "20060102T150405Z"
 	UnsignedPayload = "UNSIGNED-PAYLOAD"
 )
 
-// Scope returns the credential scope that a signing key is valid for: date, region and service. stamp has the layout Time.
+// Scope returns the credential scope that a signing key is valid for: date, region and service. stamp has the layout TimeFormat.
 func Scope(stamp, region, service string) string {
 	return strings.Join([]string{stamp[:8], region, service, "aws4_request"}, "/")
 }
--- a/override_writer.go
+++ b/override_writer.go
@@ -128,7 +128,7 @@
 	}
 	inForce.Disabled = slices.Clone(inForce.Disabled)
 	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
-	written, err := a.registry.UpdatePlaced(writeCtx, inForce, batch.applyTo, waiter.notifyPlaced)
+	written, err := a.registry.UpdateWithCallback(writeCtx, inForce, batch.applyTo, waiter.notifyPlaced)
 	cancel()
 	if err != nil {
 		a.writeFailed(err)
--- a/pcapio/pcapio_test.go
+++ b/pcapio/pcapio_test.go
@@ -103,7 +103,7 @@
 func TestBadFiles(t *testing.T) {
 	good := captureFile(t, layers.LinkTypeRaw, seg{1, 9, "", true, false}, seg{1, 10, "abc", false, false})
 	h, _, err := readCapture(t, good[:len(good)-2])
-	if !errors.Is(err, ErrCut) || len(h.events) != 2 {
+	if !errors.Is(err, ErrTruncated) || len(h.events) != 2 {
 		t.Errorf("truncated file: %v, %v", err, h.events)
 	}
 	unsupported := append([]byte(nil), good...)
--- a/pcapio/read.go
+++ b/pcapio/read.go
@@ -23,8 +23,8 @@
 	maxPacketBytes      = 1 << 20   // larger packets are skipped
 )
 
-// ErrCut reports that a file ends in the middle of a packet. All earlier packets have been read.
-var ErrCut = errors.New("pcapio: file is truncated in the middle of a packet")
+// ErrTruncated reports that a file ends in the middle of a packet. All earlier packets have been read.
+var ErrTruncated = errors.New("pcapio: file is truncated in the middle of a packet")
 
 // Sink receives the conversations of a file, in the order of the file.
 type Sink interface {
@@ -57,7 +57,7 @@
 			}
 			closeErr := a.closeAll()
 			if errors.Is(err, io.ErrUnexpectedEOF) {
-				err = ErrCut
+				err = ErrTruncated
 			}
 			return rep, errors.Join(fmt.Errorf("packet %d: %w", rep.Packets+1, err), closeErr)
 		}
--- a/replica/accept_test.go
+++ b/replica/accept_test.go
@@ -33,7 +33,7 @@
 	defer conn.Close()
 	io.WriteString(conn, "no TLS\n") // refused, so that the link ends
 	io.Copy(io.Discard, conn)
-	if n := faulty.Failed(); n != len(faulty.Errors) {
+	if n := faulty.FailedAccepts(); n != len(faulty.Errors) {
 		t.Errorf("accept failed %d times, want %d", n, len(faulty.Errors))
 	}
 }
--- a/replica/clock_step_test.go
+++ b/replica/clock_step_test.go
@@ -118,7 +118,7 @@
 				stepped = leader
 			}
 			c.keepsToken((leader+2)%3, func() {
-				c.clocks[stepped].Step(x.step)
+				c.clocks[stepped].StepUnix(x.step)
 				c.propose(stepped)
 				if x.newLeader {
 					c.stop(leader)
@@ -135,7 +135,7 @@
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			c := newSteppedCluster(t)
 			leader := c.leader()
-			c.clocks[leader].Step(step)
+			c.clocks[leader].StepUnix(step)
 			c.propose(leader)
 			honest := (leader + 1) % 3
 			until := c.clocks[honest].Unix() + 10*minute
@@ -159,7 +159,7 @@
 	c.keepsToken(c.leader(), func() {
 		for voter := range c.stores {
 			c.stop(voter)
-			c.clocks[voter].Step(hour)
+			c.clocks[voter].StepUnix(hour)
 		}
 		for voter := range c.stores {
 			c.start(voter, nil)
@@ -187,7 +187,7 @@
 		if n := len(c.stores[leader].state.clone().Claims); n != 0 {
 			t.Fatalf("%d claims are kept 19 minutes after their end", n)
 		}
-		c.clocks[stepped].Step(-hour)
+		c.clocks[stepped].StepUnix(-hour)
 		if c.use(stepped, "token", "second", until) {
 			t.Errorf("the leader's clock %v: a token of a single use was granted twice", leads)
 		}
@@ -204,7 +204,7 @@
 		c := newSteppedCluster(t)
 		leader := c.leader()
 		other := (leader + 1) % 3
-		c.clocks[other].Step(step)
+		c.clocks[other].StepUnix(step)
 		until := began + 10*minute
 		if !c.use(leader, "token", "first", until) {
 			t.Fatal("the first use was refused")
@@ -248,7 +248,7 @@
 		{"at once", 0, 0, 0, 0, 0},
 	} {
 		before := a.advance(0)
-		clk.Step(x.step)
+		clk.StepUnix(x.step)
 		clk.Advance(x.pass)
 		advanced := a.advance(clk.Unix()+x.proposedAhead) - before
 		if advanced < x.advanced || advanced > x.maxAdvance {
@@ -290,7 +290,7 @@
 		clk := clock.Manual(began)
 		a := &agreedClock{clock: clk}
 		a.observe(began - x.lag)
-		clk.Step(x.step)
+		clk.StepUnix(x.step)
 		if got := began - a.advance(clk.Unix()+x.proposedAhead); got != x.want {
 			t.Errorf("%s: a lag of %v ms, want %v", x.name, got, x.want)
 		}
@@ -304,7 +304,7 @@
 	a.observe(5000)
 	clk.Advance(minute)
 	a.observe(5000) // a snapshot, or an entry that was under way for long
-	clk.Step(hour)
+	clk.StepUnix(hour)
 	clk.Advance(minute)
 	if got := a.advance(0); got != 5000+2*minute {
 		t.Errorf("%v, want %v", got, 5000+2*minute)
@@ -443,7 +443,7 @@
 		clk := clock.Manual(began)
 		leader := &agreedClock{clock: clk}
 		leader.observe(began - hour)
-		clk.Step(step)
+		clk.StepUnix(step)
 		old, present := newStateMachine(), newStateMachine()
 		apply := func(c command, by *agreedClock) (res result) {
 			c.At += clk.Unix()
@@ -475,7 +475,7 @@
 	leader := c.leader()
 	other := (leader + 1) % 3
 	c.propose(leader)
-	c.clocks[other].Step(-hour)
+	c.clocks[other].StepUnix(-hour)
 	if err := c.stores[other].Revoke(patient(t), "use", c.clocks[other].Unix()+10*minute); err != nil {
 		t.Fatal(err)
 	}
@@ -570,7 +570,7 @@
 	all, one := s.random.IntN(4) == 0, s.random.IntN(len(s.members))
 	for i, m := range s.members {
 		if all || i == one {
-			m.clock.Step(offset - s.stepped[i])
+			m.clock.StepUnix(offset - s.stepped[i])
 			s.stepped[i] = offset
 		}
 	}
@@ -639,7 +639,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		clk.Step(step)
+		clk.StepUnix(step)
 		for _, x := range []struct {
 			elapsed float64
 			revoked bool
@@ -662,7 +662,7 @@
 		last := c.stores[c.leader()].raft.LastIndex()
 		for voter := range c.stores {
 			c.stop(voter)
-			c.clocks[voter].Step(hour)
+			c.clocks[voter].StepUnix(hour)
 		}
 		for voter := range c.stores {
 			c.start(voter, nil)
--- a/token/presign/presign.go
+++ b/token/presign/presign.go
@@ -115,7 +115,7 @@
 	if p := q.Query.Get(ParamPayload); p != "" && p != sigv4.UnsignedPayload {
 		return date, 0, token.Reject(token.BadClaim, "X-Amz-Content-Sha256: only UNSIGNED-PAYLOAD")
 	}
-	if date, err = time.Parse(sigv4.Time, q.Query.Get(ParamDate)); err != nil {
+	if date, err = time.Parse(sigv4.TimeFormat, q.Query.Get(ParamDate)); err != nil {
 		return date, 0, malformed("X-Amz-Date: no date")
 	}
 	validity, ok := token.Number(q.Query.Get(ParamExpires), 32)
@@ -179,7 +179,7 @@
 	if validity < 1 || validity > maxValiditySeconds {
 		return out, fmt.Errorf("seconds: 7 days at most with kind presign")
 	}
-	method, stamp := t.Method, issuedAt.Format(sigv4.Time)
+	method, stamp := t.Method, issuedAt.Format(sigv4.TimeFormat)
 	if method == "" {
 		method = "GET"
 	}
--- a/upstream/httpstore/httpstore.go
+++ b/upstream/httpstore/httpstore.go
@@ -245,7 +245,7 @@
 	body, err := readAll(resp.Body)
 	if err != nil {
 		result.Outcome, result.Unconfirmed = control.ServerError, true
-		if ctx.Err() != nil || neterr.Local(err) {
+		if ctx.Err() != nil || neterr.IsLocal(err) {
 			result.Outcome = control.Canceled
 		}
 		return result
@@ -277,11 +277,11 @@
 	switch {
 	case !mayBeSent && canceled: // also if its endpoint was excluded
 		return control.NotSent
-	case !mayBeSent && neterr.Local(err):
+	case !mayBeSent && neterr.IsLocal(err):
 		return control.LocalFailure
 	case !mayBeSent: // no connection was established, so it has not run
 		return control.ConnectFailed
-	case canceled || neterr.Local(err) || errors.Is(err, errClientCanceled):
+	case canceled || neterr.IsLocal(err) || errors.Is(err, errClientCanceled):
 		return control.Canceled
 	default:
 		return control.ConnectionLost
@@ -350,7 +350,7 @@
 	}
 	resp, err := u.client.Do(req)
 	switch {
-	case err != nil && neterr.Local(err):
+	case err != nil && neterr.IsLocal(err):
 		return control.LocalFailure
 	case err != nil && ctx.Err() != nil && !connecting.Load():
 		return control.NotSent
--- a/upstream/httpstore/httpstore_test.go
+++ b/upstream/httpstore/httpstore_test.go
@@ -43,7 +43,7 @@
 		if x.rng != "" {
 			r.Header.Set("Range", x.rng)
 		}
-		at, err := time.Parse(sigv4.Time, x.when)
+		at, err := time.Parse(sigv4.TimeFormat, x.when)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/upstream/httpstore/sigv4.go
+++ b/upstream/httpstore/sigv4.go
@@ -20,7 +20,7 @@
 // Sign adds the date and the Authorization header to a request with the given body, and for S3 the digest of the body. It
 // signs all headers that the request has at that time.
 func (s Signer) Sign(r *http.Request, body []byte, now time.Time) {
-	stamp := now.UTC().Format(sigv4.Time)
+	stamp := now.UTC().Format(sigv4.TimeFormat)
 	digest := sigv4.HexSum(body)
 	r.Header.Set("X-Amz-Date", stamp)
 	if s.Service == "s3" {
--- a/upstream/resp/conn.go
+++ b/upstream/resp/conn.go
@@ -525,7 +525,7 @@
 // were not sent, and of those that may have run. A failure local to this host, or a client's cancellation in the middle of
 // writing its request, is not counted against the endpoint.
 func (c *conn) closeOutcomes(readErr error) (notSent, mayHaveRun control.Outcome) {
-	if neterr.Local(readErr) || neterr.Local(c.writeErr) || errors.Is(c.writeErr, errClientCanceled) {
+	if neterr.IsLocal(readErr) || neterr.IsLocal(c.writeErr) || errors.Is(c.writeErr, errClientCanceled) {
 		return control.LocalFailure, control.Canceled
 	}
 	return control.ConnectFailed, control.ConnectionLost
--- a/upstream/resp/resp.go
+++ b/upstream/resp/resp.go
@@ -617,7 +617,7 @@
 
 // dialOutcome returns the outcome of a failed dial. A failure local to this host is not counted against the endpoint.
 func dialOutcome(err error) control.Outcome {
-	if neterr.Local(err) {
+	if neterr.IsLocal(err) {
 		return control.LocalFailure
 	}
 	return control.ConnectFailed
