--- a/capacity/voters_test.go
+++ b/capacity/voters_test.go
@@ -79,7 +79,7 @@
 	tb.Helper()
 	g := &group{tb: tb, stores: make([]*replica.Store, voters), ownLease: ownLease}
 	var err error
-	if g.certificate, err = fakestore.Authority(); err != nil {
+	if g.certificate, err = fakestore.NewAuthority(); err != nil {
 		tb.Fatal(err)
 	}
 	var listeners []net.Listener
@@ -385,7 +385,7 @@
 // listenTLS returns a listener and the TLS configurations of both sides, as package replica sets them.
 func listenTLS(b *testing.B) (l net.Listener, server, client *tls.Config) {
 	b.Helper()
-	certificate, err := fakestore.Authority()
+	certificate, err := fakestore.NewAuthority()
 	if err == nil {
 		server, err = certificate()
 	}
--- a/claims_test.go
+++ b/claims_test.go
@@ -119,7 +119,7 @@
 	// Each member has its own address, so that no outgoing connection from 127.0.0.1 takes its port while it is down.
 	n := byte(groupCount.Add(1))
 	at := func(i int) net.IP { return net.IPv4(127, 77, n, byte(i+1)) }
-	if c.cert, err = fakestore.Authority(at(0), at(1), at(2)); err != nil {
+	if c.cert, err = fakestore.NewAuthority(at(0), at(1), at(2)); err != nil {
 		t.Fatal(err)
 	}
 	listeners := make([]net.Listener, 3)
--- a/clock_step_test.go
+++ b/clock_step_test.go
@@ -63,7 +63,7 @@
 		{"back, and expired", -9, -hour, 1200, 403},
 	} {
 		arrived, responses := make(chan struct{}, 8), make(chan string, 8)
-		s := newSignedGateway(t, func(fakestore.Call) (string, string, []byte, bool) {
+		s := newSignedGateway(t, func(fakestore.Command) (string, string, []byte, bool) {
 			arrived <- struct{}{}
 			return <-responses, fmt.Sprintf("tag=0a,why=local,minted=%.0f", start), []byte("piece"), true
 		})
--- a/cmd/turnfork/idle_clients_test.go
+++ b/cmd/turnfork/idle_clients_test.go
@@ -151,7 +151,7 @@
 	bin := build(t)
 	for _, behavior := range []string{"one request", "no request", "incomplete request"} {
 		t.Run(behavior, func(t *testing.T) {
-			s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
+			s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) {
 				return "ACK", "tag=00000000000000aa,why=local,minted=1", []byte("hello"), true
 			})
 			if err != nil {
@@ -238,7 +238,7 @@
 func TestIdleClientsOnBothFrontendsLeaveDescriptors(t *testing.T) {
 	const sockets, idleClients = 160, 160
 	bin := build(t)
-	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
+	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) {
 		return "ACK", "tag=00000000000000aa,why=local,minted=1", []byte("hello"), true
 	})
 	if err != nil {
--- a/cmd/turnfork/main_test.go
+++ b/cmd/turnfork/main_test.go
@@ -208,7 +208,7 @@
 func TestPlatformConfig(t *testing.T) {
 	bin := build(t)
 	release := make(chan struct{})
-	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Command) (string, string, []byte, bool) {
 		if c.Fields["lane"] == "app-assets" {
 			<-release
 		}
@@ -270,9 +270,9 @@
 	if got := callAdmin(t, admin, "PUT", "/stores/disable", `{"id":"s-00000007"}`); got != 200 {
 		t.Errorf("disable: %d", got)
 	}
-	before := len(s.Calls("GET"))
+	before := len(s.Commands("GET"))
 	c.Write(encodeRequest("firmware", 2001))
-	if _, text = readResponse(t, r); strings.HasPrefix(text, "Status: 200") || len(s.Calls("GET")) != before {
+	if _, text = readResponse(t, r); strings.HasPrefix(text, "Status: 200") || len(s.Commands("GET")) != before {
 		t.Errorf("a request was sent to a disabled endpoint: %q", text)
 	}
 	if got := callAdmin(t, admin, "PUT", "/stores/enable", `{"id":"s-00000007"}`); got != 200 {
@@ -320,7 +320,7 @@
 	}
 	c.Write(encodeRequest("app-assets", 4000))
 	for held := false; !held; time.Sleep(time.Millisecond) {
-		for _, call := range s.Calls("GET") {
+		for _, call := range s.Commands("GET") {
 			held = held || call.Fields["lane"] == "app-assets"
 		}
 	}
@@ -344,7 +344,7 @@
 func TestHandover(t *testing.T) {
 	bin := build(t)
 	release := make(chan struct{})
-	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Command) (string, string, []byte, bool) {
 		if c.Fields["lane"] == "app-assets" {
 			<-release
 		}
@@ -388,7 +388,7 @@
 	}
 	c, r := dial()
 	c.Write(encodeRequest("app-assets", 1))
-	for len(s.Calls("GET")) == 0 {
+	for len(s.Commands("GET")) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	second := start()
@@ -450,7 +450,7 @@
 // file without the signature, and replays this file. A malformed pcap file and an invalid configuration are rejected.
 func TestOperatorAndPcap(t *testing.T) {
 	bin, dir := build(t), t.TempDir()
-	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
+	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) {
 		return "ACK", "tag=00000000000000aa,why=local,minted=1", []byte("hello"), true
 	})
 	if err != nil {
--- a/cmd/turnfork/shutdown_deadlines_test.go
+++ b/cmd/turnfork/shutdown_deadlines_test.go
@@ -26,7 +26,7 @@
 	for _, deadline := range []int{20, 50, 200} { // ms
 		t.Run(fmt.Sprintf("%d ms", deadline), func(t *testing.T) {
 			t.Parallel()
-			hanging, err := fakestore.NewSlowStore(1, func(fakestore.Call, int) fakestore.Behavior { return fakestore.Hang })
+			hanging, err := fakestore.NewSlowServer(1, func(fakestore.Command, int) fakestore.Behavior { return fakestore.NoResponse })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -126,7 +126,7 @@
 func TestSignalsInQuickSuccession(t *testing.T) {
 	bin := build(t)
 	release := make(chan struct{})
-	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Command) (string, string, []byte, bool) {
 		if c.Fields["lane"] == "app-assets" {
 			<-release
 		}
@@ -153,7 +153,7 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	c.Write(encodeRequest("app-assets", 1))
-	eventually(t, p, "the request is sent", func() bool { return len(s.Calls("GET")) > 0 })
+	eventually(t, p, "the request is sent", func() bool { return len(s.Commands("GET")) > 0 })
 	for i := range 20 {
 		if i%5 == 4 {
 			write("half a fi") // an incomplete file
--- a/cmd/turnfork/shutdown_test.go
+++ b/cmd/turnfork/shutdown_test.go
@@ -59,22 +59,22 @@
 	type session struct {
 		p *program
 		c net.Conn
-		s *fakestore.SlowStore
+		s *fakestore.SlowServer
 	}
-	awaitAttempts := func(t *testing.T, s *fakestore.SlowStore, id uint16, n int) {
-		for limit := time.Now().Add(20 * time.Second); s.Gets(fmt.Sprintf("%016x", id)) < n; time.Sleep(time.Millisecond) {
+	awaitAttempts := func(t *testing.T, s *fakestore.SlowServer, id uint16, n int) {
+		for limit := time.Now().Add(20 * time.Second); s.GetCount(fmt.Sprintf("%016x", id)) < n; time.Sleep(time.Millisecond) {
 			if time.Now().After(limit) {
 				t.Fatal("the endpoint received no attempt within 20 s")
 			}
 		}
 	}
-	hang := func(fakestore.Call, int) fakestore.Behavior { return fakestore.Hang }
-	good := func(fakestore.Call, int) fakestore.Behavior { return fakestore.Good }
+	hang := func(fakestore.Command, int) fakestore.Behavior { return fakestore.NoResponse }
+	good := func(fakestore.Command, int) fakestore.Behavior { return fakestore.Succeed }
 	term := func(s session) { s.p.cmd.Process.Signal(syscall.SIGTERM) }
 	for _, c := range []struct {
 		name     string
-		behavior func(fakestore.Call, int) fakestore.Behavior // nil: connections to the endpoint are never established
-		run      func(t *testing.T, s session) net.Conn       // sends request 1 and SIGTERM; returns the connection of the response
+		behavior func(fakestore.Command, int) fakestore.Behavior // nil: connections to the endpoint are never established
+		run      func(t *testing.T, s session) net.Conn          // sends request 1 and SIGTERM; returns the connection of the response
 		want     string
 	}{
 		{"attempt open at an endpoint that hangs", hang, func(t *testing.T, s session) net.Conn {
@@ -89,11 +89,11 @@
 			term(s)
 			return s.c
 		}, "50"}, // 502 or 504, but not 503: the request may have run
-		{"attempt after one whose connection was reset", func(_ fakestore.Call, n int) fakestore.Behavior {
+		{"attempt after one whose connection was reset", func(_ fakestore.Command, n int) fakestore.Behavior {
 			if n == 0 {
-				return fakestore.ResetReading
+				return fakestore.ResetAfterRequest
 			}
-			return fakestore.Hang
+			return fakestore.NoResponse
 		}, func(t *testing.T, s session) net.Conn {
 			s.c.Write(encodeRequest("firmware", 1))
 			awaitAttempts(t, s.s, 1, 1)
@@ -149,7 +149,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			endpoint, err := fakestore.NewSlowStore(1, c.behavior)
+			endpoint, err := fakestore.NewSlowServer(1, c.behavior)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/turnfork/stored_test.go
+++ b/cmd/turnfork/stored_test.go
@@ -124,7 +124,7 @@
 }
 
 func startStored(t *testing.T) *storedGateway {
-	store, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
+	store, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,why=local,minted=1", []byte("piece"), true
 	})
 	if err != nil {
--- a/core/deferred_test.go
+++ b/core/deferred_test.go
@@ -18,15 +18,15 @@
 	for _, c := range []struct {
 		name  string
 		event func(r *rig, canceled *atomic.Bool)
-		check func(r *rig, second []fakestore.Call) bool // checks the GETs received after the first
+		check func(r *rig, second []fakestore.Command) bool // checks the GETs received after the first
 	}{
-		{"nothing", func(*rig, *atomic.Bool) {}, func(_ *rig, second []fakestore.Call) bool { return len(second) > 0 }},
+		{"nothing", func(*rig, *atomic.Bool) {}, func(_ *rig, second []fakestore.Command) bool { return len(second) > 0 }},
 		{"all endpoints drain", func(r *rig, _ *atomic.Bool) { r.changeEndpoints(drain, 0, 1, 2, 3, 4) },
-			func(_ *rig, second []fakestore.Call) bool { return len(second) == 0 }},
+			func(_ *rig, second []fakestore.Command) bool { return len(second) == 0 }},
 		{"all endpoints are removed", func(r *rig, _ *atomic.Bool) { r.core.Post(core.EndpointList{Snapshot: true}) },
-			func(_ *rig, second []fakestore.Call) bool { return len(second) == 0 }},
+			func(_ *rig, second []fakestore.Command) bool { return len(second) == 0 }},
 		{"the sources drain", func(r *rig, _ *atomic.Bool) { r.changeEndpoints(drain, 3, 4) },
-			func(_ *rig, second []fakestore.Call) bool {
+			func(_ *rig, second []fakestore.Command) bool {
 				for _, c := range second {
 					if c.Fields["via"] != "" {
 						return false
@@ -37,32 +37,38 @@
 		{"the caches have restarted", func(r *rig, _ *atomic.Bool) {
 			r.clock.Advance(1)
 			r.changeEndpoints(func(m *control.Endpoint) { m.StartedAt = clock.Duration(r.clock.Now()) }, 0, 1, 2)
-		}, func(r *rig, _ []fakestore.Call) bool { return r.stats().Attempts > 2 }}, // the controller decides again
+		}, func(r *rig, _ []fakestore.Command) bool { return r.stats().Attempts > 2 }}, // the controller decides again
 		{"the object is purged", func(r *rig, _ *atomic.Bool) { r.core.Post(core.Purge{Object: 7, At: r.clock.Unix()}) },
-			func(_ *rig, second []fakestore.Call) bool { return len(second) > 0 && second[0].Fields["fresh"] == "1" }},
+			func(_ *rig, second []fakestore.Command) bool {
+				return len(second) > 0 && second[0].Fields["fresh"] == "1"
+			}},
 		{"its group is purged", func(r *rig, _ *atomic.Bool) { r.core.Post(core.Purge{Group: 3, At: r.clock.Unix()}) },
-			func(_ *rig, second []fakestore.Call) bool { return len(second) > 0 && second[0].Fields["fresh"] == "1" }},
+			func(_ *rig, second []fakestore.Command) bool {
+				return len(second) > 0 && second[0].Fields["fresh"] == "1"
+			}},
 		{"the age of copies is bounded", func(r *rig, _ *atomic.Bool) {
 			r.maxCopyAge.Store(int64(6500 * time.Millisecond))
 			r.core.Post(core.CopyAgeBounded{})
-		}, func(_ *rig, second []fakestore.Call) bool {
+		}, func(_ *rig, second []fakestore.Command) bool {
 			return len(second) > 0 && second[0].Fields["fresh"] == "6500"
 		}},
 		{"the age of copies is bounded, and the object is purged", func(r *rig, _ *atomic.Bool) {
 			r.maxCopyAge.Store(int64(6500 * time.Millisecond))
 			r.core.Post(core.Purge{Object: 7, At: r.clock.Unix()})
 			r.core.Post(core.CopyAgeBounded{})
-		}, func(_ *rig, second []fakestore.Call) bool { return len(second) > 0 && second[0].Fields["fresh"] == "1" }},
+		}, func(_ *rig, second []fakestore.Command) bool {
+			return len(second) > 0 && second[0].Fields["fresh"] == "1"
+		}},
 		{"the client disconnects", func(r *rig, _ *atomic.Bool) { r.core.Post(core.CancelRequest{Frontend: r, RequestTag: 1}) },
-			func(_ *rig, second []fakestore.Call) bool { return len(second) == 0 }},
+			func(_ *rig, second []fakestore.Command) bool { return len(second) == 0 }},
 		{"the client disconnects, CancelRequest not handled yet", func(_ *rig, canceled *atomic.Bool) { canceled.Store(true) },
-			func(_ *rig, second []fakestore.Call) bool { return len(second) == 0 }},
+			func(_ *rig, second []fakestore.Command) bool { return len(second) == 0 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t)
-			r.endpoints.Hold()
+			r.endpoints.PauseCancellations()
 			var canceled atomic.Bool
-			txn := string(rune('a'+fakestore.ResetReading)) + "000000000000001"
+			txn := string(rune('a'+fakestore.ResetAfterRequest)) + "000000000000001"
 			r.core.Post(core.Request{
 				Frontend: r, RequestTag: 1, Txn: txn, Class: "tile", Object: 7, Name: "0000000000000007", Group: 3, SizeKB: 40,
 				ReceivedAt: r.clock.Now(), Remaining: 2500, Canceled: &canceled,
@@ -70,8 +76,8 @@
 			r.waitFor("a deferred attempt", func() bool { return r.stats().Deferred == 1 })
 			c.event(r, &canceled)
 			r.stats() // all events are handled
-			r.endpoints.Notice()
-			r.waitFor("the end of the first attempt at the endpoint", func() bool { return r.endpoints.Out(txn) == 0 })
+			r.endpoints.Resume()
+			r.waitFor("the end of the first attempt at the endpoint", func() bool { return r.endpoints.OpenAttempts(txn) == 0 })
 			idle := make(chan struct{})
 			r.core.Post(core.WhenIdle{Tell: idle})
 			r.waitFor("the core to become idle", func() bool {
@@ -84,7 +90,7 @@
 					return false
 				}
 			})
-			if second := r.endpoints.Calls()[1:]; !c.check(r, second) {
+			if second := r.endpoints.AllGets()[1:]; !c.check(r, second) {
 				t.Errorf("unexpected GETs after the first: %+v; %+v", second, r.stats())
 			}
 		})
--- a/core/duplicate_id_test.go
+++ b/core/duplicate_id_test.go
@@ -12,22 +12,22 @@
 // client has disconnected.
 func TestDuplicateIDIsRejected(t *testing.T) {
 	r := newRig(t)
-	r.endpoints.Hold()
-	txn := r.post(1, fakestore.Hang, 1)
-	r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) == 1 })
-	r.post(2, fakestore.Hang, 2) // another object with the same ID
+	r.endpoints.PauseCancellations()
+	txn := r.post(1, fakestore.NoResponse, 1)
+	r.waitFor("the attempt", func() bool { return r.endpoints.GetCount(txn) == 1 })
+	r.post(2, fakestore.NoResponse, 2) // another object with the same ID
 	r.waitFor("the rejection", func() bool { return r.answerCount(2) == 1 })
 	r.core.Post(core.CancelRequest{Frontend: r, RequestTag: 1})
 	r.waitFor("its cancellation", func() bool { return r.stats().Canceled == 1 })
-	r.post(3, fakestore.Hang, 1)
+	r.post(3, fakestore.NoResponse, 1)
 	r.waitFor("the rejection", func() bool { return r.answerCount(3) == 1 })
-	r.endpoints.Notice()
+	r.endpoints.Resume()
 	tag := uint64(4)
 	r.waitFor("a request with the ID to be accepted", func() bool {
-		r.post(tag, fakestore.Hang, 1)
+		r.post(tag, fakestore.NoResponse, 1)
 		r.stats()
 		tag++
-		return r.endpoints.Gets(txn) >= 2
+		return r.endpoints.GetCount(txn) >= 2
 	})
 	served := 0
 	for i := uint64(2); i < tag; i++ {
@@ -42,7 +42,7 @@
 	if served == 0 {
 		t.Error("no request was served")
 	}
-	if n := r.endpoints.Twice(); n > 0 || r.answerCount(1) > 0 {
+	if n := r.endpoints.DuplicateGets(); n > 0 || r.answerCount(1) > 0 {
 		t.Error(fmt.Sprint(n, " times two concurrent attempts; answers to the disconnected client: ", r.answerCount(1)))
 	}
 }
--- a/core/idempotency_test.go
+++ b/core/idempotency_test.go
@@ -19,26 +19,26 @@
 	}{
 		{"overloaded", fakestore.Busy, true, false, 2},
 		{"an error that may have run", fakestore.Failing, true, false, 2},
-		{"corrupt", fakestore.Spoilt, true, false, 2},
-		{"cut", fakestore.Cut, true, false, 2},
-		{"reset", fakestore.ResetReading, true, false, 2},
-		{"canceled, and the endpoint acknowledges that", fakestore.Hang, true, true, 2},
-		{"canceled at an endpoint suspended for longer than the window", fakestore.Hang, false, true, 1},
+		{"corrupt", fakestore.Malformed, true, false, 2},
+		{"cut", fakestore.CloseMidResponse, true, false, 2},
+		{"reset", fakestore.ResetAfterRequest, true, false, 2},
+		{"canceled, and the endpoint acknowledges that", fakestore.NoResponse, true, true, 2},
+		{"canceled at an endpoint suspended for longer than the window", fakestore.NoResponse, false, true, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			r := newRig(t)
-			r.endpoints.Hold()
+			r.endpoints.PauseCancellations()
 			start := r.clock.Now()
 			txn := r.postKeyed(x.behavior, idempotencyKey, 3000, false)
-			r.waitFor("the attempt", func() bool { return r.endpoints.Gets(txn) >= 1 })
+			r.waitFor("the attempt", func() bool { return r.endpoints.GetCount(txn) >= 1 })
 			if x.cancel {
 				r.advanceUntilCanceled()
 				r.waitFor("a deferred attempt", func() bool { return r.stats().Deferred > 0 })
 			}
 			if x.notice {
-				r.endpoints.Notice()
-				r.waitFor("the end of the attempt at the endpoint", func() bool { return r.endpoints.Out(txn) == 0 })
-				r.waitFor("the retry", func() bool { r.clock.Advance(1); r.stats(); return r.endpoints.Gets(txn) == 2 })
+				r.endpoints.Resume()
+				r.waitFor("the end of the attempt at the endpoint", func() bool { return r.endpoints.OpenAttempts(txn) == 0 })
+				r.waitFor("the retry", func() bool { r.clock.Advance(1); r.stats(); return r.endpoints.GetCount(txn) == 2 })
 			} else {
 				r.clock.Advance(start + dedupWindowMs - 10 - r.clock.Now())
 				if r.stats(); r.answerCount(1) != 0 {
@@ -52,10 +52,10 @@
 			if r.clock.Now() > start+dedupWindowMs+5 {
 				t.Errorf("answered %v ms after the request was received", r.clock.Now()-start)
 			}
-			r.endpoints.Notice()
-			calls := r.endpoints.Calls()
-			if len(calls) != x.gets || r.endpoints.Twice() > 0 {
-				t.Errorf("%d attempts, %d times two at once at the endpoint", len(calls), r.endpoints.Twice())
+			r.endpoints.Resume()
+			calls := r.endpoints.AllGets()
+			if len(calls) != x.gets || r.endpoints.DuplicateGets() > 0 {
+				t.Errorf("%d attempts, %d times two at once at the endpoint", len(calls), r.endpoints.DuplicateGets())
 			}
 			for _, c := range calls {
 				if c.Fields["dedupe"] != idempotencyKey {
@@ -85,10 +85,10 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			r := newRig(t)
-			r.postKeyed(fakestore.Good, x.key, x.remaining, x.retry)
+			r.postKeyed(fakestore.Succeed, x.key, x.remaining, x.retry)
 			a := r.waitForAnswer()
-			if a.Reason != x.reason || (a.Verdict == core.Served) != (x.gets > 0) || len(r.endpoints.Calls()) != x.gets {
-				t.Errorf("%+v after %d attempts", a, len(r.endpoints.Calls()))
+			if a.Reason != x.reason || (a.Verdict == core.Served) != (x.gets > 0) || len(r.endpoints.AllGets()) != x.gets {
+				t.Errorf("%+v after %d attempts", a, len(r.endpoints.AllGets()))
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 	if a := r.waitForAnswer(); a.Verdict != core.Served {
 		t.Fatalf("%+v", a)
 	}
-	if key, ok := r.endpoints.Calls()[0].Fields["dedupe"]; ok {
+	if key, ok := r.endpoints.AllGets()[0].Fields["dedupe"]; ok {
 		t.Errorf("sent with the key %q", key)
 	}
 }
--- a/core/rig_test.go
+++ b/core/rig_test.go
@@ -28,7 +28,7 @@
 	clock *clock.Clock
 	list  core.EndpointList // of the endpoints
 
-	endpoints       *fakestore.SlowStore
+	endpoints       *fakestore.SlowServer
 	allowConcurrent bool // concurrent attempts of a request are an error only at the same endpoint
 
 	mu      sync.Mutex
@@ -48,9 +48,9 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{T: t, clock: clock.Manual(1e12), answers: map[uint64][]core.Answer{}, list: core.EndpointList{Snapshot: true}}
 	var err error
-	r.endpoints, err = fakestore.NewSlowStore(5, func(c fakestore.Call, n int) fakestore.Behavior {
+	r.endpoints, err = fakestore.NewSlowServer(5, func(c fakestore.Command, n int) fakestore.Behavior {
 		if n > 0 {
-			return fakestore.Good
+			return fakestore.Succeed
 		}
 		return fakestore.Behavior(c.ID[0] - 'a')
 	})
@@ -111,7 +111,7 @@
 func (r *rig) waitFor(what string, ok func() bool) {
 	r.Helper()
 	for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
-		if r.endpoints.Twice() > 0 && !r.allowConcurrent || r.endpoints.TwiceAtOne() > 0 {
+		if r.endpoints.DuplicateGets() > 0 && !r.allowConcurrent || r.endpoints.DuplicateGetsAtSameEndpoint() > 0 {
 			r.Fatalf("a request had two concurrent attempts while waiting for: %s", what)
 		}
 		if time.Now().After(limit) {
--- a/example/toystore/main.go
+++ b/example/toystore/main.go
@@ -21,19 +21,19 @@
 
 	var mu sync.Mutex
 	cachedSince, ridesEnded := map[string]time.Time{}, 0
-	respond := func(c fakestore.Call, why string, at time.Time) (string, string, []byte, bool) {
+	respond := func(c fakestore.Command, why string, at time.Time) (string, string, []byte, bool) {
 		fields := fmt.Sprintf("tag=%016x,minted=%d,why=%s", at.UnixMilli(), at.UnixMilli(), why)
 		log.Printf("%s %s %s/%s: %s", c.Verb, c.Fields["lane"], c.Fields["name"], c.Fields["piece"], why)
 		return "ACK", fields, fmt.Appendf(nil, "%s %s, part %s\n", c.Fields["lane"], c.Fields["name"], c.Fields["piece"]), true
 	}
-	fromOrigin := func(c fakestore.Call, why string) (string, string, []byte, bool) {
+	fromOrigin := func(c fakestore.Command, why string) (string, string, []byte, bool) {
 		if c.Fields["lane"] == "ride-end" {
 			ridesEnded++
 			log.Printf("rides ended: %d", ridesEnded)
 		}
 		return respond(c, why, time.Now())
 	}
-	cacheEndpoint, err := fakestore.Listen(*cache, func(c fakestore.Call) (string, string, []byte, bool) {
+	cacheEndpoint, err := fakestore.Listen(*cache, func(c fakestore.Command) (string, string, []byte, bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		key := c.Fields["name"] + "/" + c.Fields["piece"]
@@ -51,7 +51,7 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	originEndpoint, err := fakestore.Listen(*origin, func(c fakestore.Call) (string, string, []byte, bool) {
+	originEndpoint, err := fakestore.Listen(*origin, func(c fakestore.Command) (string, string, []byte, bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		return fromOrigin(c, "local")
--- a/flood_test.go
+++ b/flood_test.go
@@ -116,7 +116,7 @@
 // BenchmarkFlood measures the request rate of legitimate clients alone and beside 64 connections that send forged links from
 // another address, and the number of log lines written meanwhile.
 func BenchmarkFlood(b *testing.B) {
-	endpoint, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	endpoint, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Command) (string, string, []byte, bool) {
 		return "ACK", "tag=00000000000000aa,why=local,minted=1799999990000", []byte("piece"), true
 	})
 	if err != nil {
@@ -156,7 +156,7 @@
 
 // startGatewayWithKeys runs a gateway with one endpoint and the two keys "url" and "other". more is appended to its operator's
 // file.
-func startGatewayWithKeys(t testing.TB, endpoint *fakestore.Store, log zerolog.Logger, clk *clock.Clock, more string) (addr string, keys *ring.Ring, stop func()) {
+func startGatewayWithKeys(t testing.TB, endpoint *fakestore.Endpoint, log zerolog.Logger, clk *clock.Clock, more string) (addr string, keys *ring.Ring, stop func()) {
 	text := anyPortConfig + classConfig("firmware", "deadline_ms = 5000") + endpointsConfig(endpoint.Addr()) +
 		hmacKeyConfig("url", "a2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=") +
 		hmacKeyConfig("other", "b2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=") + more
@@ -206,7 +206,7 @@
 // in flight. Clients, keys and grants below their limits are served.
 func TestFrontendLimits(t *testing.T) {
 	release := make(chan struct{})
-	endpoint, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	endpoint, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Command) (string, string, []byte, bool) {
 		if c.Fields["piece"] == "9" {
 			<-release
 		}
@@ -258,7 +258,7 @@
 			}
 		})
 	}
-	for len(endpoint.Calls("GET")) < 9 {
+	for len(endpoint.Commands("GET")) < 9 {
 		time.Sleep(time.Millisecond)
 	}
 	if code, text := get("127.0.0.2", "url", "d", "0"); code != 429 || !strings.Contains(text, "this key") {
--- a/graceful_shutdown_test.go
+++ b/graceful_shutdown_test.go
@@ -60,7 +60,7 @@
 
 const stoppingGatewayDeadline = 1800 * time.Millisecond // of the only class in coldEndpointConfig
 
-func newStoppingGateway(t *testing.T, handle func(fakestore.Call) (string, string, []byte, bool)) *stoppingGateway {
+func newStoppingGateway(t *testing.T, handle func(fakestore.Command) (string, string, []byte, bool)) *stoppingGateway {
 	endpoint, err := fakestore.Listen("127.0.0.1:0", handle)
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 	return nc, <-g.accepted
 }
 
-func answerImmediately(fakestore.Call) (string, string, []byte, bool) {
+func answerImmediately(fakestore.Command) (string, string, []byte, bool) {
 	return "ACK", "tag=00000000000000aa,why=local,minted=1799999990000", []byte("piece"), true
 }
 
@@ -137,7 +137,7 @@
 // request that was read must be answered, and the process must end before the platform would kill it.
 func TestClientsKeepSendingDuringShutdown(t *testing.T) {
 	const clients = 16
-	g := newStoppingGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
+	g := newStoppingGateway(t, func(c fakestore.Command) (string, string, []byte, bool) {
 		if last := c.ID[len(c.ID)-1]; last%2 == 0 {
 			return answerImmediately(c)
 		}
--- a/internal/fakestore/authority.go
+++ b/internal/fakestore/authority.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Authority generates a certificate authority and returns a function that issues TLS settings for one member each: a
+// NewAuthority generates a certificate authority and returns a function that issues TLS settings for one member each: a
 // certificate for 127.0.0.1 and extraIPs, with the authority as the only root.
-func Authority(extraIPs ...net.IP) (func() (*tls.Config, error), error) {
+func NewAuthority(extraIPs ...net.IP) (func() (*tls.Config, error), error) {
 	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
--- a/internal/fakestore/fakestore.go
+++ b/internal/fakestore/fakestore.go
@@ -12,47 +12,47 @@
 	"sync"
 )
 
-// Call is one received command.
-type Call struct {
+// Command is one received command.
+type Command struct {
 	Verb, ID string
 	Fields   map[string]string
 	Body     []byte
-	At       string // the address that received it, for a SlowStore
+	Address  string // the address that received it, for a SlowServer
 }
 
-// Store is a fake endpoint that responds to GETs with the result of Handle.
-type Store struct {
-	// Handle returns the response to a GET; no response is sent if ok is false. It may block: each GET has its own
+// Endpoint is a fake endpoint that responds to GETs with the result of HandleGet.
+type Endpoint struct {
+	// HandleGet returns the response to a GET; no response is sent if ok is false. It may block: each GET has its own
 	// goroutine.
-	Handle     func(c Call) (status, fields string, body []byte, ok bool)
+	HandleGet  func(c Command) (status, fields string, body []byte, ok bool)
 	beforeRead func(r *bufio.Reader)
 
-	server // Close waits for all calls of Handle to return
-	mu     sync.Mutex
-	calls  []Call
+	server   // Close waits for all calls of HandleGet to return
+	mu       sync.Mutex
+	commands []Command
 }
 
 // Listen starts a fake endpoint on an address.
-func Listen(addr string, handle func(Call) (string, string, []byte, bool)) (*Store, error) {
-	return ListenLate(addr, nil, handle)
+func Listen(addr string, handle func(Command) (string, string, []byte, bool)) (*Endpoint, error) {
+	return ListenWithHook(addr, nil, handle)
 }
 
-// ListenLate starts a fake endpoint that calls beforeRead with each new connection before it reads the first command from it.
-// beforeRead may block, and may be nil.
-func ListenLate(addr string, beforeRead func(*bufio.Reader), handle func(Call) (string, string, []byte, bool)) (*Store, error) {
-	s := &Store{Handle: handle, beforeRead: beforeRead}
+// ListenWithHook starts a fake endpoint that calls beforeRead with each new connection before it reads the first command from
+// it. beforeRead may block, and may be nil.
+func ListenWithHook(addr string, beforeRead func(*bufio.Reader), handle func(Command) (string, string, []byte, bool)) (*Endpoint, error) {
+	s := &Endpoint{HandleGet: handle, beforeRead: beforeRead}
 	_, err := s.listen(addr, s.serve)
 	return s, err
 }
 
 // Addr returns the address that the endpoint listens on.
-func (s *Store) Addr() string { return s.listeners[0].Addr().String() }
+func (s *Endpoint) Addr() string { return s.listeners[0].Addr().String() }
 
-// Calls returns the received commands that have this verb, in order of arrival.
-func (s *Store) Calls(verb string) (out []Call) {
+// Commands returns the received commands that have this verb, in order of arrival.
+func (s *Endpoint) Commands(verb string) (out []Command) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.calls {
+	for _, c := range s.commands {
 		if c.Verb == verb {
 			out = append(out, c)
 		}
@@ -60,7 +60,7 @@
 	return out
 }
 
-func (s *Store) serve(c net.Conn) {
+func (s *Endpoint) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	if s.beforeRead != nil {
 		s.beforeRead(r)
@@ -71,24 +71,24 @@
 		if err != nil || len(args) < 2 {
 			return
 		}
-		call := parseCall(args)
+		cmd := parseCommand(args)
 		s.mu.Lock()
-		s.calls = append(s.calls, call)
+		s.commands = append(s.commands, cmd)
 		s.mu.Unlock()
 		respond := func(status, fields string, body []byte) {
 			writeMu.Lock()
 			defer writeMu.Unlock()
 			fmt.Fprintf(c, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
-				len(call.ID), call.ID, len(status), status, len(fields), fields, len(body), body)
+				len(cmd.ID), cmd.ID, len(status), status, len(fields), fields, len(body), body)
 		}
-		switch call.Verb {
+		switch cmd.Verb {
 		case "PING", "LOAD":
 			respond("READY", "rep=inflight:0;util:0.1", nil)
 		case "GET":
 			s.wg.Add(1)
 			go func() {
 				defer s.wg.Done()
-				if status, fields, body, ok := s.Handle(call); ok {
+				if status, fields, body, ok := s.HandleGet(cmd); ok {
 					respond(status, fields, body)
 				}
 			}()
@@ -97,19 +97,19 @@
 }
 
 // parseCall parses the arguments of a command, of which there must be at least two.
-func parseCall(args [][]byte) Call {
-	call := Call{Verb: string(args[0]), ID: string(args[1]), Fields: map[string]string{}}
+func parseCommand(args [][]byte) Command {
+	cmd := Command{Verb: string(args[0]), ID: string(args[1]), Fields: map[string]string{}}
 	if len(args) > 3 {
-		call.Body = args[3]
+		cmd.Body = args[3]
 	}
 	if len(args) > 2 {
 		for _, f := range strings.Split(string(args[2]), ",") {
 			if k, v, ok := strings.Cut(f, "="); ok {
-				call.Fields[k] = v
+				cmd.Fields[k] = v
 			}
 		}
 	}
-	return call
+	return cmd
 }
 
 // readCommand reads a command, a RESP array of bulk strings.
--- a/internal/fakestore/keys.go
+++ b/internal/fakestore/keys.go
@@ -18,8 +18,8 @@
 	return string(pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}))
 }
 
-// RSAKey returns a private key that all tests of a process share, because generating one is slow.
-var RSAKey = sync.OnceValue(func() *rsa.PrivateKey {
+// SharedRSAKey returns a private key that all tests of a process share, because generating one is slow.
+var SharedRSAKey = sync.OnceValue(func() *rsa.PrivateKey {
 	key, err := rsa.GenerateKey(rand.Reader, 2048)
 	if err != nil {
 		panic(err)
--- a/internal/fakestore/server.go
+++ b/internal/fakestore/server.go
@@ -56,8 +56,8 @@
 	delete(s.conns, c)
 }
 
-// Cut resets all open connections, as happens when a process dies.
-func (s *server) Cut() {
+// ResetConnections resets all open connections, as happens when a process dies.
+func (s *server) ResetConnections() {
 	s.connsMu.Lock()
 	defer s.connsMu.Unlock()
 	for c := range s.conns {
@@ -65,9 +65,9 @@
 	}
 }
 
-// CloseLater returns a function that closes the connections open at the time of this call, as a server closes idle ones, or
-// resets them if resets is set. Connections opened after this call are not affected.
-func (s *server) CloseLater(resets bool) func() {
+// ConnectionCloser returns a function that closes the connections open at the time of this call, as a server closes idle ones,
+// or resets them if resets is set. Connections opened after this call are not affected.
+func (s *server) ConnectionCloser(resets bool) func() {
 	s.connsMu.Lock()
 	defer s.connsMu.Unlock()
 	conns := slices.Collect(maps.Keys(s.conns))
@@ -98,6 +98,6 @@
 	for _, l := range s.listeners {
 		l.Close()
 	}
-	s.Cut()
+	s.ResetConnections()
 	s.wg.Wait()
 }
--- a/production_rig_test.go
+++ b/production_rig_test.go
@@ -55,14 +55,14 @@
 type productionRig struct {
 	*testing.T
 	clock     *clock.Clock
-	endpoints *fakestore.SlowStore
+	endpoints *fakestore.SlowServer
 	discovery *fakeDiscovery
 	gateway   *gateway
 	stop      chan struct{}
 	reloads   chan config.Node
 	ended     chan struct{} // closed once the gateway has stopped
 
-	behavior  atomic.Pointer[func(c fakestore.Call, n int) fakestore.Behavior]
+	behavior  atomic.Pointer[func(c fakestore.Command, n int) fakestore.Behavior]
 	mu        sync.Mutex
 	runs      map[string]int // number of attempts that an endpoint may have run, by request ID
 	requests  []*clientRequest
@@ -82,9 +82,9 @@
 	r := &productionRig{
 		T: t, clock: clock.Manual(1.8e12), stop: make(chan struct{}), reloads: make(chan config.Node), ended: make(chan struct{}), runs: map[string]int{},
 	}
-	r.setBehavior(fakestore.Good)
+	r.setBehavior(fakestore.Succeed)
 	var err error
-	r.endpoints, err = fakestore.NewSlowStore(len(endpointKinds), func(c fakestore.Call, n int) fakestore.Behavior {
+	r.endpoints, err = fakestore.NewSlowServer(len(endpointKinds), func(c fakestore.Command, n int) fakestore.Behavior {
 		how := (*r.behavior.Load())(c, n)
 		if how != fakestore.Missing && how != fakestore.Busy {
 			r.mu.Lock()
@@ -136,10 +136,10 @@
 
 // setBehavior makes every endpoint respond to all further attempts with this behavior.
 func (r *productionRig) setBehavior(behavior fakestore.Behavior) {
-	r.setBehaviorFunc(func(fakestore.Call, int) fakestore.Behavior { return behavior })
+	r.setBehaviorFunc(func(fakestore.Command, int) fakestore.Behavior { return behavior })
 }
 
-func (r *productionRig) setBehaviorFunc(behavior func(c fakestore.Call, n int) fakestore.Behavior) {
+func (r *productionRig) setBehaviorFunc(behavior func(c fakestore.Command, n int) fakestore.Behavior) {
 	r.behavior.Store(&behavior)
 }
 
@@ -333,7 +333,7 @@
 	requests, runs := slices.Clone(r.requests), maps.Clone(r.runs)
 	r.mu.Unlock()
 	for _, q := range requests {
-		if n := r.endpoints.Gets(q.id); n > maxAttempts {
+		if n := r.endpoints.GetCount(q.id); n > maxAttempts {
 			r.Errorf("request %s had %d attempts", q.id, n)
 		}
 		if n := runs[q.id]; q.class == unsafeClass && n > 1 {
--- a/production_test.go
+++ b/production_test.go
@@ -37,30 +37,30 @@
 
 // endpointFaults are the ways in which all endpoints fail at once.
 var endpointFaults = []faultScenario{
-	{"no response", withBehavior(fakestore.Hang)},
+	{"no response", withBehavior(fakestore.NoResponse)},
 	{"busy", withBehavior(fakestore.Busy)},
 	{"failure response", withBehavior(fakestore.Failing)},
-	{"reset while reading the request", withBehavior(fakestore.ResetReading)},
-	{"reset while writing the response", withBehavior(fakestore.ResetWriting)},
-	{"truncated response", withBehavior(fakestore.Cut)},
-	{"stalled response", withBehavior(fakestore.Stall)},
-	{"malformed response", withBehavior(fakestore.Spoilt)},
-	{"connections forgotten and no response", func(r *productionRig) { r.setBehavior(fakestore.Hang); r.endpoints.Forget() }},
+	{"reset while reading the request", withBehavior(fakestore.ResetAfterRequest)},
+	{"reset while writing the response", withBehavior(fakestore.ResetMidResponse)},
+	{"truncated response", withBehavior(fakestore.CloseMidResponse)},
+	{"stalled response", withBehavior(fakestore.StallMidResponse)},
+	{"malformed response", withBehavior(fakestore.Malformed)},
+	{"connections forgotten and no response", func(r *productionRig) { r.setBehavior(fakestore.NoResponse); r.endpoints.DiscardInput() }},
 	{"first attempt fails", func(r *productionRig) {
-		r.setBehaviorFunc(func(_ fakestore.Call, n int) fakestore.Behavior {
+		r.setBehaviorFunc(func(_ fakestore.Command, n int) fakestore.Behavior {
 			if n == 0 {
 				return fakestore.Failing
 			}
-			return fakestore.Good
+			return fakestore.Succeed
 		})
 	}},
 }
 
 // idleConnectionFaults are the ways in which idle connections to endpoints end.
 var idleConnectionFaults = []faultScenario{
-	{"idle connections closed", func(r *productionRig) { r.endpoints.CloseLater(false)() }},
-	{"idle connections reset", func(r *productionRig) { r.endpoints.Cut() }},
-	{"idle connections forgotten", func(r *productionRig) { r.endpoints.Forget() }},
+	{"idle connections closed", func(r *productionRig) { r.endpoints.ConnectionCloser(false)() }},
+	{"idle connections reset", func(r *productionRig) { r.endpoints.ResetConnections() }},
+	{"idle connections forgotten", func(r *productionRig) { r.endpoints.DiscardInput() }},
 }
 
 // After ten idle minutes endpoints or connections fail. Each request must get its final response before its deadline, and
@@ -77,7 +77,7 @@
 			r.stats()
 			c.inject(r)
 			r.awaitWithClock(r.sendAll(requestsPerClass, clientTTL))
-			r.setBehavior(fakestore.Good)
+			r.setBehavior(fakestore.Succeed)
 			r.advance(30000) // by then endpoints are retried
 			r.awaitService()
 			r.checkRules()
@@ -98,9 +98,9 @@
 // sent on an idle connection, and all others must be answered.
 func TestEndpointsCloseIdleConnections(t *testing.T) {
 	for name, prepare := range map[string]func(r *productionRig) (end func()){
-		"closed":    func(r *productionRig) func() { return r.endpoints.CloseLater(false) },
-		"reset":     func(r *productionRig) func() { return r.endpoints.CloseLater(true) },
-		"forgotten": func(r *productionRig) func() { r.endpoints.Forget(); return func() {} },
+		"closed":    func(r *productionRig) func() { return r.endpoints.ConnectionCloser(false) },
+		"reset":     func(r *productionRig) func() { return r.endpoints.ConnectionCloser(true) },
+		"forgotten": func(r *productionRig) func() { r.endpoints.DiscardInput(); return func() {} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -133,18 +133,18 @@
 		then fakestore.Behavior // of the following attempts
 		fail func(r *productionRig)
 	}{
-		{"reset", fakestore.ResetReading, func(r *productionRig) { r.endpoints.Cut() }},
-		{"closed", fakestore.Cut, func(r *productionRig) { r.endpoints.CloseLater(false)() }},
-		{"reset, then busy", fakestore.Busy, func(r *productionRig) { r.endpoints.Cut() }},
-		{"reset, then no response", fakestore.Hang, func(r *productionRig) { r.endpoints.Cut() }},
+		{"reset", fakestore.ResetAfterRequest, func(r *productionRig) { r.endpoints.ResetConnections() }},
+		{"closed", fakestore.CloseMidResponse, func(r *productionRig) { r.endpoints.ConnectionCloser(false)() }},
+		{"reset, then busy", fakestore.Busy, func(r *productionRig) { r.endpoints.ResetConnections() }},
+		{"reset, then no response", fakestore.NoResponse, func(r *productionRig) { r.endpoints.ResetConnections() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
-			r.setBehavior(fakestore.Hang)
+			r.setBehavior(fakestore.NoResponse)
 			requests := r.sendAll(requestsPerClass, clientTTL)
 			r.waitFor("attempts are out", func() bool {
-				return !slices.ContainsFunc(requests, func(q *clientRequest) bool { return r.endpoints.Gets(q.id) == 0 })
+				return !slices.ContainsFunc(requests, func(q *clientRequest) bool { return r.endpoints.GetCount(q.id) == 0 })
 			})
 			hedgingClient := r.connect()
 			var hedged []*clientRequest
@@ -164,7 +164,7 @@
 // Requests with deadlines of 1 to 20 ms are answered in that time, even if endpoints drop them without a response, and no endpoint
 // is penalized for it.
 func TestVeryShortDeadlines(t *testing.T) {
-	for _, how := range []fakestore.Behavior{fakestore.Hang, fakestore.Good, fakestore.Failing} {
+	for _, how := range []fakestore.Behavior{fakestore.NoResponse, fakestore.Succeed, fakestore.Failing} {
 		t.Run(fmt.Sprintf("behavior %d", how), func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
@@ -173,8 +173,8 @@
 			for ttl := 1.0; ttl <= 20; ttl++ {
 				r.awaitWithClock(r.sendAll(4, ttl))
 			}
-			r.setBehavior(fakestore.Good)
-			if how == fakestore.Hang { // no response within so short a time is no evidence against an endpoint
+			r.setBehavior(fakestore.Succeed)
+			if how == fakestore.NoResponse { // no response within so short a time is no evidence against an endpoint
 				if statuses := r.awaitWithoutClock(r.sendAll(requestsPerClass, clientTTL)); !allServed(statuses) {
 					t.Errorf("after the short deadlines: %v", statuses)
 				}
@@ -230,7 +230,7 @@
 		},
 	}
 	ends := map[string]func(r *productionRig){
-		"their connections are reset": func(r *productionRig) { r.endpoints.Cut() },
+		"their connections are reset": func(r *productionRig) { r.endpoints.ResetConnections() },
 		"their time ends":             func(r *productionRig) { r.advance(clientTTL) },
 	}
 	for leaveName, leave := range ways {
@@ -238,20 +238,20 @@
 			t.Run(leaveName+", and "+endName, func(t *testing.T) {
 				t.Parallel()
 				r := newProductionRig(t)
-				r.setBehavior(fakestore.Hang)
+				r.setBehavior(fakestore.NoResponse)
 				client := r.connect()
 				requests := client.send(safeClass, 8, clientTTL)
 				requests = append(requests, client.send(keyedClass, 8, clientTTL)...)
 				r.waitFor("attempts are out", func() bool {
-					return !slices.ContainsFunc(requests, func(q *clientRequest) bool { return r.endpoints.Gets(q.id) == 0 })
+					return !slices.ContainsFunc(requests, func(q *clientRequest) bool { return r.endpoints.GetCount(q.id) == 0 })
 				})
 				leave(client)
 				r.waitFor("the core is notified", func() bool { return r.stats().ClientGone == len(requests) })
-				r.setBehavior(fakestore.Good)
+				r.setBehavior(fakestore.Succeed)
 				end(r)
 				r.advance(4000)
 				for _, q := range requests {
-					if n := r.endpoints.Gets(q.id); n != 1 {
+					if n := r.endpoints.GetCount(q.id); n != 1 {
 						t.Errorf("request %s (%s) had %d attempts", q.id, q.class, n)
 					}
 				}
@@ -298,9 +298,9 @@
 // checkNotSentTo checks that none of the requests used an endpoint as its target or its fill source.
 func (r *productionRig) checkNotSentTo(index int, requests []*clientRequest) {
 	r.Helper()
-	for _, c := range r.endpoints.Calls() {
+	for _, c := range r.endpoints.AllGets() {
 		asked := slices.ContainsFunc(requests, func(q *clientRequest) bool { return q.id == c.ID })
-		if asked && (c.At == r.endpoints.Addrs[index] || c.Fields["via"] == fmt.Sprintf("s-%08x", index+1)) {
+		if asked && (c.Address == r.endpoints.Addrs[index] || c.Fields["via"] == fmt.Sprintf("s-%08x", index+1)) {
 			r.Errorf("request %s used endpoint %d, which is excluded", c.ID, index+1)
 		}
 	}
@@ -315,14 +315,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newProductionRig(t)
-			r.setBehavior(fakestore.Hang)
+			r.setBehavior(fakestore.NoResponse)
 			before := r.sendAll(requestsPerClass, clientTTL)
 			r.clock.Advance(1)
 			started := r.clock.Now()
 			marker := r.publish(frameChanges, r.endpointRecord(0, endpointDraining, 0, weight), r.endpointRecord(1, endpointDraining, 0, weight),
 				r.endpointRecord(2, endpointReady, started, weight))
 			r.awaitMarker(marker)
-			r.setBehavior(fakestore.Good)
+			r.setBehavior(fakestore.Succeed)
 			if stops {
 				close(r.stop)
 			}
@@ -333,8 +333,8 @@
 			r.checkNotSentTo(0, after)
 			r.checkNotSentTo(1, after)
 			sent := 0
-			for _, c := range r.endpoints.Calls() {
-				if c.At == r.endpoints.Addrs[2] && slices.ContainsFunc(after, func(q *clientRequest) bool { return q.id == c.ID }) {
+			for _, c := range r.endpoints.AllGets() {
+				if c.Address == r.endpoints.Addrs[2] && slices.ContainsFunc(after, func(q *clientRequest) bool { return q.id == c.ID }) {
 					sent++
 				}
 			}
@@ -352,7 +352,7 @@
 // requests in flight must not be affected, and no published change may be lost.
 func TestRapidReloads(t *testing.T) {
 	r := newProductionRig(t)
-	r.setBehavior(fakestore.Hang)
+	r.setBehavior(fakestore.NoResponse)
 	requests := r.sendAll(requestsPerClass, clientTTL)
 	node := r.settings()
 	former := r.discovery
@@ -371,7 +371,7 @@
 	r.awaitMarker(marker)
 	r.waitFor("the last address is watched", func() bool { return r.discovery.watches.Load() > 0 })
 	r.awaitMarker(r.publish(frameChanges, r.endpointRecord(1, endpointDraining, 0, 10)))
-	r.setBehavior(fakestore.Good)
+	r.setBehavior(fakestore.Succeed)
 	after := r.sendAll(requestsPerClass, clientTTL)
 	r.awaitWithClock(after)
 	r.awaitWithClock(requests)
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -17,7 +17,7 @@
 // authority returns a maker of certificates that a test's own authority issues.
 func authority(t testing.TB) func() *tls.Config {
 	t.Helper()
-	make, err := fakestore.Authority()
+	make, err := fakestore.NewAuthority()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/signed_test.go
+++ b/signed_test.go
@@ -33,7 +33,7 @@
 type signedGateway struct {
 	t        testing.TB
 	clock    *clock.Clock
-	endpoint *fakestore.Store
+	endpoint *fakestore.Endpoint
 	ring     *ring.Ring
 	addr     string
 	runs     atomic.Int64 // number of ride-end requests that the endpoint received
@@ -44,11 +44,11 @@
 
 // newSignedGateway starts a gateway. handle responds to the calls of the endpoint, and may block to keep a request in flight; nil:
 // the endpoint responds at once.
-func newSignedGateway(t testing.TB, handle func(fakestore.Call) (string, string, []byte, bool)) *signedGateway {
+func newSignedGateway(t testing.TB, handle func(fakestore.Command) (string, string, []byte, bool)) *signedGateway {
 	t.Helper()
 	s := &signedGateway{t: t, clock: clock.Manual(start)}
 	var err error
-	s.endpoint, err = fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	s.endpoint, err = fakestore.Listen("127.0.0.1:0", func(c fakestore.Command) (string, string, []byte, bool) {
 		if c.Fields["lane"] == "ride-end" {
 			s.runs.Add(1)
 		}
@@ -99,7 +99,7 @@
 issuer = "dala"
 audience = "gateways"
 secret = %q
-`, fakestore.PrivatePEM(fakestore.RSAKey()), urlSecret, urlSecret)
+`, fakestore.PrivatePEM(fakestore.SharedRSAKey()), urlSecret, urlSecret)
 	o, err := config.ParseOperator(text, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -252,8 +252,8 @@
 // and the token stays used.
 func TestUnconfirmedRideEndStaysClaimed(t *testing.T) {
 	var s *signedGateway
-	s = newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
-		s.endpoint.Cut()
+	s = newSignedGateway(t, func(c fakestore.Command) (string, string, []byte, bool) {
+		s.endpoint.ResetConnections()
 		return "", "", nil, false
 	})
 	u := s.url(rideEnd, 60, "doubt")
@@ -268,7 +268,7 @@
 func TestRejectedRideEndMayBeRetried(t *testing.T) {
 	var full atomic.Bool
 	full.Store(true)
-	s := newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
+	s := newSignedGateway(t, func(c fakestore.Command) (string, string, []byte, bool) {
 		if full.Load() {
 			return "AGAIN", "-", nil, true
 		}
@@ -305,7 +305,7 @@
 // When a token expires during a request, the attempt in flight completes and no new attempt starts.
 func TestTokenExpiryDuringRequest(t *testing.T) {
 	arrived, statuses := make(chan struct{}, 8), make(chan string, 8)
-	s := newSignedGateway(t, func(c fakestore.Call) (string, string, []byte, bool) {
+	s := newSignedGateway(t, func(c fakestore.Command) (string, string, []byte, bool) {
 		arrived <- struct{}{}
 		return <-statuses, "tag=0a,why=local,minted=1", []byte("late"), true
 	})
@@ -329,7 +329,7 @@
 		t.Errorf("the response of an attempt in flight was lost: %+v", got)
 	}
 	b := request(s.url("/v1/firmware/7f3a9c21e0b4d655/4", -5, "b"))
-	before := len(s.endpoint.Calls("GET"))
+	before := len(s.endpoint.Commands("GET"))
 	s.clock.Advance(2500 + 2600)
 	statuses <- "NOENT"
 	if got := <-b; got.code == 200 {
@@ -342,7 +342,7 @@
 	if got := <-d; got.code != 403 || got.err != "expired" {
 		t.Errorf("a miss after expiry: %+v", got)
 	}
-	if n := len(s.endpoint.Calls("GET")); n != before {
+	if n := len(s.endpoint.Commands("GET")); n != before {
 		t.Errorf("%d attempts started after expiry", n-before)
 	}
 }
@@ -422,7 +422,7 @@
 		if code, _, _ := s.do("GET", s.url(tile, 600, rand.Text()), ""); code != 200 {
 			t.Fatal(code)
 		}
-		calls := s.endpoint.Calls("GET")
+		calls := s.endpoint.Commands("GET")
 		if age, _ := strconv.Atoi(calls[len(calls)-1].Fields["fresh"]); age > 0 && age <= 100 {
 			break
 		}
@@ -474,7 +474,7 @@
 // abandoned, and 504 at its deadline; in both cases its token stays used, because the request may have run.
 func TestDeadline(t *testing.T) {
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
-	s := newSignedGateway(t, func(fakestore.Call) (string, string, []byte, bool) {
+	s := newSignedGateway(t, func(fakestore.Command) (string, string, []byte, bool) {
 		arrived <- struct{}{}
 		<-release
 		return "", "", nil, false
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -77,7 +77,7 @@
 // the number that the settings allow.
 func TestManyGatewaysStartOnAColdEndpoint(t *testing.T) {
 	const gateways, weight, requestsEach, idleTime, window = 30, 1, 8, 12000, 1900
-	endpoint, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
+	endpoint, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,why=local,minted=1", []byte("part"), true
 	})
 	if err != nil {
@@ -108,7 +108,7 @@
 	// returns the number of calls that the endpoint received until all requests were answered.
 	requestCount := uint64(0)
 	requestParts := func(parts int, ms float64) int {
-		before := len(endpoint.Calls("GET"))
+		before := len(endpoint.Commands("GET"))
 		answered := make(chan error, gateways)
 		var ended atomic.Int64
 		for _, f := range gatewayAddrs {
@@ -144,7 +144,7 @@
 				}
 			}
 		}
-		return len(endpoint.Calls("GET")) - before
+		return len(endpoint.Commands("GET")) - before
 	}
 	requestParts(1, window) // the gateways know the endpoint, and its budget accumulates from here on
 	clk.Advance(idleTime)
--- a/storage_test.go
+++ b/storage_test.go
@@ -441,7 +441,7 @@
 			}
 			failing.Store(&fault)
 			s.stores[0].Close()
-			sent := len(s.endpoint.Calls("GET"))
+			sent := len(s.endpoint.Commands("GET"))
 			answer, err := http.Post("http://"+s.addrs.Signed.String()+s.url("refused"), "", nil)
 			if err != nil {
 				t.Fatal(err)
@@ -450,7 +450,7 @@
 			if answer.StatusCode != http.StatusServiceUnavailable || answer.Header.Get("Retry-After") == "" {
 				t.Errorf("ride-end during the fault: %d, %v", answer.StatusCode, answer.Header)
 			}
-			if len(s.endpoint.Calls("GET")) != sent {
+			if len(s.endpoint.Commands("GET")) != sent {
 				t.Error("the rejected ride-end was sent to the endpoint")
 			}
 			s.await("storage error reported", func() bool { return len(s.state().Storage) == 1 })
--- a/subscribe_test.go
+++ b/subscribe_test.go
@@ -54,7 +54,7 @@
 // replicatedGateway is a gateway that uses the replicated state of a group.
 type replicatedGateway struct {
 	*gatewayGroup
-	endpoint *fakestore.Store
+	endpoint *fakestore.Endpoint
 	addrs    Addrs
 }
 
@@ -81,7 +81,7 @@
 func newReplicatedGateway(t *testing.T, c *gatewayGroup, part string) *replicatedGateway {
 	s := &replicatedGateway{gatewayGroup: c}
 	var err error
-	s.endpoint, err = fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
+	s.endpoint, err = fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,why=local,minted=1", []byte("piece"), true
 	})
 	if err != nil {
@@ -177,14 +177,14 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	before := len(s.endpoint.Calls("GET"))
+	before := len(s.endpoint.Commands("GET"))
 	resp, err := http.Get("http://" + s.addrs.Signed.String() + issued.URL)
 	if err != nil {
 		s.Fatal(err)
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
-	calls := s.endpoint.Calls("GET")
+	calls := s.endpoint.Commands("GET")
 	if len(calls) == before {
 		return resp.StatusCode, -1
 	}
@@ -260,8 +260,8 @@
 	if status, fresh := s.get(keys, "next", "app-assets", 5); status != http.StatusOK || fresh != 3000 {
 		t.Errorf("stale, class with a freshness of 3 s: status %d, copies of %d ms", status, fresh)
 	}
-	ends := len(s.endpoint.Calls("GET"))
-	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Calls("GET")) != ends {
+	ends := len(s.endpoint.Commands("GET"))
+	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Commands("GET")) != ends {
 		t.Errorf("stale: ride-end has status %d, or was sent to the endpoint", status)
 	}
 
@@ -369,8 +369,8 @@
 	if status, fresh := s.get(s.keys, "url", "firmware", 2); status != http.StatusOK || fresh != bound {
 		t.Errorf("stale: status %d, copies of %d ms", status, fresh)
 	}
-	sent := len(s.endpoint.Calls("GET"))
-	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Calls("GET")) != sent {
+	sent := len(s.endpoint.Commands("GET"))
+	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Commands("GET")) != sent {
 		t.Errorf("stale: ride-end has status %d, or was sent to the endpoint", status)
 	}
 
--- a/token/ring/dialects_test.go
+++ b/token/ring/dialects_test.go
@@ -32,7 +32,7 @@
 
 // samples returns a key of each dialect and algorithm.
 func samples(t testing.TB) []sample {
-	rs := fakestore.RSAKey()
+	rs := fakestore.SharedRSAKey()
 	ec, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
@@ -236,7 +236,7 @@
 // TestCloudFrontCannedPolicy verifies a URL and cookies that are signed with the published form of the canned policy, whose
 // text must match byte for byte.
 func TestCloudFrontCannedPolicy(t *testing.T) {
-	rs := fakestore.RSAKey()
+	rs := fakestore.SharedRSAKey()
 	r := newRing(t, []sample{{key: token.Key{ID: "K2JCJMDEHXQW5F", Kind: token.CloudFront, Private: fakestore.PrivatePEM(rs)}}})
 	sum := sha1.Sum([]byte(`{"Statement":[{"Resource":"https://d111111abcdef8.cloudfront.net/v1/a/b/0?size=large","Condition":{"DateLessThan":{"AWS:EpochTime":1767290400}}}]}`))
 	sig, err := rsa.SignPKCS1v15(nil, rs, crypto.SHA1, sum[:])
--- a/token/ring/ring_test.go
+++ b/token/ring/ring_test.go
@@ -41,7 +41,7 @@
 func TestAlgorithms(t *testing.T) {
 	ec, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	edPub, ed, _ := ed25519.GenerateKey(rand.Reader)
-	rs := fakestore.RSAKey()
+	rs := fakestore.SharedRSAKey()
 	keys := []token.Key{
 		{ID: "a", Kind: token.JWS, Alg: "HS256", Secret: secret}, {ID: "b", Kind: token.JWS, Alg: "ES256", Private: fakestore.PrivatePEM(ec)},
 		{ID: "c", Kind: token.JWS, Alg: "EdDSA", Private: fakestore.PrivatePEM(ed)}, {ID: "d", Kind: token.JWS, Alg: "RS256", Private: fakestore.PrivatePEM(rs)},
--- a/upstream/resp/deadline_test.go
+++ b/upstream/resp/deadline_test.go
@@ -41,11 +41,11 @@
 		for _, x := range cases {
 			t.Run(delay+"/"+x.name, func(t *testing.T) {
 				begun, resume := make(chan struct{}, 8), make(chan struct{})
-				s, err := fakestore.ListenLate("127.0.0.1:0", func(r *bufio.Reader) {
+				s, err := fakestore.ListenWithHook("127.0.0.1:0", func(r *bufio.Reader) {
 					r.Peek(1)
 					begun <- struct{}{}
 					<-resume
-				}, func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+				}, func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -88,7 +88,7 @@
 					t.Errorf("ended as %+v, want %v and Unconfirmed false", e, want)
 				}
 				ttl := ""
-				for _, c := range s.Calls("GET") {
+				for _, c := range s.Commands("GET") {
 					if c.ID == second.Txn {
 						ttl = c.Fields["ttl"]
 					}
@@ -103,7 +103,7 @@
 
 // A core that is slow to accept an event must not delay the write of a request that is already encoded.
 func TestWriteDoesNotWaitForTheCore(t *testing.T) {
-	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 	b.pool.Send(next)
 	b.clock.Advance(10)
 	close(dial)
-	b.waitUntil("the request behind it arrives", func() bool { return len(s.Calls("GET")) == 1 })
+	b.waitUntil("the request behind it arrives", func() bool { return len(s.Commands("GET")) == 1 })
 	close(taken)
 	if e := b.awaitResult(late.AttemptKey); e.Outcome != control.NotSent {
 		t.Errorf("%+v", e)
@@ -156,7 +156,7 @@
 		{"less than the minimum left", "lane=", 9, 8.5, ""},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+			s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -185,8 +185,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.waitUntil("the request arrives", func() bool { return len(s.Calls("GET")) == 1 })
-			if got := s.Calls("GET")[0].Fields["ttl"]; got != x.ttl {
+			b.waitUntil("the request arrives", func() bool { return len(s.Commands("GET")) == 1 })
+			if got := s.Commands("GET")[0].Fields["ttl"]; got != x.ttl {
 				t.Errorf("ttl at the endpoint is %q ms, want %q", got, x.ttl)
 			}
 		})
@@ -232,7 +232,7 @@
 		initial, wait float64
 		ttl           string
 	}{{500, 300, "200"}, {1050, 500, ""}, {500, 500, ""}} {
-		s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+		s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -277,7 +277,7 @@
 			t.Errorf("%v of %v ms waited: ended as %+v, want %v and Unconfirmed false", x.wait, x.initial, e, want)
 		}
 		ttl := ""
-		for _, c := range s.Calls("GET") {
+		for _, c := range s.Commands("GET") {
 			if c.ID == second.Txn {
 				ttl = c.Fields["ttl"]
 			}
--- a/upstream/resp/local_failure_test.go
+++ b/upstream/resp/local_failure_test.go
@@ -17,12 +17,12 @@
 	"turnfork.dev/turnfork/internal/faultnet"
 )
 
-func acknowledge(fakestore.Call) (string, string, []byte, bool) {
+func acknowledge(fakestore.Command) (string, string, []byte, bool) {
 	return "ACK", "tag=0a,minted=1,why=local", nil, true
 }
 
 // newFaultTestPool returns a test pool with one endpoint, whose dials and connections can be made to fail.
-func newFaultTestPool(t *testing.T, handle func(fakestore.Call) (string, string, []byte, bool)) (*testPool, *fakestore.Store, *faultnet.Dialer) {
+func newFaultTestPool(t *testing.T, handle func(fakestore.Command) (string, string, []byte, bool)) (*testPool, *fakestore.Endpoint, *faultnet.Dialer) {
 	s, err := fakestore.Listen("127.0.0.1:0", handle)
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 			if got := b.awaitHealthCheck(); got != want {
 				t.Errorf("health check ended as %v, want %v", got, want)
 			}
-			if n := len(s.Calls("GET")) + len(s.Calls("LOAD")); n != 0 {
+			if n := len(s.Commands("GET")) + len(s.Commands("LOAD")); n != 0 {
 				t.Errorf("%d commands reached the endpoint", n)
 			}
 			b.pool.Send(later)
@@ -96,7 +96,7 @@
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			hold := make(chan struct{})
-			b, s, dialer := newFaultTestPool(t, func(c fakestore.Call) (string, string, []byte, bool) {
+			b, s, dialer := newFaultTestPool(t, func(c fakestore.Command) (string, string, []byte, bool) {
 				<-hold
 				return acknowledge(c)
 			})
@@ -109,7 +109,7 @@
 			})
 			a := newRequest(1, 0, 1)
 			b.pool.Send(a)
-			b.waitUntil("the request arrives at the endpoint", func() bool { return len(s.Calls("GET")) == 1 })
+			b.waitUntil("the request arrives at the endpoint", func() bool { return len(s.Commands("GET")) == 1 })
 			faulty.Load().FailRead(faultnet.Error("read", errno))
 			if e := b.awaitResult(a.AttemptKey); e.Outcome != want || !e.Unconfirmed {
 				t.Errorf("ended as %+v, want %v and Unconfirmed true", e, want)
@@ -137,7 +137,7 @@
 			if e := b.awaitResult(a.AttemptKey); e.Outcome != want || e.Unconfirmed {
 				t.Errorf("ended as %+v, want %v and Unconfirmed false", e, want)
 			}
-			if n := len(s.Calls("GET")); n != 0 {
+			if n := len(s.Commands("GET")); n != 0 {
 				t.Errorf("%d requests reached the endpoint", n)
 			}
 		})
@@ -206,14 +206,14 @@
 // against the endpoint.
 func TestOwnLimitIsNotEndpointFailure(t *testing.T) {
 	hold := make(chan struct{})
-	b, s, _ := newFaultTestPool(t, func(c fakestore.Call) (string, string, []byte, bool) {
+	b, s, _ := newFaultTestPool(t, func(c fakestore.Command) (string, string, []byte, bool) {
 		<-hold
 		return acknowledge(c)
 	})
 	defer close(hold)
 	b.pool.opt.MaxConns, b.pool.opt.Streams = 1, 1
 	b.pool.Send(newRequest(1, 0, 1))
-	b.waitUntil("the request arrives at the endpoint", func() bool { return len(s.Calls("GET")) == 1 })
+	b.waitUntil("the request arrives at the endpoint", func() bool { return len(s.Commands("GET")) == 1 })
 	second := newRequest(2, 0, 1)
 	b.pool.Send(second)
 	if e := b.awaitResult(second.AttemptKey); e.Outcome != control.NotSent || e.Unconfirmed {
@@ -278,7 +278,7 @@
 					t.Fatalf("request %d: %+v", tag, got)
 				}
 			}
-			if n := len(s.Calls("GET")); n != 2 {
+			if n := len(s.Commands("GET")); n != 2 {
 				t.Errorf("%d requests reached the endpoint, want 2", n)
 			}
 		})
--- a/upstream/resp/resp_test.go
+++ b/upstream/resp/resp_test.go
@@ -108,7 +108,7 @@
 }
 
 func TestRequestAndResponseFields(t *testing.T) {
-	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Command) (string, string, []byte, bool) {
 		return "NOENT", "why=rode,lag=12.5,rep=inflight:7;util:0.61;x9:1", nil, true
 	})
 	if err != nil {
@@ -124,7 +124,7 @@
 	if result.Outcome != control.Miss || result.Note != control.Joined || result.QueueDelay != 12.5 || result.Load == nil || result.Load.InFlight != 7 || result.Load.LinkUtilization != -1 {
 		t.Errorf("%+v %+v", result, result.Load)
 	}
-	f := s.Calls("GET")[0].Fields
+	f := s.Commands("GET")[0].Fields
 	for k, want := range map[string]string{
 		"lane": "firmware", "name": "7f3a9c21e0b4d655", "piece": "0", "ttl": "1500", "via": "s-2c9011f2", "tier": "2",
 		"fresh": "1", "opts": "j", "known": "0a", // a maximum age under 1 ms must not be sent as 0, which selects the limit of the class
@@ -143,9 +143,9 @@
 	}
 	unused := l.Addr().String()
 	l.Close()
-	var s *fakestore.Store
-	s, err = fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
-		s.Cut()
+	var s *fakestore.Endpoint
+	s, err = fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) {
+		s.ResetConnections()
 		return "", "", nil, false
 	})
 	if err != nil {
@@ -166,7 +166,7 @@
 // written, and a late response to it is not matched to a later attempt with the same ID.
 func TestCanceledAttemptEndsAfterDrop(t *testing.T) {
 	responses := make(chan string, 4)
-	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Command) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,minted=1,why=local", []byte(<-responses), true
 	})
 	if err != nil {
@@ -176,18 +176,18 @@
 	b := newTestPool(t, s.Addr())
 	first, second := newRequest(1, 0, 1), newRequest(1, 1, 1)
 	b.pool.Send(first)
-	for len(s.Calls("GET")) == 0 {
+	for len(s.Commands("GET")) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	b.pool.Cancel(first.AttemptKey, control.TimedOut)
 	if e := b.awaitResult(first.AttemptKey); e.Outcome != control.TimedOut {
 		t.Errorf("canceled: %+v", e)
 	}
-	for len(s.Calls("DROP")) == 0 { // it is written, so it must arrive
+	for len(s.Commands("DROP")) == 0 { // it is written, so it must arrive
 		time.Sleep(time.Millisecond)
 	}
 	b.pool.Send(second)
-	for len(s.Calls("GET")) < 2 {
+	for len(s.Commands("GET")) < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	responses <- "one"
@@ -215,7 +215,7 @@
 		var mu sync.Mutex
 		responses := make(chan string, 64)
 		answered := map[string]bool{}
-		s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+		s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Command) (string, string, []byte, bool) {
 			status := <-responses
 			mu.Lock()
 			defer mu.Unlock()
@@ -240,7 +240,7 @@
 					b.pool.Cancel(sent[int(step/6)%len(sent)], control.Canceled)
 				}
 			case 4:
-				s.Cut()
+				s.ResetConnections()
 			case 5:
 				b.setEndpoints(s.Addr()) // an unchanged list has no effect
 			}
@@ -261,7 +261,7 @@
 		}
 		close(responses)
 		s.Close()
-		for _, c := range s.Calls("GET") {
+		for _, c := range s.Commands("GET") {
 			reached[c.ID] = true
 		}
 		for k, e := range results {
@@ -498,7 +498,7 @@
 // The dedicated connection of a canceled attempt that must not run twice stays open until the endpoint has confirmed the
 // DROP.
 func TestDedicatedConnectionStaysForConfirmation(t *testing.T) {
-	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) { return "", "", nil, false })
+	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) { return "", "", nil, false })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -507,7 +507,7 @@
 	a := newRequest(1, 0, 1)
 	a.NonIdempotent = true
 	b.pool.Send(a)
-	b.waitUntil("the request arrives at the endpoint", func() bool { return len(s.Calls("GET")) == 1 })
+	b.waitUntil("the request arrives at the endpoint", func() bool { return len(s.Commands("GET")) == 1 })
 	b.pool.Cancel(a.AttemptKey, control.TimedOut)
 	if e := b.awaitResult(a.AttemptKey); !e.Unconfirmed {
 		t.Errorf("%+v", e)
@@ -557,7 +557,7 @@
 	var blocked sync.WaitGroup
 	blocked.Add(1)
 	var calls atomic.Int64
-	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
+	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) {
 		if calls.Add(1) == 1 {
 			blocked.Wait()
 			return "", "", nil, false
@@ -578,7 +578,7 @@
 	}
 	lost := newRequest(1, 0, 1)
 	b.pool.Send(lost)
-	for len(s.Calls("GET")) == 0 {
+	for len(s.Commands("GET")) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	b.clock.Advance(600)
@@ -675,7 +675,7 @@
 
 // An attempt whose send deadline passes during the dial is not sent, so it has certainly not run.
 func TestSendDeadlinePassesDuringDial(t *testing.T) {
-	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -698,7 +698,7 @@
 			}
 		}
 	}
-	if calls := s.Calls("GET"); len(calls) != 2 || calls[0].Fields["dedupe"] != "5c0f" {
+	if calls := s.Commands("GET"); len(calls) != 2 || calls[0].Fields["dedupe"] != "5c0f" {
 		t.Errorf("%d requests at the endpoint: %+v", len(calls), calls)
 	}
 }
--- a/upstream/resp/unsent_test.go
+++ b/upstream/resp/unsent_test.go
@@ -49,11 +49,11 @@
 		for _, ev := range events {
 			t.Run(delay+"/"+ev.name, func(t *testing.T) {
 				begun, resume := make(chan struct{}), make(chan struct{})
-				s, err := fakestore.ListenLate("127.0.0.1:0", func(r *bufio.Reader) {
+				s, err := fakestore.ListenWithHook("127.0.0.1:0", func(r *bufio.Reader) {
 					r.Peek(1)
 					close(begun)
 					<-resume
-				}, func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+				}, func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -88,7 +88,7 @@
 				if want := map[bool]control.Outcome{true: control.OK, false: control.NotSent}[ev.sent]; e.Outcome != want || e.Unconfirmed {
 					t.Errorf("ended as %+v, want %v and Unconfirmed false", e, want)
 				}
-				for _, c := range s.Calls("GET") {
+				for _, c := range s.Commands("GET") {
 					switch {
 					case c.ID != second.Txn:
 					case !ev.sent:
@@ -107,11 +107,11 @@
 func TestClientCancelsDuringWrite(t *testing.T) {
 	for _, completes := range []bool{true, false} {
 		begun, resume := make(chan struct{}), make(chan struct{})
-		s, err := fakestore.ListenLate("127.0.0.1:0", func(r *bufio.Reader) {
+		s, err := fakestore.ListenWithHook("127.0.0.1:0", func(r *bufio.Reader) {
 			r.Peek(1)
 			close(begun)
 			<-resume
-		}, func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+		}, func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -134,7 +134,7 @@
 		if e := b.awaitResult(request.AttemptKey); completes != (e.Outcome == control.OK) || e.Unconfirmed {
 			t.Errorf("completes %t: ended as %+v", completes, e)
 		}
-		if got := len(s.Calls("GET")) == 1; got != completes {
+		if got := len(s.Commands("GET")) == 1; got != completes {
 			t.Errorf("completes %t: arrived completely: %t", completes, got)
 		}
 	}
@@ -163,8 +163,8 @@
 // A connection that its endpoint may be closing takes no new attempts, even before the next sweep.
 func TestIdleConnectionTakesNoAttempts(t *testing.T) {
 	conns := make(chan struct{}, 8)
-	s, err := fakestore.ListenLate("127.0.0.1:0", func(*bufio.Reader) { conns <- struct{}{} },
-		func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+	s, err := fakestore.ListenWithHook("127.0.0.1:0", func(*bufio.Reader) { conns <- struct{}{} },
+		func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,9 +185,9 @@
 }
 
 // newBlockingEndpoint starts an endpoint that responds to request 1 once hold is closed, and to all others immediately.
-func newBlockingEndpoint(t *testing.T) (s *fakestore.Store, hold chan struct{}) {
+func newBlockingEndpoint(t *testing.T) (s *fakestore.Endpoint, hold chan struct{}) {
 	hold = make(chan struct{})
-	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Command) (string, string, []byte, bool) {
 		if c.ID == newRequest(1, 0, 1).Txn {
 			<-hold
 		}
@@ -210,7 +210,7 @@
 		b.pool.opt.NoProbes, b.pool.opt.NoDrops, b.pool.opt.MaxConns = x.noProbes, x.noDrops, 1
 		k := newRequest(1, 0, 1).AttemptKey
 		b.pool.Send(newRequest(1, 0, 1))
-		b.waitUntil("the attempt arrives", func() bool { return len(s.Calls("GET")) == 1 })
+		b.waitUntil("the attempt arrives", func() bool { return len(s.Commands("GET")) == 1 })
 		b.pool.Cancel(k, control.TimedOut)
 		if e := b.awaitResult(k); e.Outcome != control.TimedOut || !e.Unconfirmed {
 			t.Errorf("%+v: %+v", x, e)
@@ -224,7 +224,7 @@
 		if e := b.awaitResult(newRequest(2, 0, 1).AttemptKey); e.Outcome != control.OK {
 			t.Errorf("%+v: %+v", x, e)
 		}
-		if p, d := len(s.Calls("PING")), len(s.Calls("DROP")); p != x.pings || d != x.drops {
+		if p, d := len(s.Commands("PING")), len(s.Commands("DROP")); p != x.pings || d != x.drops {
 			t.Errorf("%+v: %d PINGs and %d DROPs", x, p, d)
 		}
 		if got := b.pool.ConfirmCancel(core.AttemptKey{ID: 9}, 1); got == x.noProbes {
@@ -237,7 +237,7 @@
 
 // All calls of ConfirmCancel made before the PING is sent share it, and each of them gets its result.
 func TestConfirmCancelSharesPing(t *testing.T) {
-	answers := func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true }
+	answers := func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true }
 	for name, silent := range map[string]bool{"it responds": false, "it refuses connections": true, "it drains": true, "it is not listed": true} {
 		t.Run(name, func(t *testing.T) {
 			s, err := fakestore.Listen("127.0.0.1:0", answers)
@@ -281,7 +281,7 @@
 					t.Errorf("%v: silent %t, want %t", k, got, silent)
 				}
 			}
-			if n := len(s.Calls("PING")); n > 1 || n == 0 && !silent {
+			if n := len(s.Commands("PING")); n > 1 || n == 0 && !silent {
 				t.Errorf("%d PINGs", n)
 			}
 		})
@@ -326,7 +326,7 @@
 // Close waits until the writer releases the file descriptor, and the writer may wait for the pool's lock. The lock must not be
 // held during Close, or both deadlock.
 func TestCloseDoesNotHoldPoolLock(t *testing.T) {
-	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -374,8 +374,8 @@
 func TestCancelDuringDial(t *testing.T) {
 	for _, dedicated := range []bool{false, true} {
 		conns := make(chan struct{}, 8)
-		s, err := fakestore.ListenLate("127.0.0.1:0", func(*bufio.Reader) { conns <- struct{}{} },
-			func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+		s, err := fakestore.ListenWithHook("127.0.0.1:0", func(*bufio.Reader) { conns <- struct{}{} },
+			func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -398,7 +398,7 @@
 		if e := b.awaitResult(next.AttemptKey); e.Outcome != control.OK {
 			t.Errorf("dedicated %t: %+v", dedicated, e)
 		}
-		for _, c := range append(s.Calls("GET"), s.Calls("DROP")...) {
+		for _, c := range append(s.Commands("GET"), s.Commands("DROP")...) {
 			if c.ID == first.Txn {
 				t.Errorf("dedicated %t: %s of the canceled request was sent", dedicated, c.Verb)
 			}
@@ -415,7 +415,7 @@
 	b.pool.opt.IdleClose = 1000
 	b.setEndpoints(s.Addr())
 	b.pool.Send(newRequest(1, 0, 1))
-	b.waitUntil("the attempt arrives", func() bool { return len(s.Calls("GET")) == 1 })
+	b.waitUntil("the attempt arrives", func() bool { return len(s.Commands("GET")) == 1 })
 	b.pool.mu.Lock()
 	c := b.pool.peers[1].conns[0]
 	b.pool.mu.Unlock()
