--- a/capacity/gateway_test.go
+++ b/capacity/gateway_test.go
@@ -56,7 +56,7 @@
 	return control.Settings{
 		Gateways: gateways, GatewaysByZone: byZone, HubOfZone: hubs, Kinds: 3, ParentKind: parentKind, OriginKind: originKind,
 		BatchInterval: 2 * time.Millisecond, ClientKBps: clientKBps, WeightsKnown: true, MaxAttempts: 8, CanCancel: true, CanCheckHealth: true,
-		CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, AnswersDetailed: true, PurgeCompletion: purgeCompletion,
+		CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, ResultsDetailed: true, PurgeCompletion: purgeCompletion,
 		SlowStartShare: 0.25, SlowStartDuration: slowStartDuration, CollapseMultiple: 2, CollapseWindow: time.Second,
 		ParentSlowStartShare: 0.25, ParentSlowStartDuration: slowStartDuration, ParentCollapseMultiple: 2,
 		Classes: []control.Class{{LatencyObjective: 600 * time.Millisecond, Deadline: 5 * time.Second, PriorityWeight: 1}},
--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -60,7 +60,7 @@
 		Settings: control.Settings{
 			Gateway: 1, Gateways: 3, Zone: 1, GatewaysByZone: []int{0, 3}, HubOfZone: []int{0, 0}, Kinds: 3, ParentKind: 1, OriginKind: 2,
 			BatchInterval: 2 * time.Millisecond, ClientKBps: 3400, WeightsKnown: true, MaxAttempts: 6, CanCancel: true,
-			CanRetryAfter: true, MaxRetryAfter: 700 * time.Millisecond, CanBypassCaches: true, AnswersDetailed: true,
+			CanRetryAfter: true, MaxRetryAfter: 700 * time.Millisecond, CanBypassCaches: true, ResultsDetailed: true,
 			DrainGrace: 250 * time.Millisecond, SlowStartShare: 0.2, SlowStartDuration: 16 * time.Second, CollapseMultiple: 3,
 			CollapseWindow: 2 * time.Second, ParentSlowStartShare: 0.2, ParentSlowStartDuration: 16 * time.Second,
 			ParentCollapseMultiple: 2, PurgeGrace: time.Second, PurgeCompletion: 7 * time.Second,
@@ -104,7 +104,7 @@
 		Settings: control.Settings{
 			Gateways: 1, Zone: 1, GatewaysByZone: []int{0, 1}, HubOfZone: []int{0, 0}, Kinds: 3, ParentKind: -1, OriginKind: 2,
 			BatchInterval: 2 * time.Millisecond, WeightsKnown: true, MaxAttempts: 8, CanCancel: true, CanCheckHealth: true,
-			CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, AnswersDetailed: true,
+			CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, ResultsDetailed: true,
 			DrainGrace: 250 * time.Millisecond, CollapseMultiple: 4, CollapseWindow: time.Second, ParentCollapseMultiple: 2,
 			PurgeGrace: time.Second, PurgeCompletion: 6 * time.Second,
 			Classes: []control.Class{{LatencyObjective: 250 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
--- a/config/operator_node.go
+++ b/config/operator_node.go
@@ -144,7 +144,7 @@
 		CanRetryAfter:           true,
 		MaxRetryAfter:           clock.Duration(positiveOr(m.MaxRetryAfterMs, defaultMaxRetryAfterMs)),
 		CanBypassCaches:         true,
-		AnswersDetailed:         true,
+		ResultsDetailed:         true,
 		DrainGrace:              operatorDrainGrace,
 		SlowStartShare:          m.SlowStartShare,
 		SlowStartDuration:       slowStart,
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -310,18 +310,18 @@
 // observeError attributes an error to the target or to the source behind it.
 func (c *Controller) observeError(a *attempt, ev AttemptResult) {
 	a.target.lastResponseAt = c.now
-	sourceFailed := ev.Note == OriginFailed || ev.Note == SourceRefused
+	sourceFailed := ev.Note == OriginFailed || ev.Note == SourceOverloaded
 	if sourceFailed {
 		c.observeOrigin(true)
 	}
 	// Without detailed notes, overload is attributed to the source: caches are sent no more than they have
 	// capacity for.
-	unexplained := !c.settings.AnswersDetailed && ev.Outcome == Overloaded
+	unexplained := !c.settings.ResultsDetailed && ev.Outcome == Overloaded
 	failed := a.target
 	if unexplained || sourceFailed || ev.Note == SourceLost {
 		failed = a.source
 	}
-	if ev.Note != NoPlace {
+	if ev.Note != NoSpace {
 		failed.recordFailure(c.now)
 	}
 }
--- a/control/attempts_test.go
+++ b/control/attempts_test.go
@@ -11,7 +11,7 @@
 	c, err := New(Settings{
 		Gateways: 1, Zone: 1, GatewaysByZone: []int{0, 1}, HubOfZone: []int{0, 0}, Kinds: 3, ParentKind: 1, OriginKind: 2,
 		BatchInterval: time.Millisecond, ClientKBps: 1000, WeightsKnown: true, MaxAttempts: 8, CanCancel: true,
-		AnswersDetailed: true, Classes: []Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
+		ResultsDetailed: true, Classes: []Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/control/controller.go
+++ b/control/controller.go
@@ -187,8 +187,11 @@
 
 func timerToken(id RequestID, kind uint64) uint64 { return uint64(id)<<timerKindBits | kind }
 
-// TimeUp returns the event that the deadline of a request is reached, which ends the request at once.
-func TimeUp(id RequestID) TimerFired { return TimerFired{Token: timerToken(id, timerDeadline)} }
+// DeadlineReached returns the event that the deadline of a request is reached, which ends the request at
+// once.
+func DeadlineReached(id RequestID) TimerFired {
+	return TimerFired{Token: timerToken(id, timerDeadline)}
+}
 
 // timerFired handles an expired timer.
 func (c *Controller) timerFired(token uint64) {
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -16,7 +16,7 @@
 		rng := rand.New(rand.NewPCG(seed, 7))
 		set := testSettings()
 		set.CanHedge, set.CanBypassCaches, set.CanCheckHealth = seed%2 == 0, seed%3 != 0, seed%5 == 0
-		set.AnswersDetailed, set.CanCancel = seed%4 != 1, seed%7 != 0
+		set.ResultsDetailed, set.CanCancel = seed%4 != 1, seed%7 != 0
 		list := testEndpoints()
 		h := newHarness(t, set, list)
 		next := RequestID(1)
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -142,16 +142,16 @@
 // state counts again.
 func (c *Controller) setExcluded(ev Excluded) {
 	_, wasExcluded := c.excluded[ev.Endpoint]
-	if ev.On {
+	if ev.Excluded {
 		c.excluded[ev.Endpoint] = struct{}{}
 	} else {
 		delete(c.excluded, ev.Endpoint)
 	}
 	e := c.endpoint(ev.Endpoint)
-	if e == nil || wasExcluded == ev.On {
+	if e == nil || wasExcluded == ev.Excluded {
 		return
 	}
-	if ev.On {
+	if ev.Excluded {
 		e.excludedAt = c.now
 	} else {
 		e.resetHealth()
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -32,8 +32,8 @@
 		if uses(2*time.Second) == 0 {
 			t.Fatalf("endpoint %d is not used at all", excludedID)
 		}
-		h.handle(Excluded{Endpoint: excludedID, On: true})
-		h.handle(Excluded{Endpoint: excludedID, On: true})
+		h.handle(Excluded{Endpoint: excludedID, Excluded: true})
+		h.handle(Excluded{Endpoint: excludedID, Excluded: true})
 		h.notReady[excludedID] = h.now - time.Hour // makes the harness check the drain rule
 		m := h.endpoints[excludedID]
 		for _, state := range []State{Ready, Draining, Gone, Ready} {
--- a/control/events.go
+++ b/control/events.go
@@ -56,17 +56,17 @@
 
 // The notes.
 const (
-	NoNote         Note = iota
-	Hit                 // served from the cache
-	Filled              // filled from the source, which had it cached
-	FilledByOrigin      // filled from the origin, directly or through a parent
-	Joined              // joined a fill in flight for another request
-	StaleCopy           // served from a stale copy
-	SourceRefused       // the source was overloaded
-	SourceLost          // the source did not respond
-	SourceLacks         // the source lacks the object
-	NoPlace             // the cache had no space for the object
-	OriginFailed        // the origin failed
+	NoNote           Note = iota
+	Hit                   // served from the cache
+	Filled                // filled from the source, which had it cached
+	FilledByOrigin        // filled from the origin, directly or through a parent
+	Joined                // joined a fill in flight for another request
+	StaleCopy             // served from a stale copy
+	SourceOverloaded      // the source was overloaded
+	SourceLost            // the source did not respond
+	SourceLacks           // the source lacks the object
+	NoSpace               // the cache had no space for the object
+	OriginFailed          // the origin failed
 )
 
 // Names for logs and reports, in the order of the constants.
@@ -172,11 +172,11 @@
 	Endpoints []Endpoint
 }
 
-// Excluded is a command of the operators: with On, nothing is sent to the endpoint whatever its listed
-// state; without On, it may serve again.
+// Excluded is a command of the operators: while the endpoint is excluded, nothing is sent to it whatever its
+// listed state; once it is no longer excluded, it may serve again.
 type Excluded struct {
 	Endpoint EndpointID
-	On       bool
+	Excluded bool
 }
 
 // ProcessCount is the current number of processes of this gateway. They share the load that one gateway may
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -12,7 +12,7 @@
 func Example() {
 	c, err := control.New(control.Settings{
 		Gateways: 1, Zone: 1, GatewaysByZone: []int{0, 1}, HubOfZone: []int{0, 0}, Kinds: 3, ParentKind: 1, OriginKind: 2,
-		BatchInterval: time.Millisecond, ClientKBps: 1000, WeightsKnown: true, MaxAttempts: 4, CanJoinFills: true, AnswersDetailed: true,
+		BatchInterval: time.Millisecond, ClientKBps: 1000, WeightsKnown: true, MaxAttempts: 4, CanJoinFills: true, ResultsDetailed: true,
 		Classes: []control.Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
 	}, 1)
 	if err != nil {
--- a/control/fill_window.go
+++ b/control/fill_window.go
@@ -100,7 +100,7 @@
 	c.removeFill(a)
 	c.window.release(filled, c.linkUtilization())
 	late := c.now > a.sentAt+r.latencyObjective() && ev.Outcome != LocalFailure
-	failed := ev.Note == SourceRefused || ev.Note == OriginFailed
+	failed := ev.Note == SourceOverloaded || ev.Note == OriginFailed
 	if congested && (late || failed) {
 		c.window.shrink()
 	}
--- a/control/freshness.go
+++ b/control/freshness.go
@@ -83,9 +83,9 @@
 	return age
 }
 
-// OldestCopy returns the maximum age of a copy that may be served now for a request that is not finished; 0:
+// MaxCopyAge returns the maximum age of a copy that may be served now for a request that is not finished; 0:
 // the limit of the class applies.
-func (c *Controller) OldestCopy(id RequestID) time.Duration {
+func (c *Controller) MaxCopyAge(id RequestID) time.Duration {
 	if r := c.requests[id]; r != nil {
 		return c.maxCopyAge(r)
 	}
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -89,7 +89,7 @@
 // Without detailed notes, fills that are rejected in a row eject their parent, and the next fill goes elsewhere.
 func TestOverloadedParentIsEjected(t *testing.T) {
 	set := testSettings()
-	set.AnswersDetailed = false
+	set.ResultsDetailed = false
 	h := newHarness(t, set, testEndpoints())
 	for id := range RequestID(maxConsecutiveErrors) {
 		h.request(Request{ID: id + 1, Object: ObjectID(id), SizeKB: 10, Remaining: 2 * time.Second})
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -213,7 +213,7 @@
 
 // A request whose client disconnects or whose time runs out is not retried after its backoff.
 func TestFinishedRequestIsNotRetried(t *testing.T) {
-	for name, event := range map[string]Event{"client gone": ClientGone{ID: 1}, "time up": TimeUp(1)} {
+	for name, event := range map[string]Event{"client gone": ClientGone{ID: 1}, "time up": DeadlineReached(1)} {
 		b := newRetryHarness(t, func(*Settings) {})
 		b.request(Request{ID: 1, Object: 5, SizeKB: 10, Remaining: time.Second})
 		b.endAttempt(1, 0, LocalFailure, NoNote)
--- a/control/rig_test.go
+++ b/control/rig_test.go
@@ -19,7 +19,7 @@
 	return Settings{
 		Gateways: 4, Zone: testZone, GatewaysByZone: []int{0, 0, 2, 2}, HubOfZone: []int{0, 1, 0, 1}, Kinds: 3,
 		ParentKind: 1, OriginKind: 2, BatchInterval: 2 * ms, ClientKBps: 1000, WeightsKnown: true, MaxAttempts: 5,
-		CanCancel: true, CanHedge: true, CanBypassCaches: true, CanJoinFills: true, AnswersDetailed: true, DrainGrace: testGrace,
+		CanCancel: true, CanHedge: true, CanBypassCaches: true, CanJoinFills: true, ResultsDetailed: true, DrainGrace: testGrace,
 		SlowStartShare: 0.2, SlowStartDuration: 10 * time.Second, CollapseMultiple: 2, CollapseWindow: 2 * time.Second,
 		ParentSlowStartShare: 0.1, ParentSlowStartDuration: 20 * time.Second, ParentCollapseMultiple: 2,
 		PurgeGrace: 300 * ms, PurgeCompletion: 6 * time.Second,
--- a/control/selection_actions_test.go
+++ b/control/selection_actions_test.go
@@ -110,7 +110,7 @@
 	case n < 195:
 		f.replaceTenth()
 	case n < 197:
-		f.handle(Excluded{Endpoint: f.list[f.random.IntN(len(f.list))].ID, On: f.random.IntN(2) == 0})
+		f.handle(Excluded{Endpoint: f.list[f.random.IntN(len(f.list))].ID, Excluded: f.random.IntN(2) == 0})
 	case n < 199:
 		f.handle(Purged{Object: ObjectID(f.random.IntN(20) + 1), Ago: 10 * ms})
 	default:
--- a/control/selection_order_test.go
+++ b/control/selection_order_test.go
@@ -121,7 +121,7 @@
 	case 0, 1, 2:
 		f.changeEntry()
 	case 3:
-		f.handle(Excluded{Endpoint: e.ID, On: f.random.IntN(2) == 0})
+		f.handle(Excluded{Endpoint: e.ID, Excluded: f.random.IntN(2) == 0})
 	case 4:
 		e.eject(f.now)
 	case 5:
--- a/control/settings.go
+++ b/control/settings.go
@@ -85,7 +85,7 @@
 	CanBypassCaches    bool // requests may be sent directly to a parent or the origin
 	CanJoinFills       bool // a request may join a fill in flight
 	PeerFillScope      PeerScope
-	AnswersDetailed    bool // results carry all notes, not only hits
+	ResultsDetailed    bool // results carry all notes, not only hits
 
 	// Drains, slow start and purges.
 	DrainGrace              time.Duration // how long a draining endpoint still responds
--- a/control/trace_codec_test.go
+++ b/control/trace_codec_test.go
@@ -101,9 +101,9 @@
 
 // Kinds of query: methods that a host calls between events, whose result is recorded like an action.
 const (
-	kindQueryOldestCopy = iota + 100
+	kindQueryMaxCopyAge = iota + 100
 	kindQueryListed
-	kindQueryTimeUp
+	kindQueryDeadlineReached
 )
 
 // Kinds of action, and of the results of queries.
@@ -123,7 +123,7 @@
 	kindEndpointList: "endpoint list", kindRequest: "request", kindAttemptResult: "attempt result",
 	kindHealthCheckResult: "health check result", kindClientGone: "client gone", kindResponseStarted: "response started",
 	kindTimerFired: "timer fired", kindPurge: "purge", kindExclude: "exclude", kindProcessCount: "process count",
-	kindQueryOldestCopy: "query: oldest copy", kindQueryListed: "query: listed", kindQueryTimeUp: "query: time up",
+	kindQueryMaxCopyAge: "query: oldest copy", kindQueryListed: "query: listed", kindQueryDeadlineReached: "query: time up",
 }
 
 // query is a call of one of the controller's methods that return a value and change nothing.
@@ -166,11 +166,11 @@
 	case kindExclude:
 		return as(c, in, func(e *control.Excluded) {
 			number(c, &e.Endpoint)
-			c.flag(&e.On)
+			c.flag(&e.Excluded)
 		})
 	case kindProcessCount:
 		return as(c, in, func(e *control.ProcessCount) { number(c, &e.Processes) })
-	case kindQueryOldestCopy, kindQueryListed, kindQueryTimeUp:
+	case kindQueryMaxCopyAge, kindQueryListed, kindQueryDeadlineReached:
 		return as(c, in, func(q *query) {
 			q.kind = kind
 			number(c, &q.subject)
@@ -385,7 +385,7 @@
 	c.flag(&s.CanBypassCaches)
 	c.flag(&s.CanJoinFills)
 	number(c, &s.PeerFillScope)
-	c.flag(&s.AnswersDetailed)
+	c.flag(&s.ResultsDetailed)
 	number(c, &s.DrainGrace)
 	c.float(&s.SlowStartShare)
 	number(c, &s.SlowStartDuration)
--- a/control/trace_scenarios_test.go
+++ b/control/trace_scenarios_test.go
@@ -72,7 +72,7 @@
 		Gateways: 4, Zone: ownZone, GatewaysByZone: []int{0, 0, 2, 2}, HubOfZone: []int{hubZone, otherHub, hubZone, otherHub},
 		Kinds: 3, ParentKind: parentKind, OriginKind: originKind, BatchInterval: milliseconds(2), ClientKBps: 1000, WeightsKnown: true,
 		MaxAttempts: 5, CanCancel: true, CanHedge: true, CanRetryAfter: true, MaxRetryAfter: milliseconds(500), CanBypassCaches: true,
-		CanJoinFills: true, AnswersDetailed: true, PeerFillScope: control.PeerScopeZone, DrainGrace: milliseconds(500), SlowStartShare: 0.2,
+		CanJoinFills: true, ResultsDetailed: true, PeerFillScope: control.PeerScopeZone, DrainGrace: milliseconds(500), SlowStartShare: 0.2,
 		SlowStartDuration: milliseconds(10_000), CollapseMultiple: 2, CollapseWindow: milliseconds(2000), ParentSlowStartShare: 0.1,
 		ParentSlowStartDuration: milliseconds(20_000), ParentCollapseMultiple: 2, PurgeGrace: milliseconds(300), PurgeCompletion: milliseconds(6000),
 		Classes: scenarioClasses(),
@@ -100,7 +100,7 @@
 		define("everything", func(*control.Settings, *worldSettings) {}),
 		define("one-cell-without-parents", func(s *control.Settings, w *worldSettings) {
 			s.Gateways, s.Zone, s.GatewaysByZone, s.HubOfZone, s.ParentKind = 1, 0, nil, nil, noParents
-			s.CanCancel, s.CanHedge, s.AnswersDetailed, s.CanJoinFills, s.CanBypassCaches, s.CanRetryAfter = false, false, false, false, false, false
+			s.CanCancel, s.CanHedge, s.ResultsDetailed, s.CanJoinFills, s.CanBypassCaches, s.CanRetryAfter = false, false, false, false, false, false
 			w.parents, w.foreignCaches, w.cells, w.reportRate, w.streamed = 0, 0, 1, 0, 0
 			w.requestRate, w.outageRate, w.outageSeconds = 15, 0.1, 60
 		}),
--- a/control/trace_test.go
+++ b/control/trace_test.go
@@ -152,14 +152,14 @@
 	}
 	var a answer
 	switch q.kind {
-	case kindQueryOldestCopy:
-		a.value = int64(c.OldestCopy(control.RequestID(q.subject)))
+	case kindQueryMaxCopyAge:
+		a.value = int64(c.MaxCopyAge(control.RequestID(q.subject)))
 	case kindQueryListed:
 		if c.WasListed(control.EndpointID(q.subject)) {
 			a.value = 1
 		}
-	case kindQueryTimeUp:
-		a.value = int64(control.TimeUp(control.RequestID(q.subject)).Token)
+	case kindQueryDeadlineReached:
+		a.value = int64(control.DeadlineReached(control.RequestID(q.subject)).Token)
 	}
 	return []any{a}
 }
--- a/control/trace_world_test.go
+++ b/control/trace_world_test.go
@@ -321,7 +321,7 @@
 	to.inFlight++
 	w.after(a.Timeout, func() { w.end(attempt, control.AttemptResult{Outcome: control.TimedOut, Latency: a.Timeout}) })
 	if a.MaxAge > 0 && w.chance(0.5) {
-		w.after(w.between(0, 3), func() { w.handle(query{kindQueryOldestCopy, uint64(a.ID)}) })
+		w.after(w.between(0, 3), func() { w.handle(query{kindQueryMaxCopyAge, uint64(a.ID)}) })
 	}
 	result, answers := w.resultOf(a, attempt)
 	if !answers {
@@ -429,14 +429,14 @@
 // randomFault returns the result of a failed attempt.
 func (w *world) randomFault(a control.Attempt) control.AttemptResult {
 	kinds := []control.AttemptResult{
-		{Outcome: control.ServerError}, {Outcome: control.ServerError, Note: control.NoPlace}, {Outcome: control.Overloaded},
-		{Outcome: control.Overloaded, Note: control.NoPlace}, {Outcome: control.ConnectionLost}, {Outcome: control.NotSent},
+		{Outcome: control.ServerError}, {Outcome: control.ServerError, Note: control.NoSpace}, {Outcome: control.Overloaded},
+		{Outcome: control.Overloaded, Note: control.NoSpace}, {Outcome: control.ConnectionLost}, {Outcome: control.NotSent},
 		{Outcome: control.ConnectFailed}, {Outcome: control.TimedOut}, {Outcome: control.ConnectionLost, RequestClosed: true},
 	}
 	if a.Source != a.To {
 		kinds = append(kinds, []control.AttemptResult{
-			{Outcome: control.ServerError, Note: control.SourceLost}, {Outcome: control.Overloaded, Note: control.SourceRefused},
-			{Outcome: control.ServerError, Note: control.OriginFailed}, {Outcome: control.ServerError, Note: control.SourceRefused},
+			{Outcome: control.ServerError, Note: control.SourceLost}, {Outcome: control.Overloaded, Note: control.SourceOverloaded},
+			{Outcome: control.ServerError, Note: control.OriginFailed}, {Outcome: control.ServerError, Note: control.SourceOverloaded},
 			{Outcome: control.Miss, Note: control.SourceLacks},
 		}...)
 	}
@@ -470,7 +470,7 @@
 	default:
 		return w.fill(a, attempt, part, sending, result)
 	}
-	if !w.set.settings.AnswersDetailed && result.Note != control.Hit {
+	if !w.set.settings.ResultsDetailed && result.Note != control.Hit {
 		result.Note = control.NoNote
 	}
 	return result
@@ -500,7 +500,7 @@
 	congestion := max(1, w.linkUtilization())
 	result.Latency = result.FirstByte + w.seconds(sending.Seconds()*congestion)
 	w.keep(a, attempt, source, part)
-	if !w.set.settings.AnswersDetailed {
+	if !w.set.settings.ResultsDetailed {
 		result.Note = control.NoNote
 	}
 	if w.chance(0.2) {
@@ -637,7 +637,7 @@
 		return
 	}
 	w.excluded[id] = true
-	w.handle(control.Excluded{Endpoint: id, On: true})
+	w.handle(control.Excluded{Endpoint: id, Excluded: true})
 	w.after(w.between(200, 5000), func() {
 		delete(w.excluded, id)
 		w.handle(control.Excluded{Endpoint: id})
@@ -666,9 +666,9 @@
 	case 6:
 		w.handle(query{kindQueryListed, uint64([]control.EndpointID{firstCacheID, originID, unknownID}[w.random.IntN(3)])})
 	case 7:
-		w.handle(query{kindQueryTimeUp, uint64(id)})
+		w.handle(query{kindQueryDeadlineReached, uint64(id)})
 		if r != nil && !r.answered {
-			w.handle(control.TimeUp(id))
+			w.handle(control.DeadlineReached(id))
 		}
 	case 8:
 		w.handle(control.HealthCheckResult{Endpoint: unknownID, Outcome: control.TimedOut})
--- a/core/core.go
+++ b/core/core.go
@@ -226,7 +226,7 @@
 	c.shuttingDown = true
 	for _, r := range c.openRequests() {
 		if !r.answered {
-			c.notifyController(control.TimeUp(r.id))
+			c.notifyController(control.DeadlineReached(r.id))
 		}
 	}
 }
--- a/core/endpoints.go
+++ b/core/endpoints.go
@@ -56,7 +56,7 @@
 	var err error
 	if ev.AssumeListed || c.controller.WasListed(control.EndpointID(ev.Endpoint)) {
 		c.upstream.Exclude(ev.Endpoint, ev.On)
-		c.notifyController(control.Excluded{Endpoint: control.EndpointID(ev.Endpoint), On: ev.On})
+		c.notifyController(control.Excluded{Endpoint: control.EndpointID(ev.Endpoint), Excluded: ev.On})
 	} else {
 		err = ErrUnknown
 	}
--- a/core/freshness.go
+++ b/core/freshness.go
@@ -18,7 +18,7 @@
 	})
 	for _, r := range c.requests {
 		if !r.answered && r.openAttempts > 0 && ev.covers(r) {
-			c.limitCopyAge(r, c.maxCopyAge(r, clock.Ms(c.controller.OldestCopy(r.id))))
+			c.limitCopyAge(r, c.maxCopyAge(r, clock.Ms(c.controller.MaxCopyAge(r.id))))
 		}
 	}
 }
@@ -42,7 +42,7 @@
 func (c *Core) applyCopyAgeBound() {
 	for _, r := range c.requests {
 		if !r.answered && r.openAttempts > 0 && !r.isWrite {
-			c.limitCopyAge(r, c.maxCopyAge(r, clock.Ms(c.controller.OldestCopy(r.id))))
+			c.limitCopyAge(r, c.maxCopyAge(r, clock.Ms(c.controller.MaxCopyAge(r.id))))
 		}
 	}
 }
--- a/core/harness_test.go
+++ b/core/harness_test.go
@@ -128,7 +128,7 @@
 		Settings: control.Settings{
 			Gateways: 1, Zone: 1, GatewaysByZone: []int{0, 1}, HubOfZone: []int{0, 0}, Kinds: 3, ParentKind: 1, OriginKind: 2,
 			BatchInterval: 2 * time.Millisecond, ClientKBps: 1000, WeightsKnown: true, MaxAttempts: 8, CanCancel: true,
-			CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, AnswersDetailed: true,
+			CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, ResultsDetailed: true,
 			PurgeCompletion: 3 * time.Second,
 			Classes: []control.Class{
 				{LatencyObjective: 400 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 1},
--- a/core/rig_test.go
+++ b/core/rig_test.go
@@ -63,7 +63,7 @@
 		Settings: control.Settings{
 			Gateways: 1, Zone: 1, GatewaysByZone: []int{0, 1}, HubOfZone: []int{0, 0}, Kinds: 3, ParentKind: 1, OriginKind: 2,
 			BatchInterval: 2 * time.Millisecond, ClientKBps: 1000, WeightsKnown: true, MaxAttempts: 8, CanCancel: true,
-			CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, AnswersDetailed: true, ClientsMarkRetries: true,
+			CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, ResultsDetailed: true, ClientsMarkRetries: true,
 			Classes: []control.Class{
 				{LatencyObjective: 400 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 1},
 				{LatencyObjective: 700 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 3, Idempotency: control.IdempotentByKey, DedupWindow: dedupWindowMs * time.Millisecond, Write: true},
--- a/internal/simproto/deployments_test.go
+++ b/internal/simproto/deployments_test.go
@@ -22,7 +22,7 @@
 	gatewaysByZone, hubOfZone                                []int
 	linkKBps                                                 []float64
 	wantIdempotency                                          control.Idempotency
-	wantDetailedAnswers, wantWeightsKnown                    bool
+	wantDetailedResults, wantWeightsKnown                    bool
 }
 
 // json returns the settings in the form of the wire.
@@ -57,7 +57,7 @@
 			repeat: "single_shot", says: "all", weights: "nominal", dedupWindow: 5, freshFor: 12, bypassesCaches: true,
 			reportFields: []string{"inflight", "util", "x0", "x1"}, gatewaysByZone: []int{0, 2, 1}, hubOfZone: []int{0, 0, 0},
 			linkKBps:        []float64{0, 17871, 18528},
-			wantIdempotency: control.NonIdempotent, wantDetailedAnswers: true, wantWeightsKnown: true,
+			wantIdempotency: control.NonIdempotent, wantDetailedResults: true, wantWeightsKnown: true,
 		},
 		"idempotent by key, plain answers, unknown weights": {
 			maxAttempts: 6, drainGrace: 0.5, purgeGrace: 0.3, collapseWindow: 2, maxRetryAfter: 2, collapseMultiple: 3,
@@ -82,7 +82,7 @@
 			"max Retry-After": s.MaxRetryAfter == seconds(f.maxRetryAfter),
 			"idempotency":     c.Idempotency == f.wantIdempotency && c.DedupWindow == seconds(f.dedupWindow) && c.DedupScope == control.DedupScopeAll,
 			"marked retries":  s.ClientsMarkRetries == f.marksRetries,
-			"answer details":  s.AnswersDetailed == f.wantDetailedAnswers,
+			"answer details":  s.ResultsDetailed == f.wantDetailedResults,
 			"fill joining":    s.CanJoinFills == f.joinsFills,
 			"cache bypass":    s.CanBypassCaches == f.bypassesCaches,
 			"freshness":       c.FreshFor == seconds(f.freshFor),
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -88,7 +88,7 @@
 const (
 	discoveryPolled  = "ask"
 	weightsUnknown   = "silent"
-	answersDetailed  = "all"
+	resultsDetailed  = "all"
 	peersOfZone      = "location"
 	peersAny         = "any"
 	repeatIdempotent = "free"
@@ -138,7 +138,7 @@
 		CanBypassCaches:         f.Site.BypassCaches,
 		CanJoinFills:            f.Site.JoinFills,
 		PeerFillScope:           peerFillScope(f.Site.PeerFillScope),
-		AnswersDetailed:         f.Site.Says == answersDetailed,
+		ResultsDetailed:         f.Site.Says == resultsDetailed,
 		DrainGrace:              seconds(f.Guarantees.DrainGrace),
 		SlowStartShare:          f.Guarantees.SlowStartShare,
 		SlowStartDuration:       seconds(f.Guarantees.SlowStartDuration),
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -245,7 +245,7 @@
 		BatchInterval: time.Millisecond, LinkKBps: []float64{0, 17871}, ClientKBps: 3400, WeightsKnown: true, PollEndpoints: true,
 		MaxAttempts: 6, CanCancel: true, CanCheckHealth: true, CanHedge: true, CanRetryAfter: true, ClientsMarkRetries: true,
 		MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, CanJoinFills: true, PeerFillScope: control.PeerScopeZone,
-		AnswersDetailed: true, DrainGrace: 250 * time.Millisecond, SlowStartShare: 0.15, SlowStartDuration: 17 * time.Second,
+		ResultsDetailed: true, DrainGrace: 250 * time.Millisecond, SlowStartShare: 0.15, SlowStartDuration: 17 * time.Second,
 		CollapseMultiple: 4, CollapseWindow: 1500 * time.Millisecond, ParentSlowStartShare: 0.07, ParentSlowStartDuration: 18 * time.Second,
 		ParentCollapseMultiple: 2.5, PurgeGrace: 1250 * time.Millisecond, PurgeCompletion: 6 * time.Second,
 		Classes: []control.Class{
--- a/upstream/resp/local_failure_test.go
+++ b/upstream/resp/local_failure_test.go
@@ -245,7 +245,7 @@
 				Classes: []string{"tile", "ride-end"}, Clock: clk, Log: zerolog.Nop(), MaxOpen: 20,
 				Settings: control.Settings{
 					Gateways: 1, Kinds: 3, ParentKind: 1, OriginKind: 2, GatewaysByZone: []int{1}, HubOfZone: []int{0},
-					BatchInterval: 2 * time.Millisecond, MaxAttempts: 2, CanCancel: true, CanCheckHealth: true, AnswersDetailed: true, CanBypassCaches: true,
+					BatchInterval: 2 * time.Millisecond, MaxAttempts: 2, CanCancel: true, CanCheckHealth: true, ResultsDetailed: true, CanBypassCaches: true,
 					Classes: []control.Class{
 						{LatencyObjective: 5 * time.Second, Deadline: 30 * time.Second, PriorityWeight: 1},
 						{LatencyObjective: 5 * time.Second, Deadline: 30 * time.Second, PriorityWeight: 1, Idempotency: control.NonIdempotent, Write: true},
--- a/upstream/resp/parse.go
+++ b/upstream/resp/parse.go
@@ -150,8 +150,8 @@
 
 var notes = map[string]control.Note{
 	"local": control.Hit, "pulled": control.Filled, "pulled_far": control.FilledByOrigin, "rode": control.Joined,
-	"expired": control.StaleCopy, "turned_away": control.SourceRefused, "cut_off": control.SourceLost,
-	"not_there": control.SourceLacks, "no_place": control.NoPlace, "far_fault": control.OriginFailed,
+	"expired": control.StaleCopy, "turned_away": control.SourceOverloaded, "cut_off": control.SourceLost,
+	"not_there": control.SourceLacks, "no_place": control.NoSpace, "far_fault": control.OriginFailed,
 }
 
 var outcomes = map[string]control.Outcome{
