--- a/capacity/fleet_size_test.go
+++ b/capacity/fleet_size_test.go
@@ -210,7 +210,7 @@
 		}
 		g.serve(object, gap)
 		for _, s := range g.ports.sent {
-			asked[s.To] = true
+			asked[s.Endpoint] = true
 		}
 	}
 	return before, len(asked), g.ports.probes
--- a/capacity/gateway_test.go
+++ b/capacity/gateway_test.go
@@ -104,7 +104,7 @@
 	g.lastID++
 	g.ports.sent = g.ports.sent[:0]
 	g.core.Handle(core.Request{
-		Frontend: g.ports, RequestTag: g.lastID, Txn: fmt.Sprintf("%016x", g.lastID), Class: "part", Object: object, Name: "7f3a9c21e0b4d655",
+		Frontend: g.ports, RequestTag: g.lastID, Txn: fmt.Sprintf("%016x", g.lastID), Class: "part", Object: object, ObjectName: "7f3a9c21e0b4d655",
 		SizeKB: partKB, ReceivedAt: g.clock.Now(), Remaining: 5000,
 	})
 	for _, s := range g.ports.sent {
--- a/core/attempts.go
+++ b/core/attempts.go
@@ -53,12 +53,12 @@
 	r := a.request
 	return AttemptRequest{
 		AttemptKey:     a.key,
-		To:             a.endpoint,
+		Endpoint:       a.endpoint,
 		Source:         uint32(action.Source),
 		Fill:           action.Source != action.To,
 		Txn:            r.Txn,
 		Class:          r.Class,
-		Name:           r.Name,
+		ObjectName:     r.ObjectName,
 		Part:           r.Part,
 		CacheRank:      action.CacheRank,
 		JoinFill:       action.JoinFill,
--- a/core/cancellation.go
+++ b/core/cancellation.go
@@ -17,7 +17,7 @@
 //   - to any endpoint: until the endpoint of the ended attempt acknowledges the cancellation (CancelConfirmed), or the grace
 //     period has passed. For a request that is idempotent by its key the grace period is not sufficient, see needsAck;
 //   - to the same endpoint: until that endpoint has answered a barrier ping written after the cancellation
-//     (BarrierAnswered) or has acknowledged the cancellation. No grace period is sufficient, because an endpoint that was
+//     (BarrierResult) or has acknowledged the cancellation. No grace period is sufficient, because an endpoint that was
 //     suspended finds everything that was written to it when it resumes, and reads its connections in any order.
 //
 // attempts.go starts attempts through startOrDefer; results.go calls recordUnconfirmedCancel; Handle calls handleCancelConfirmed
@@ -53,8 +53,8 @@
 
 // startOrDefer sends an attempt now, or defers it until the previous one's cancellation is confirmed.
 func (c *Core) startOrDefer(a *attempt, req AttemptRequest) {
-	c.requestBarriers(a.request, req.To)
-	if c.mayStartNext(a.request, req.To) {
+	c.requestBarriers(a.request, req.Endpoint)
+	if c.mayStartNext(a.request, req.Endpoint) {
 		c.upstream.Send(req)
 		return
 	}
@@ -87,7 +87,7 @@
 
 // handleBarrierResult handles the result of a barrier ping. If the endpoint did not respond, an attempt deferred for it ends
 // unsent, and the controller decides again.
-func (c *Core) handleBarrierResult(ev BarrierAnswered) {
+func (c *Core) handleBarrierResult(ev BarrierResult) {
 	for _, key := range ev.Keys {
 		r := c.requests[key.ID]
 		if r == nil || key.Number >= len(r.attempts) || !r.attempts[key.Number].needsBarrier {
@@ -95,8 +95,8 @@
 		}
 		canceled := r.attempts[key.Number]
 		last := r.lastAttempt()
-		c.traceBarrier(r, key, ev.Silent)
-		if !ev.Silent {
+		c.traceBarrier(r, key, ev.NoResponse)
+		if !ev.NoResponse {
 			canceled.needsBarrier = false
 			c.startDeferred(last)
 		} else if last.deferred != nil && last.endpoint == canceled.endpoint {
--- a/core/cancellation_test.go
+++ b/core/cancellation_test.go
@@ -28,7 +28,7 @@
 		if n := len(h.sent); n != 1 { // the retry would go to the same endpoint, the only origin
 			t.Errorf("%v: %d attempts after the grace period alone, want 1", x.res, n)
 		}
-		h.confirm(c, BarrierAnswered{Keys: []AttemptKey{k}})
+		h.confirm(c, BarrierResult{Keys: []AttemptKey{k}})
 		if n := len(h.sent); n != x.afterBarrier {
 			t.Errorf("%v: %d attempts after the barrier, want %d", x.res, n, x.afterBarrier)
 		}
--- a/core/core.go
+++ b/core/core.go
@@ -17,7 +17,7 @@
 // maxQueuedEvents is the capacity of the event queue. Post blocks while the queue is full.
 const maxQueuedEvents = 4096
 
-// maxQueuedAdminEvents is the capacity of the queue that Order fills.
+// maxQueuedAdminEvents is the capacity of the queue that PostUrgent fills.
 const maxQueuedAdminEvents = 64
 
 // maxOpenRequests is the default and the upper bound of Options.MaxOpen.
@@ -26,19 +26,19 @@
 // maxTimerWait bounds how long the loop sleeps when no timer is due earlier.
 const maxTimerWait = time.Hour
 
-// errStopped is returned by Order once the core has stopped.
+// errStopped is returned by PostUrgent once the core has stopped.
 var errStopped = errors.New("core: stopped")
 
 // Options configure a core. Durations of type float64 are in milliseconds.
 type Options struct {
-	Settings    control.Settings // of the controller
-	Classes     []string         // names of the request classes, in the order of Settings.Classes
-	Seed        uint64           // of the controller's random number generator
-	MaxOpen     int              // maximum number of open requests; further ones are rejected; 0 or more than 4096: 4096
-	Flow        float64          // rate in bytes/s at which a response is sent to one client; 0: unknown
-	CancelGrace float64          // ms within which an endpoint is assumed to process a cancellation; 0: 40
-	Clock       *clock.Clock
-	Log         zerolog.Logger
+	Settings             control.Settings // of the controller
+	Classes              []string         // names of the request classes, in the order of Settings.Classes
+	Seed                 uint64           // of the controller's random number generator
+	MaxOpen              int              // maximum number of open requests; further ones are rejected; 0 or more than 4096: 4096
+	ClientBytesPerSecond float64          // rate in bytes/s at which a response is sent to one client; 0: unknown
+	CancelGrace          float64          // ms within which an endpoint is assumed to process a cancellation; 0: 40
+	Clock                *clock.Clock
+	Log                  zerolog.Logger
 
 	// TraceShare is the fraction of requests, 0 to 1, that are also traced at level info, at most 10 per second. Requests
 	// are selected by a hash of their ID, so gateways with the same share trace the same requests.
@@ -49,7 +49,7 @@
 	MaxCopyAge func() time.Duration
 }
 
-// Core connects frontends, the controller and an upstream. Post and Order are safe for concurrent use; Run, Handle and
+// Core connects frontends, the controller and an upstream. Post and PostUrgent are safe for concurrent use; Run, Handle and
 // Tick may be called only by the goroutine that owns the core.
 type Core struct {
 	opt        Options
@@ -132,9 +132,9 @@
 	}
 }
 
-// Order queues an event ahead of all events queued by Post, so that an operator's command takes effect before the queued
+// PostUrgent queues an event ahead of all events queued by Post, so that an operator's command takes effect before the queued
 // requests that it concerns. It returns an error if ctx ends first or the core has stopped.
-func (c *Core) Order(ctx context.Context, ev Event) error {
+func (c *Core) PostUrgent(ctx context.Context, ev Event) error {
 	select {
 	case c.adminEvents <- ev:
 		return nil
@@ -186,7 +186,7 @@
 		c.handleAttemptResult(ev)
 	case CancelConfirmed:
 		c.handleCancelConfirmed(ev)
-	case BarrierAnswered:
+	case BarrierResult:
 		c.handleBarrierResult(ev)
 	case HealthCheckResult:
 		c.handleHealthCheckResult(ev)
@@ -194,8 +194,8 @@
 		c.updateEndpoints(ev)
 	case Purge:
 		c.applyPurge(ev)
-	case CopyAgeBounded:
-		c.applyCopyAgeBound()
+	case CopyAgeLimited:
+		c.applyCopyAgeLimit()
 	case Exclude:
 		c.setExcluded(ev)
 	case ProcessCount:
@@ -203,7 +203,7 @@
 	case Abort:
 		c.abort()
 	case WhenIdle:
-		c.idleWaiters = append(c.idleWaiters, ev.Tell)
+		c.idleWaiters = append(c.idleWaiters, ev.Done)
 	case GetStats:
 		ev.Reply <- c.stats // buffered, does not block
 	}
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -15,9 +15,9 @@
 	for _, b := range []struct {
 		id   uint32
 		want error
-	}{{1, nil}, {99, ErrUnknown}} {
+	}{{1, nil}, {99, ErrUnknownEndpoint}} {
 		reply := make(chan error, 1)
-		if err := c.Order(ctx, Exclude{Endpoint: b.id, On: true, Reply: reply}); err != nil {
+		if err := c.PostUrgent(ctx, Exclude{Endpoint: b.id, Excluded: true, Reply: reply}); err != nil {
 			t.Fatal(err)
 		}
 		defer func() {
@@ -37,7 +37,7 @@
 		t.Errorf("excluded after %v of %d attempts", h.excludedAt, len(h.sent))
 	}
 	for _, s := range h.sent {
-		if s.To == 1 || s.Source == 1 {
+		if s.Endpoint == 1 || s.Source == 1 {
 			t.Errorf("sent to an excluded endpoint: %+v", s)
 		}
 	}
--- a/core/deferred_test.go
+++ b/core/deferred_test.go
@@ -48,14 +48,14 @@
 			}},
 		{"the age of copies is bounded", func(r *rig, _ *atomic.Bool) {
 			r.maxCopyAge.Store(int64(6500 * time.Millisecond))
-			r.core.Post(core.CopyAgeBounded{})
+			r.core.Post(core.CopyAgeLimited{})
 		}, func(_ *rig, second []fakestore.Command) bool {
 			return len(second) > 0 && second[0].Fields["fresh"] == "6500"
 		}},
 		{"the age of copies is bounded, and the object is purged", func(r *rig, _ *atomic.Bool) {
 			r.maxCopyAge.Store(int64(6500 * time.Millisecond))
 			r.core.Post(core.Purge{Object: 7, At: r.clock.Unix()})
-			r.core.Post(core.CopyAgeBounded{})
+			r.core.Post(core.CopyAgeLimited{})
 		}, func(_ *rig, second []fakestore.Command) bool {
 			return len(second) > 0 && second[0].Fields["fresh"] == "1"
 		}},
@@ -70,7 +70,7 @@
 			var canceled atomic.Bool
 			txn := string(rune('a'+fakestore.ResetAfterRequest)) + "000000000000001"
 			r.core.Post(core.Request{
-				Frontend: r, RequestTag: 1, Txn: txn, Class: "tile", Object: 7, Name: "0000000000000007", Group: 3, SizeKB: 40,
+				Frontend: r, RequestTag: 1, Txn: txn, Class: "tile", Object: 7, ObjectName: "0000000000000007", Group: 3, SizeKB: 40,
 				ReceivedAt: r.clock.Now(), Remaining: 2500, Canceled: &canceled,
 			})
 			r.waitFor("a deferred attempt", func() bool { return r.stats().Deferred == 1 })
@@ -79,7 +79,7 @@
 			r.endpoints.Resume()
 			r.waitFor("the end of the first attempt at the endpoint", func() bool { return r.endpoints.OpenAttempts(txn) == 0 })
 			idle := make(chan struct{})
-			r.core.Post(core.WhenIdle{Tell: idle})
+			r.core.Post(core.WhenIdle{Done: idle})
 			r.waitFor("the core to become idle", func() bool {
 				r.clock.Advance(41)
 				r.stats()
--- a/core/doc.go
+++ b/core/doc.go
@@ -4,7 +4,8 @@
 //
 // The core owns the table of open requests and their attempts, the timers, and the controller. All of this state belongs
 // to the goroutine that runs [Core.Run] and therefore needs no locks; frontends, upstreams and the admin API communicate
-// with it only through [Core.Post] and [Core.Order]. The core implements no wire protocol and makes no policy decisions.
+// with it only through [Core.Post] and [Core.PostUrgent]. The core implements no wire protocol and makes no policy
+// decisions.
 //
 // The core guarantees, whatever the controller decides:
 //   - a request gets at most one final answer;
--- a/core/endpoints.go
+++ b/core/endpoints.go
@@ -44,7 +44,7 @@
 		if last.deferred == nil {
 			continue
 		}
-		if unusable(last.deferred.To, last.startedAt) || unusable(last.deferred.Source, last.startedAt) {
+		if unusable(last.deferred.Endpoint, last.startedAt) || unusable(last.deferred.Source, last.startedAt) {
 			c.cancelDeferred(last)
 		}
 	}
@@ -54,11 +54,11 @@
 // the upstream cancels the attempts that have not been sent yet.
 func (c *Core) setExcluded(ev Exclude) {
 	var err error
-	if ev.AssumeListed || c.controller.WasListed(control.EndpointID(ev.Endpoint)) {
-		c.upstream.Exclude(ev.Endpoint, ev.On)
-		c.notifyController(control.Excluded{Endpoint: control.EndpointID(ev.Endpoint), Excluded: ev.On})
+	if ev.SkipListedCheck || c.controller.WasListed(control.EndpointID(ev.Endpoint)) {
+		c.upstream.Exclude(ev.Endpoint, ev.Excluded)
+		c.notifyController(control.Excluded{Endpoint: control.EndpointID(ev.Endpoint), Excluded: ev.Excluded})
 	} else {
-		err = ErrUnknown
+		err = ErrUnknownEndpoint
 	}
 	if ev.Reply != nil {
 		ev.Reply <- err
--- a/core/events.go
+++ b/core/events.go
@@ -10,8 +10,8 @@
 // Events that frontends, upstreams, discovery and the admin API post to the core. Times are in ms, of the monotonic clock
 // unless a comment says otherwise.
 
-// ErrUnknown is the reply to an Exclude of an endpoint that has never been in an endpoint list.
-var ErrUnknown = errors.New("core: endpoint was never in an endpoint list")
+// ErrUnknownEndpoint is the reply to an Exclude of an endpoint that has never been in an endpoint list.
+var ErrUnknownEndpoint = errors.New("core: endpoint was never in an endpoint list")
 
 // Event is an input of the core. The types in this file implement it.
 type Event interface{ event() }
@@ -22,7 +22,7 @@
 	RequestTag            uint64 // chosen by the frontend, unique among its open requests
 	Txn                   string // the request's ID, which is also sent to endpoints (X-Txn)
 	Class                 string
-	Name                  string // of the object, as sent by the client
+	ObjectName            string // of the object, as sent by the client
 	Object                uint64
 	Part                  uint32
 	Group                 uint16 // the object's group, for purges
@@ -70,11 +70,11 @@
 // CancelConfirmed reports that the endpoint has acknowledged the end of an attempt that ended Unconfirmed.
 type CancelConfirmed struct{ AttemptKey }
 
-// BarrierAnswered reports that an endpoint has answered a barrier ping, which was written after the cancellations of these
-// attempts but on another connection, or with Silent that no answer is expected any more.
-type BarrierAnswered struct {
-	Keys   []AttemptKey
-	Silent bool
+// BarrierResult reports that an endpoint has answered a barrier ping, which was written after the cancellations of these
+// attempts but on another connection, or with NoResponse that no answer is expected any more.
+type BarrierResult struct {
+	Keys       []AttemptKey
+	NoResponse bool
 }
 
 // HealthCheckResult reports how a health check ended.
@@ -97,16 +97,16 @@
 	At     float64 // Unix time in ms
 }
 
-// CopyAgeBounded reports that Options.MaxCopyAge now returns a limit, which also applies to attempts that have not been sent
+// CopyAgeLimited reports that Options.MaxCopyAge now returns a limit, which also applies to attempts that have not been sent
 // yet.
-type CopyAgeBounded struct{}
+type CopyAgeLimited struct{}
 
-// Exclude is an operator's command to take an endpoint out of service, or with On false to return it to service.
+// Exclude is an operator's command to take an endpoint out of service, or with Excluded false to return it to service.
 type Exclude struct {
-	Endpoint     uint32
-	On           bool
-	AssumeListed bool         // skip the check that the endpoint has been in an endpoint list
-	Reply        chan<- error // buffered; receives nil once the command is in effect, or ErrUnknown; nil: no reply
+	Endpoint        uint32
+	Excluded        bool
+	SkipListedCheck bool         // skip the check that the endpoint has been in an endpoint list
+	Reply           chan<- error // buffered; receives nil once the command is in effect, or ErrUnknownEndpoint; nil: no reply
 }
 
 // ProcessCount reports the current number of processes of this gateway.
@@ -116,8 +116,8 @@
 // down.
 type Abort struct{}
 
-// WhenIdle has Tell closed once every open request has its final answer.
-type WhenIdle struct{ Tell chan<- struct{} }
+// WhenIdle has Done closed once every open request has its final answer.
+type WhenIdle struct{ Done chan<- struct{} }
 
 // GetStats requests the counters. Reply must be buffered.
 type GetStats struct{ Reply chan<- Stats }
@@ -126,11 +126,11 @@
 func (CancelRequest) event()     {}
 func (AttemptResult) event()     {}
 func (CancelConfirmed) event()   {}
-func (BarrierAnswered) event()   {}
+func (BarrierResult) event()     {}
 func (HealthCheckResult) event() {}
 func (EndpointList) event()      {}
 func (Purge) event()             {}
-func (CopyAgeBounded) event()    {}
+func (CopyAgeLimited) event()    {}
 func (Exclude) event()           {}
 func (ProcessCount) event()      {}
 func (Abort) event()             {}
--- a/core/freshness.go
+++ b/core/freshness.go
@@ -5,7 +5,7 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// Freshness: Handle calls applyPurge and applyCopyAgeBound; attempts.go calls maxCopyAge for every attempt. An attempt that the
+// Freshness: Handle calls applyPurge and applyCopyAgeLimit; attempts.go calls maxCopyAge for every attempt. An attempt that the
 // controller requested before a purge but that has not been sent yet (it is deferred, or queued for a connection) must not
 // accept a copy older than the purge.
 
@@ -38,8 +38,8 @@
 	return max(0, min(c.opt.Clock.Unix(), c.now())-date)
 }
 
-// applyCopyAgeBound applies Options.MaxCopyAge to the attempts that have not been sent.
-func (c *Core) applyCopyAgeBound() {
+// applyCopyAgeLimit applies Options.MaxCopyAge to the attempts that have not been sent.
+func (c *Core) applyCopyAgeLimit() {
 	for _, r := range c.requests {
 		if !r.answered && r.openAttempts > 0 && !r.isWrite {
 			c.limitCopyAge(r, c.maxCopyAge(r, clock.Ms(c.controller.MaxCopyAge(r.id))))
--- a/core/fuzz_test.go
+++ b/core/fuzz_test.go
@@ -151,7 +151,7 @@
 // answerBarriers reports the results of the barrier pings that the core has requested.
 func (r *fuzzRun) answerBarriers(silent bool) {
 	for ; len(r.harness.barriers) > 0; r.harness.barriers = r.harness.barriers[1:] {
-		r.harness.confirm(r.core, BarrierAnswered{Keys: r.harness.barriers[:1], Silent: silent})
+		r.harness.confirm(r.core, BarrierResult{Keys: r.harness.barriers[:1], NoResponse: silent})
 	}
 }
 
--- a/core/harness_test.go
+++ b/core/harness_test.go
@@ -56,19 +56,19 @@
 		h.localFailures[e.ID]++
 	}
 	if e.Unconfirmed {
-		h.unconfirmed[e.AttemptKey] = h.sentAttempt(e.AttemptKey).To
+		h.unconfirmed[e.AttemptKey] = h.sentAttempt(e.AttemptKey).Endpoint
 	}
 	c.Handle(e)
 }
 
-// confirm passes a CancelConfirmed or BarrierAnswered to the core, as the upstream does.
+// confirm passes a CancelConfirmed or BarrierResult to the core, as the upstream does.
 func (h *harness) confirm(c *Core, ev Event) {
 	switch ev := ev.(type) {
 	case CancelConfirmed:
 		delete(h.unconfirmed, ev.AttemptKey)
-	case BarrierAnswered:
+	case BarrierResult:
 		for _, k := range ev.Keys {
-			if !ev.Silent {
+			if !ev.NoResponse {
 				delete(h.unconfirmed, k)
 			}
 		}
@@ -100,7 +100,7 @@
 		h.t.Errorf("request %d: attempt %d was sent within the grace period of the previous one", s.ID, s.Number)
 	}
 	for k, endpoint := range h.unconfirmed {
-		if k.ID == s.ID && endpoint == s.To {
+		if k.ID == s.ID && endpoint == s.Endpoint {
 			h.t.Errorf("request %d: attempt %d was sent to an endpoint that has not confirmed the end of attempt %d", s.ID, s.Number, k.Number)
 		}
 	}
@@ -156,5 +156,5 @@
 
 // newRequest returns a request of a class that was received at a time, with 2.5 s until the client's deadline.
 func newRequest(h *harness, tag uint64, class string, at float64) Request {
-	return Request{Frontend: h, RequestTag: tag, Txn: fmt.Sprint(tag), Class: class, Object: tag % 7, Name: "x", SizeKB: 40, ReceivedAt: at, Remaining: 2500}
+	return Request{Frontend: h, RequestTag: tag, Txn: fmt.Sprint(tag), Class: class, Object: tag % 7, ObjectName: "x", SizeKB: 40, ReceivedAt: at, Remaining: 2500}
 }
--- a/core/idempotency_test.go
+++ b/core/idempotency_test.go
@@ -97,7 +97,7 @@
 // The key is sent to endpoints only for classes that are idempotent by key.
 func TestKeyOnlyInKeyedClasses(t *testing.T) {
 	r := newRig(t)
-	r.core.Post(core.Request{Frontend: r, RequestTag: 1, Txn: "a", Class: "tile", Object: 7, Name: "7", SizeKB: 1, ReceivedAt: r.clock.Now(), Remaining: 2000, IdempotencyKey: idempotencyKey})
+	r.core.Post(core.Request{Frontend: r, RequestTag: 1, Txn: "a", Class: "tile", Object: 7, ObjectName: "7", SizeKB: 1, ReceivedAt: r.clock.Now(), Remaining: 2000, IdempotencyKey: idempotencyKey})
 	if a := r.waitForAnswer(); a.Verdict != core.Served {
 		t.Fatalf("%+v", a)
 	}
--- a/core/results.go
+++ b/core/results.go
@@ -60,10 +60,10 @@
 
 // transferTime returns how long a client takes to receive a result's body, or 0 if that is unknown.
 func (c *Core) transferTime(result AttemptResult) time.Duration {
-	if c.opt.Flow <= 0 || result.NotModified {
+	if c.opt.ClientBytesPerSecond <= 0 || result.NotModified {
 		return 0
 	}
-	return time.Duration(float64(len(result.Body)) / c.opt.Flow * float64(time.Second))
+	return time.Duration(float64(len(result.Body)) / c.opt.ClientBytesPerSecond * float64(time.Second))
 }
 
 // handleHealthCheckResult reports the result of a pending health check to the controller.
--- a/core/results_test.go
+++ b/core/results_test.go
@@ -7,18 +7,18 @@
 	"turnfork.dev/turnfork/control"
 )
 
-// The transfer time is the size of the body divided by Options.Flow, if that is set.
+// The transfer time is the size of the body divided by Options.ClientBytesPerSecond, if that is set.
 func TestTransferTime(t *testing.T) {
 	for _, x := range []struct {
-		flow float64
-		e    AttemptResult
-		want time.Duration
+		bytesPerSecond float64
+		e              AttemptResult
+		want           time.Duration
 	}{
 		{1e5, AttemptResult{Body: make([]byte, 5000)}, 50 * time.Millisecond}, {0, AttemptResult{Body: make([]byte, 5000)}, 0},
 		{1e5, AttemptResult{NotModified: true}, 0},
 	} {
-		if got := (&Core{opt: Options{Flow: x.flow}}).transferTime(x.e); got != x.want {
-			t.Errorf("%d bytes at %v a second: %v, want %v", len(x.e.Body), x.flow, got, x.want)
+		if got := (&Core{opt: Options{ClientBytesPerSecond: x.bytesPerSecond}}).transferTime(x.e); got != x.want {
+			t.Errorf("%d bytes at %v a second: %v, want %v", len(x.e.Body), x.bytesPerSecond, got, x.want)
 		}
 	}
 }
--- a/core/rig_test.go
+++ b/core/rig_test.go
@@ -94,7 +94,7 @@
 func (r *rig) post(tag uint64, behavior fakestore.Behavior, part uint32) string {
 	txn := string(rune('a'+behavior)) + strings.Repeat("0", 15)
 	r.core.Post(core.Request{
-		Frontend: r, RequestTag: tag, Txn: txn, Class: "tile", Object: 7, Name: "0000000000000007", Part: part, SizeKB: 40,
+		Frontend: r, RequestTag: tag, Txn: txn, Class: "tile", Object: 7, ObjectName: "0000000000000007", Part: part, SizeKB: 40,
 		ReceivedAt: r.clock.Now(), Remaining: 2500,
 	})
 	return txn
@@ -156,7 +156,7 @@
 func (r *rig) postKeyed(behavior fakestore.Behavior, key string, remaining float64, retry bool) (txn string) {
 	txn = string(rune('a'+behavior)) + "mark"
 	r.core.Post(core.Request{
-		Frontend: r, RequestTag: 1, Txn: txn, Class: "mark", Object: 7, Name: "0000000000000007", SizeKB: 1, ReceivedAt: r.clock.Now(),
+		Frontend: r, RequestTag: 1, Txn: txn, Class: "mark", Object: 7, ObjectName: "0000000000000007", SizeKB: 1, ReceivedAt: r.clock.Now(),
 		Remaining: remaining, IdempotencyKey: key, Retry: retry,
 	})
 	return txn
--- a/core/slow_start_test.go
+++ b/core/slow_start_test.go
@@ -50,7 +50,7 @@
 	for k := range h.unconfirmed {
 		unconfirmed = append(unconfirmed, k)
 	}
-	h.confirm(c, BarrierAnswered{Keys: unconfirmed})
+	h.confirm(c, BarrierResult{Keys: unconfirmed})
 	for range 100 { // the CollapseWindow
 		clk.Advance(10)
 		c.Tick()
@@ -58,7 +58,7 @@
 	n := set.SlowStartShare * weight * set.CollapseMultiple * set.CollapseWindow.Seconds() / (kb / set.ClientKBps)
 	sent := 0
 	for _, s := range h.sent[first:] {
-		if s.To == 1 {
+		if s.Endpoint == 1 {
 			sent++
 		}
 	}
--- a/core/trace.go
+++ b/core/trace.go
@@ -66,7 +66,7 @@
 		return
 	}
 	e.Str("class", r.Class).
-		Str("object", r.Name).
+		Str("object", r.ObjectName).
 		Uint32("part", r.Part).
 		Float64("remaining_ms", r.Remaining).
 		Float64("size_kb", r.SizeKB).
--- a/core/upstream.go
+++ b/core/upstream.go
@@ -22,7 +22,7 @@
 	// copies was limited since the attempt was started.
 	LimitCopyAge(k AttemptKey, maxAge float64)
 	// ConfirmCancel has an endpoint, at which an attempt ended Unconfirmed, confirm that it has read everything written to
-	// it before. A CancelConfirmed or a BarrierAnswered follows. It returns false if the upstream cannot ask the endpoint.
+	// it before. A CancelConfirmed or a BarrierResult follows. It returns false if the upstream cannot ask the endpoint.
 	ConfirmCancel(k AttemptKey, endpoint uint32) bool
 	// CheckHealth requests an endpoint's load report. Exactly one HealthCheckResult follows.
 	CheckHealth(endpoint uint32)
@@ -43,23 +43,23 @@
 // AttemptRequest is one attempt of a request, to be sent to an endpoint. Times are in ms of the monotonic clock.
 type AttemptRequest struct {
 	AttemptKey
-	To, Source     uint32  // the endpoint, and the endpoint from which it fills a miss
-	Fill           bool    // a miss is filled from Source
-	Txn, Class     string  // the request's ID and class
-	Name           string  // of the object, as sent by the client
-	Part           uint32  // of the object
-	CacheRank      uint8   // the endpoint's rank among the caches of the object
-	JoinFill       bool    // wait for a fill of the object that is already in progress
-	CachedOnly     bool    // Source serves only what it has cached
-	Deadline       float64 // deadline of the attempt; the endpoint is sent the time left when it is written; 0: none
-	MaxAge         float64 // maximum age in ms of a copy that may be served; 0: the FreshFor of the class
-	ClientETag     string  // of the client's copy
-	Body           []byte
-	Write          bool         // it runs at the origin and is not cached
-	NonIdempotent  bool         // it must not run twice, so a broken connection ends the attempt
-	IdempotencyKey string       // the client's key, if the class is idempotent by key
-	SendDeadline   float64      // it must not be sent later, because endpoints may have discarded its key; 0: none
-	Canceled       *atomic.Bool // true once the request is answered or its client has disconnected: it must not be sent
+	Endpoint, Source uint32  // the endpoint, and the endpoint from which it fills a miss
+	Fill             bool    // a miss is filled from Source
+	Txn, Class       string  // the request's ID and class
+	ObjectName       string  // of the object, as sent by the client
+	Part             uint32  // of the object
+	CacheRank        uint8   // the endpoint's rank among the caches of the object
+	JoinFill         bool    // wait for a fill of the object that is already in progress
+	CachedOnly       bool    // Source serves only what it has cached
+	Deadline         float64 // deadline of the attempt; the endpoint is sent the time left when it is written; 0: none
+	MaxAge           float64 // maximum age in ms of a copy that may be served; 0: the FreshFor of the class
+	ClientETag       string  // of the client's copy
+	Body             []byte
+	Write            bool         // it runs at the origin and is not cached
+	NonIdempotent    bool         // it must not run twice, so a broken connection ends the attempt
+	IdempotencyKey   string       // the client's key, if the class is idempotent by key
+	SendDeadline     float64      // it must not be sent later, because endpoints may have discarded its key; 0: none
+	Canceled         *atomic.Bool // true once the request is answered or its client has disconnected: it must not be sent
 }
 
 // Endpoint is an entry of the endpoint list.
--- a/front/fastcgi/fastcgi.go
+++ b/front/fastcgi/fastcgi.go
@@ -404,7 +404,7 @@
 			a.Remaining = float(name, value)
 		case "HTTP_X_ROW":
 			a.Object = number(name, value, 64, 16)
-			a.Name = value
+			a.ObjectName = value
 		case "HTTP_X_BLOCK":
 			a.Part = uint32(number(name, value, 32, 10))
 		case "HTTP_X_FAMILY":
@@ -436,7 +436,7 @@
 		c.reply(id, "200 OK", "", []byte("ok\n"))
 	case !ok:
 		c.reply(id, "404 Not Found", "", nil)
-	case bad != "" || a.Txn == "" || a.Name == "" || a.Remaining <= 0:
+	case bad != "" || a.Txn == "" || a.ObjectName == "" || a.Remaining <= 0:
 		c.frontend.opt.Log.Warn().Str("field", bad).Str("txn", a.Txn).Msg("request with a missing or invalid parameter; responding 400")
 		c.reply(id, "400 Bad Request", "", nil)
 	case reject:
--- a/front/signed/object.go
+++ b/front/signed/object.go
@@ -43,7 +43,7 @@
 
 // request builds the request for the core.
 func (o objectPath) request(q token.Query, m *http1.Message) (a core.Request, err error) {
-	a.Class, a.Name = o.class, o.object
+	a.Class, a.ObjectName = o.class, o.object
 	if a.Object, err = parseObjectID(o.object); err != nil {
 		return a, err
 	}
--- a/gateway.go
+++ b/gateway.go
@@ -123,14 +123,14 @@
 
 func (gw *gateway) coreOptions() core.Options {
 	options := core.Options{
-		Settings:   gw.node.Settings,
-		Classes:    gw.node.Classes,
-		Seed:       gw.node.Seed,
-		MaxOpen:    gw.node.MaxOpen,
-		Clock:      gw.Clock,
-		Flow:       gw.node.Flow,
-		Log:        gw.Log,
-		MaxCopyAge: gw.plane.CopyAgeBound(),
+		Settings:             gw.node.Settings,
+		Classes:              gw.node.Classes,
+		Seed:                 gw.node.Seed,
+		MaxOpen:              gw.node.MaxOpen,
+		Clock:                gw.Clock,
+		ClientBytesPerSecond: gw.node.Flow,
+		Log:                  gw.Log,
+		MaxCopyAge:           gw.plane.CopyAgeBound(),
 	}
 	if gw.Operator != nil {
 		options.TraceShare = gw.Operator.TraceShare
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -184,7 +184,7 @@
 	}
 	p.log.Warn().Dur("max_copy_age", p.Timing.StaleCopyAge()).
 		Msg("the replicated state is stale: no single-use work is begun, and no older copies are asked for")
-	p.events.Put(core.CopyAgeBounded{})
+	p.events.Put(core.CopyAgeLimited{})
 }
 
 // Subscription tells how a subscriber or a voter stands; nil: the gateway is alone.
--- a/overrides.go
+++ b/overrides.go
@@ -34,7 +34,7 @@
 }
 
 func (o disableOverride) enforce(ctx context.Context, a *adminState) error {
-	return a.exclude(ctx, core.Exclude{Endpoint: o.endpoint, On: o.on})
+	return a.exclude(ctx, core.Exclude{Endpoint: o.endpoint, Excluded: o.on})
 }
 
 func (o disableOverride) record(changes *overrideChanges) { changes.disable(o.endpoint, o.on) }
@@ -54,7 +54,7 @@
 		stored.Draining = false
 	}
 	for _, id := range stored.Disabled {
-		a.core.Handle(core.Exclude{Endpoint: id, On: true, AssumeListed: true}) // nothing else runs yet
+		a.core.Handle(core.Exclude{Endpoint: id, Excluded: true, SkipListedCheck: true}) // nothing else runs yet
 	}
 	a.overrides = stored
 	if incomplete != nil {
@@ -138,12 +138,12 @@
 func (a *adminState) exclude(ctx context.Context, event core.Exclude) error {
 	reply := make(chan error, 1)
 	event.Reply = reply
-	if err := a.core.Order(ctx, event); err != nil {
+	if err := a.core.PostUrgent(ctx, event); err != nil {
 		return err
 	}
 	select {
 	case err := <-reply:
-		if errors.Is(err, core.ErrUnknown) {
+		if errors.Is(err, core.ErrUnknownEndpoint) {
 			return adminapi.ErrUnknown
 		}
 		return err
--- a/shutdown.go
+++ b/shutdown.go
@@ -88,7 +88,7 @@
 	for _, s := range servers {
 		s.Stop()
 	}
-	if gw.core.Order(ctx, core.Abort{}) != nil {
+	if gw.core.PostUrgent(ctx, core.Abort{}) != nil {
 		return
 	}
 	pollUntilZero(ctx, abortPollInterval, func() int {
--- a/siblings.go
+++ b/siblings.go
@@ -180,7 +180,7 @@
 		if slices.Contains(after, id) {
 			continue
 		}
-		if err := a.exclude(ctx, core.Exclude{Endpoint: id, On: false, AssumeListed: true}); err != nil {
+		if err := a.exclude(ctx, core.Exclude{Endpoint: id, Excluded: false, SkipListedCheck: true}); err != nil {
 			return err
 		}
 	}
@@ -188,7 +188,7 @@
 		if slices.Contains(before, id) {
 			continue
 		}
-		if err := a.exclude(ctx, core.Exclude{Endpoint: id, On: true, AssumeListed: true}); err != nil {
+		if err := a.exclude(ctx, core.Exclude{Endpoint: id, Excluded: true, SkipListedCheck: true}); err != nil {
 			return err
 		}
 	}
--- a/upstream/httpstore/httpstore.go
+++ b/upstream/httpstore/httpstore.go
@@ -118,10 +118,10 @@
 // Send makes an attempt.
 func (u *Upstream) Send(s core.AttemptRequest) {
 	ctx, cancel := context.WithCancel(u.ctx)
-	a := &attempt{cancel: cancel, to: s.To}
+	a := &attempt{cancel: cancel, to: s.Endpoint}
 	u.mu.Lock()
 	u.open[s.AttemptKey] = a
-	if _, excluded := u.excluded[s.To]; excluded {
+	if _, excluded := u.excluded[s.Endpoint]; excluded {
 		cancel()
 	}
 	u.mu.Unlock()
@@ -188,7 +188,7 @@
 
 func (u *Upstream) roundTrip(ctx context.Context, s core.AttemptRequest, a *attempt) core.AttemptResult {
 	result := core.AttemptResult{AttemptKey: s.AttemptKey, Outcome: control.NotSent}
-	endpoint, ok := u.opt.Stores[s.To]
+	endpoint, ok := u.opt.Stores[s.Endpoint]
 	if !ok {
 		return result
 	}
@@ -210,7 +210,7 @@
 	if len(s.Body) > 0 || s.Write {
 		method = http.MethodPost
 	}
-	target := strings.TrimSuffix(endpoint.Base, "/") + "/" + s.Class + "/" + url.PathEscape(s.Name) + "/" +
+	target := strings.TrimSuffix(endpoint.Base, "/") + "/" + s.Class + "/" + url.PathEscape(s.ObjectName) + "/" +
 		strconv.FormatUint(uint64(s.Part), 10)
 	// Without GetBody the transport cannot resend a write by itself.
 	req, err := http.NewRequestWithContext(ctx, method, target, cancelableBody{bytes.NewReader(s.Body), s.Canceled})
--- a/upstream/httpstore/httpstore_test.go
+++ b/upstream/httpstore/httpstore_test.go
@@ -119,25 +119,25 @@
 		"long": control.ServerError,
 	} {
 		unconfirmed := name == "cut" || name == "long" // the endpoint may still run it
-		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 1}, To: 1, Class: "firmware", Name: name, ClientETag: "0a", Txn: "1"})
+		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 1}, Endpoint: 1, Class: "firmware", ObjectName: name, ClientETag: "0a", Txn: "1"})
 		if e := (<-got).(core.AttemptResult); e.Outcome != want || e.NotModified != (name == "same") || e.Unconfirmed != unconfirmed ||
 			name == "ok" && (string(e.Body) != "bytes of /rides/firmware/ok/0" || e.ETag != "0a") {
 			t.Errorf("%s: %+v", name, e)
 		}
 	}
-	u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 2}, To: 2, Class: "ride-end", Name: "ok", Write: true, Body: []byte("x")})
+	u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 2}, Endpoint: 2, Class: "ride-end", ObjectName: "ok", Write: true, Body: []byte("x")})
 	if e := (<-got).(core.AttemptResult); e.Outcome != control.ConnectFailed || e.Unconfirmed {
 		t.Errorf("connection refused: %+v", e)
 	}
 	// A write whose connection ends is not sent again, and a 404 does not prove that it has not run.
 	for name, want := range map[string]control.Outcome{"cut": control.ConnectionLost, "none": control.ServerError, "ok": control.OK} {
 		before := posts.Load()
-		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 3}, To: 1, Class: "ride-end", Name: name, Write: true, Body: []byte("ride")})
+		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 3}, Endpoint: 1, Class: "ride-end", ObjectName: name, Write: true, Body: []byte("ride")})
 		if e := (<-got).(core.AttemptResult); e.Outcome != want || posts.Load() != before+1 {
 			t.Errorf("write %s: %+v, sent %d times", name, e, posts.Load()-before)
 		}
 	}
-	u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 4}, To: 1, Class: "firmware", Name: "hang"})
+	u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 4}, Endpoint: 1, Class: "firmware", ObjectName: "hang"})
 	u.Cancel(core.AttemptKey{ID: 4}, control.TimedOut)
 	if e := (<-got).(core.AttemptResult); (e.Outcome != control.TimedOut || !e.Unconfirmed) && (e.Outcome != control.NotSent || e.Unconfirmed) {
 		t.Errorf("canceled: %+v", e)
@@ -161,7 +161,7 @@
 	defer u.Close()
 	var got []string
 	for i, nonIdempotent := range []bool{false, false, true, true} {
-		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: control.RequestID(i)}, To: 1, Class: "c", Name: "n", Write: nonIdempotent, NonIdempotent: nonIdempotent})
+		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: control.RequestID(i)}, Endpoint: 1, Class: "c", ObjectName: "n", Write: nonIdempotent, NonIdempotent: nonIdempotent})
 		got = append(got, <-remotes)
 		if e := (<-results).(core.AttemptResult); e.Outcome != control.OK {
 			t.Fatalf("%+v", e)
@@ -189,7 +189,7 @@
 	}, func(ev core.Event) { got <- ev })
 	defer u.Close()
 	send := func(id int) {
-		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: control.RequestID(id)}, To: 1, Class: "firmware", Name: "x"})
+		u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: control.RequestID(id)}, Endpoint: 1, Class: "firmware", ObjectName: "x"})
 	}
 	send(1)
 	<-arrived
@@ -224,7 +224,7 @@
 	}{
 		"nothing":                  {func(*Upstream, core.AttemptRequest) {}, true},
 		"the client cancels":       {func(_ *Upstream, s core.AttemptRequest) { s.Canceled.Store(true) }, false},
-		"it is excluded":           {func(u *Upstream, s core.AttemptRequest) { u.Exclude(s.To, true) }, false},
+		"it is excluded":           {func(u *Upstream, s core.AttemptRequest) { u.Exclude(s.Endpoint, true) }, false},
 		"the object is purged":     {func(u *Upstream, s core.AttemptRequest) { u.LimitCopyAge(s.AttemptKey, 77) }, false}, // the core routes it again
 		"another is purged":        {func(u *Upstream, s core.AttemptRequest) { u.LimitCopyAge(core.AttemptKey{ID: 9}, 77) }, true},
 		"little time is left":      {func(u *Upstream, s core.AttemptRequest) { u.opt.Clock.Set(s.Deadline - 1) }, true},
@@ -247,9 +247,9 @@
 			u := New(Options{Stores: map[uint32]Store{1: {Base: srv.URL}}, DialTimeout: 5000, IdleClose: 60000, MaxConns: 1,
 				Clock: clock.Manual(1e12), Log: zerolog.Nop()}, func(ev core.Event) { ended <- ev.(core.AttemptResult) })
 			defer u.Close()
-			u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 1}, To: 1, Class: "first", Name: "a"})
+			u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 1}, Endpoint: 1, Class: "first", ObjectName: "a"})
 			<-arrived
-			second := core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 2}, To: 1, Class: "second", Name: "a", Canceled: new(atomic.Bool),
+			second := core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 2}, Endpoint: 1, Class: "second", ObjectName: "a", Canceled: new(atomic.Bool),
 				Deadline: u.opt.Clock.Now() + 500, SendDeadline: u.opt.Clock.Now() + 600}
 			if name == "the send deadline passes" {
 				second.Deadline, second.SendDeadline = second.SendDeadline, second.Deadline
@@ -285,7 +285,7 @@
 		u := New(Options{Stores: map[uint32]Store{1: {Base: srv.URL}}, DialTimeout: 5000, IdleClose: 60000, MaxConns: 1,
 			Clock: clock.Manual(1e12), Log: zerolog.Nop()}, func(ev core.Event) { ended <- ev.(core.AttemptResult) })
 		defer u.Close()
-		s := core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 1}, To: 1, Class: "ride-end", Name: "a", Write: true, Canceled: new(atomic.Bool)}
+		s := core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 1}, Endpoint: 1, Class: "ride-end", ObjectName: "a", Write: true, Canceled: new(atomic.Bool)}
 		s.Body = make([]byte, 16<<20) // more than the sockets take
 		u.Send(s)
 		<-begun
--- a/upstream/httpstore/local_failure_test.go
+++ b/upstream/httpstore/local_failure_test.go
@@ -30,7 +30,7 @@
 }
 
 func get(id int) core.AttemptRequest {
-	return core.AttemptRequest{AttemptKey: core.AttemptKey{ID: control.RequestID(id)}, To: 1, Class: "tile", Name: "x"}
+	return core.AttemptRequest{AttemptKey: core.AttemptKey{ID: control.RequestID(id)}, Endpoint: 1, Class: "tile", ObjectName: "x"}
 }
 
 // A dial that fails for a reason local to this host must not be counted against the endpoint, neither for an attempt nor for a
--- a/upstream/mux/mux.go
+++ b/upstream/mux/mux.go
@@ -30,7 +30,7 @@
 
 // Send starts an attempt.
 func (u *Upstream) Send(attempt core.AttemptRequest) {
-	if !u.Primary.Has(attempt.To) {
+	if !u.Primary.Has(attempt.Endpoint) {
 		u.Fallback.Send(attempt)
 		return
 	}
--- a/upstream/mux/mux_test.go
+++ b/upstream/mux/mux_test.go
@@ -38,7 +38,7 @@
 	const byPrimary, byFallback = 1, 2
 	send := func(u *Upstream, endpoint uint32) core.AttemptKey {
 		key := core.AttemptKey{Number: int(endpoint)}
-		u.Send(core.AttemptRequest{AttemptKey: key, To: endpoint})
+		u.Send(core.AttemptRequest{AttemptKey: key, Endpoint: endpoint})
 		return key
 	}
 	for _, c := range []struct {
@@ -82,7 +82,7 @@
 	var posted []core.Event
 	post := u.TrackResults(func(event core.Event) { posted = append(posted, event) })
 	key := core.AttemptKey{Number: 1}
-	u.Send(core.AttemptRequest{AttemptKey: key, To: 1})
+	u.Send(core.AttemptRequest{AttemptKey: key, Endpoint: 1})
 	delete(primary.endpoints, 1)
 	u.Cancel(key, 0)
 	if primary.calls["Cancel"] != 1 || fallback.calls["Cancel"] != 0 {
--- a/upstream/resp/conn.go
+++ b/upstream/resp/conn.go
@@ -151,7 +151,7 @@
 // failBarriers ends the PINGs behind DROPs that have no response yet: their attempts stay unconfirmed.
 func (c *conn) failBarriers() (ended []core.Event) {
 	for _, keys := range c.barriers {
-		ended = append(ended, core.BarrierAnswered{Keys: keys, Silent: true})
+		ended = append(ended, core.BarrierResult{Keys: keys, NoResponse: true})
 	}
 	clear(c.barriers)
 	return ended
@@ -593,7 +593,7 @@
 	f = append(f, "lane="...)
 	f = append(f, s.Class...)
 	f = append(f, ",name="...)
-	f = append(f, s.Name...)
+	f = append(f, s.ObjectName...)
 	f = append(f, ",piece="...)
 	f = strconv.AppendUint(f, uint64(s.Part), 10)
 	if s.Deadline > 0 { // rounded down: never more than the client has left
--- a/upstream/resp/local_failure_test.go
+++ b/upstream/resp/local_failure_test.go
@@ -272,7 +272,7 @@
 			dialer.Fail(faultnet.Error("socket", syscall.EMFILE), 5)
 			answers := make(answerRecorder, 1)
 			for tag := range uint64(2) { // the second request follows once descriptors are available again
-				module.Post(core.Request{Frontend: answers, RequestTag: tag, Txn: string(rune('a' + tag)), Class: class, Object: 1, Name: "x",
+				module.Post(core.Request{Frontend: answers, RequestTag: tag, Txn: string(rune('a' + tag)), Class: class, Object: 1, ObjectName: "x",
 					ReceivedAt: clk.Now(), Remaining: 20000})
 				if got := <-answers; got.Verdict != core.Served {
 					t.Fatalf("request %d: %+v", tag, got)
--- a/upstream/resp/resp.go
+++ b/upstream/resp/resp.go
@@ -197,7 +197,7 @@
 		}
 	}
 	for _, a := range p.attempts {
-		if (a.To == id || a.Fill && a.Source == id) && !a.mayBeSent && !a.cancelRequested {
+		if (a.Endpoint == id || a.Fill && a.Source == id) && !a.mayBeSent && !a.cancelRequested {
 			cancel(a)
 		}
 	}
@@ -292,9 +292,9 @@
 
 // Send makes an attempt.
 func (p *Pool) Send(s core.AttemptRequest) {
-	a := &attempt{AttemptRequest: s, wireID: s.Txn, endpoint: s.To}
+	a := &attempt{AttemptRequest: s, wireID: s.Txn, endpoint: s.Endpoint}
 	p.mu.Lock()
-	q := p.peers[s.To]
+	q := p.peers[s.Endpoint]
 	if p.attempts[s.AttemptKey] != nil || !p.maySend(a) {
 		p.mu.Unlock()
 		p.postAsync(core.AttemptResult{AttemptKey: s.AttemptKey, Outcome: control.NotSent})
@@ -364,7 +364,7 @@
 	q := p.peers[endpoint]
 	if q == nil {
 		p.mu.Unlock()
-		p.postAsync(core.BarrierAnswered{Keys: []core.AttemptKey{k}, Silent: true})
+		p.postAsync(core.BarrierResult{Keys: []core.AttemptKey{k}, NoResponse: true})
 		return true
 	}
 	if q.barrierInFlight(k) {
@@ -481,7 +481,7 @@
 		c.closeIfDone()
 	}
 	if a.confirms != nil {
-		return core.BarrierAnswered{Keys: a.confirms, Silent: outcome != control.OK}
+		return core.BarrierResult{Keys: a.confirms, NoResponse: outcome != control.OK}
 	}
 	if a.probe {
 		return core.HealthCheckResult{Endpoint: a.endpoint, Outcome: outcome}
--- a/upstream/resp/resp_test.go
+++ b/upstream/resp/resp_test.go
@@ -102,8 +102,8 @@
 
 func newRequest(id, n int, to uint32) core.AttemptRequest {
 	return core.AttemptRequest{
-		AttemptKey: core.AttemptKey{ID: control.RequestID(id), Number: n}, To: to, Source: to, Txn: strings.Repeat("0", 15) + string(rune('a'+id)),
-		Class: "firmware", Name: "7f3a9c21e0b4d655", Deadline: 1e12 + 60000, MaxAge: 0.4,
+		AttemptKey: core.AttemptKey{ID: control.RequestID(id), Number: n}, Endpoint: to, Source: to, Txn: strings.Repeat("0", 15) + string(rune('a'+id)),
+		Class: "firmware", ObjectName: "7f3a9c21e0b4d655", Deadline: 1e12 + 60000, MaxAge: 0.4,
 	}
 }
 
@@ -283,9 +283,9 @@
 			switch ev := ev.(type) {
 			case core.AttemptResult:
 				count++
-			case core.BarrierAnswered: // a connection ended before the response to the PING behind a DROP
+			case core.BarrierResult: // a connection ended before the response to the PING behind a DROP
 				for _, k := range ev.Keys {
-					if e, ok := results[k]; !ok || !e.Unconfirmed || !ev.Silent {
+					if e, ok := results[k]; !ok || !e.Unconfirmed || !ev.NoResponse {
 						t.Errorf("%+v, but its attempt ended as %+v", ev, e)
 					}
 				}
@@ -709,7 +709,7 @@
 		join, cachedOnly bool
 		want             string
 	}{{false, false, ""}, {true, false, ",opts=j"}, {false, true, ",opts=h"}, {true, true, ",opts=j+h"}} {
-		got := string(encodeGet(core.AttemptRequest{Txn: "1", Class: "tile", Name: "x", Deadline: 5, JoinFill: x.join, CachedOnly: x.cachedOnly}, 5))
+		got := string(encodeGet(core.AttemptRequest{Txn: "1", Class: "tile", ObjectName: "x", Deadline: 5, JoinFill: x.join, CachedOnly: x.cachedOnly}, 5))
 		if want := "ttl=5" + x.want + "\r\n"; !strings.Contains(got, want) {
 			t.Errorf("join %v, cached only %v: %q", x.join, x.cachedOnly, got)
 		}
--- a/upstream/resp/unsent_test.go
+++ b/upstream/resp/unsent_test.go
@@ -268,9 +268,9 @@
 			results := map[core.AttemptKey]bool{}
 			b.waitUntil("a result for each call", func() bool {
 				for _, ev := range b.events {
-					if c, ok := ev.(core.BarrierAnswered); ok {
+					if c, ok := ev.(core.BarrierResult); ok {
 						for _, k := range c.Keys {
-							results[k] = c.Silent
+							results[k] = c.NoResponse
 						}
 					}
 				}
