--- a/config/platform.go
+++ b/config/platform.go
@@ -76,7 +76,7 @@
 		return Node{}, fmt.Errorf("settings: %w", err)
 	}
 	connections.apply(&n)
-	names := discovery.Names{Zones: connections.Zones, Kinds: connections.Kinds}
+	names := discovery.SettingNames{Zones: connections.Zones, Kinds: connections.Kinds}
 	n.Seq, n.Known, err = discovery.ParseKnown(file.KnownEvents, names)
 	if err != nil {
 		return Node{}, err
--- a/discovery/connect.go
+++ b/discovery/connect.go
@@ -143,7 +143,7 @@
 		return nil, err
 	}
 	stopClosing := context.AfterFunc(ctx, func() { conn.Close() })
-	idleTimeout := cmp.Or(c.watcher.MaxSilence, defaultIdleTimeout)
+	idleTimeout := cmp.Or(c.watcher.IdleTimeout, defaultIdleTimeout)
 	firstByteTimer := time.AfterFunc(idleTimeout, reportLate)
 	defer firstByteTimer.Stop()
 	firstByte, err := subscribe(conn, seq)
--- a/discovery/connect_test.go
+++ b/discovery/connect_test.go
@@ -13,8 +13,8 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// The first byte is received even if an overloaded server, which serves many other clients first, sends it later than MaxSilence
-// after the connect. Closing each connection after MaxSilence would make the gateway redial forever and add to the overload.
+// The first byte is received even if an overloaded server, which serves many other clients first, sends it later than
+// IdleTimeout after the connect. Closing each connection after IdleTimeout would make the gateway redial forever and add to the overload.
 func TestSlowFirstByteIsReceived(t *testing.T) {
 	const idleTimeout = 100 * time.Millisecond
 	for name, firstByteDelay := range map[string]time.Duration{
@@ -45,7 +45,7 @@
 				}
 			}()
 			got := make(chan core.Event, 8)
-			w := &Watcher{Addr: l.Addr().String(), Seq: 5, MaxSilence: idleTimeout, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
+			w := &Watcher{Addr: l.Addr().String(), Seq: 5, IdleTimeout: idleTimeout, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			defer func() { cancel(); <-done }()
@@ -93,7 +93,7 @@
 	var once sync.Once
 	dialed, secondDial := make(chan struct{}), make(chan struct{})
 	got, changes := make(chan core.Event, 8), make(chan AddressChange)
-	w := &Watcher{Addr: "192.0.2.1:1", Seq: 5, AddressChanges: changes, MaxSilence: time.Minute, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
+	w := &Watcher{Addr: "192.0.2.1:1", Seq: 5, AddressChanges: changes, IdleTimeout: time.Minute, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
 	w.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr != l.Addr().String() {
 			once.Do(func() { close(dialed) })
@@ -162,7 +162,7 @@
 		}
 	}()
 	got := make(chan core.Event, 8)
-	w := &Watcher{Addr: l.Addr().String(), Seq: 5, MaxSilence: idleTimeout, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
+	w := &Watcher{Addr: l.Addr().String(), Seq: 5, IdleTimeout: idleTimeout, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	defer func() { cancel(); <-done }()
--- a/discovery/known.go
+++ b/discovery/known.go
@@ -12,8 +12,8 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// Names are the settings' lists of zones and kinds; the gateway numbers zones and kinds by their index in these lists.
-type Names struct{ Zones, Kinds []string }
+// SettingNames are the settings' lists of zones and kinds; the gateway numbers zones and kinds by their index in these lists.
+type SettingNames struct{ Zones, Kinds []string }
 
 // The JSON form of the events in the configuration, whose field names differ from the terms used in the code: "known" holds the
 // events up to a sequence number, "fleet" is an endpoint list, "full" marks a snapshot, "invalidate" is a purge, and "bucket"
@@ -53,7 +53,7 @@
 }
 
 // ParseKnown parses the events in the configuration. The watch is to resume after the sequence number that it returns.
-func ParseKnown(text json.RawMessage, names Names) (seq uint64, events []core.Event, err error) {
+func ParseKnown(text json.RawMessage, names SettingNames) (seq uint64, events []core.Event, err error) {
 	if len(text) == 0 {
 		return 0, nil, nil
 	}
@@ -74,7 +74,7 @@
 }
 
 // toEvent returns the event of an entry, or nil if it has none that the gateway uses.
-func (e knownEvent) toEvent(names Names) (core.Event, error) {
+func (e knownEvent) toEvent(names SettingNames) (core.Event, error) {
 	switch {
 	case e.Invalidate != nil:
 		return e.Invalidate.toEvent()
@@ -96,7 +96,7 @@
 	return core.Purge{Object: object, At: p.Time}, nil
 }
 
-func (l knownEndpointList) toEvent(names Names) (core.Event, error) {
+func (l knownEndpointList) toEvent(names SettingNames) (core.Event, error) {
 	list := core.EndpointList{Snapshot: l.Full}
 	for i, entry := range l.Servers {
 		endpoint, err := entry.toEndpoint(names)
@@ -109,7 +109,7 @@
 }
 
 // toEndpoint validates and converts one entry of a list. Its errors start with the remainder of the path to the field.
-func (e knownEndpoint) toEndpoint(names Names) (core.Endpoint, error) {
+func (e knownEndpoint) toEndpoint(names SettingNames) (core.Endpoint, error) {
 	id, err := strconv.ParseUint(strings.TrimPrefix(e.ID, "s-"), 16, 32)
 	if err != nil {
 		return core.Endpoint{}, fmt.Errorf(".id: %q is no id", e.ID)
--- a/discovery/known_test.go
+++ b/discovery/known_test.go
@@ -12,7 +12,7 @@
 		{"seq":41,"fleet":{"version":7,"full":true,"servers":[{"id":"s-00c41f7a","addr":"10.1.0.9:5050","zone":"east",
 		"kind":"std","cell":2,"state":"Ready","weight":4,"started_ms":1764576000123}]}},
 		{"seq":42,"invalidate":{"object":"7f3a9c21e0b4d655","time":1764576000123}},
-		{"seq":43,"invalidate":{"bucket":17,"time":1764576000480}}]}`), Names{Zones: []string{"west", "east"}, Kinds: []string{"std"}})
+		{"seq":43,"invalidate":{"bucket":17,"time":1764576000480}}]}`), SettingNames{Zones: []string{"west", "east"}, Kinds: []string{"std"}})
 	if err != nil || seq != 43 || len(evs) != 3 {
 		t.Fatal(seq, evs, err)
 	}
@@ -22,7 +22,7 @@
 	if p := evs[2].(core.Purge); p.Group != 17 || p.Object != 0 {
 		t.Errorf("%+v", p)
 	}
-	if _, _, err := ParseKnown(json.RawMessage(`{"results":[{"fleet":{"servers":[{"id":"s-1","zone":"x"}]}}]}`), Names{}); err == nil {
+	if _, _, err := ParseKnown(json.RawMessage(`{"results":[{"fleet":{"servers":[{"id":"s-1","zone":"x"}]}}]}`), SettingNames{}); err == nil {
 		t.Error("an endpoint with an unknown zone was accepted")
 	}
 }
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -42,8 +42,8 @@
 	OnSynced func()
 	// Dial opens a connection; nil: net.Dialer.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// MaxSilence is the time without a received byte after which a watch fails; 0: defaultIdleTimeout.
-	MaxSilence time.Duration
+	// IdleTimeout is the time without a received byte after which a watch fails; 0: defaultIdleTimeout.
+	IdleTimeout time.Duration
 
 	missingSeq uint64 // sequence number of the missing event that was last requested again
 }
--- a/discovery/watcher_test.go
+++ b/discovery/watcher_test.go
@@ -173,10 +173,10 @@
 				return l.Addr().String()
 			}
 			got, changes := make(chan core.Event, 64), make(chan AddressChange)
-			w := &Watcher{Seq: 5, AddressChanges: changes, MaxSilence: 100 * time.Millisecond, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
+			w := &Watcher{Seq: 5, AddressChanges: changes, IdleTimeout: 100 * time.Millisecond, Post: func(ev core.Event) { got <- ev }, Log: zerolog.Nop()}
 			next := ""
 			if c.addressChanges {
-				w.MaxSilence = time.Minute
+				w.IdleTimeout = time.Minute
 				w.Addr, next = serve(c.connections[:1]), serve(c.connections[1:])
 			} else {
 				w.Addr = serve(c.connections)
