--- a/capacity/connections_test.go
+++ b/capacity/connections_test.go
@@ -91,7 +91,7 @@
 				bare := measureBareConnections(b, endpoints)
 				s := listenUnread(b)
 				pool := resp.New(resp.Options{
-					DialTimeout: 5000, ProbeTimeout: 60000, Streams: 100, MaxConns: 400, Clock: clock.System(), Log: zerolog.Nop(),
+					DialTimeout: 5000, HealthCheckTimeout: 60000, MaxAttemptsPerConn: 100, MaxConns: 400, Clock: clock.System(), Log: zerolog.Nop(),
 				}, func(core.Event) {})
 				list := core.EndpointList{Snapshot: true}
 				for i := range endpoints {
@@ -198,7 +198,7 @@
 	for _, endpoints := range endpointCounts {
 		for _, whole := range []bool{true, false} {
 			b.Run(fmt.Sprintf("stores=%d/whole=%v", endpoints, whole), func(b *testing.B) {
-				pool := resp.New(resp.Options{DialTimeout: 400, ProbeTimeout: 240, Streams: 100, MaxConns: 400, Clock: clock.System(),
+				pool := resp.New(resp.Options{DialTimeout: 400, HealthCheckTimeout: 240, MaxAttemptsPerConn: 100, MaxConns: 400, Clock: clock.System(),
 					Log: zerolog.Nop()}, func(core.Event) {})
 				defer pool.Close()
 				list := core.EndpointList{Snapshot: true, Endpoints: endpointList(endpoints)}
--- a/capacity/fleet_size_test.go
+++ b/capacity/fleet_size_test.go
@@ -86,8 +86,8 @@
 func listConsumers(b *testing.B) map[string]func(core.EndpointList) {
 	pool := resp.New(poolOptions(), func(core.Event) {})
 	rest := resp.New(poolOptions(), func(core.Event) {})
-	endpoints := map[uint32]httpstore.Store{}
-	httpStores := httpstore.New(httpstore.Options{Stores: endpoints, Clock: clock.System(), Log: zerolog.Nop()}, func(core.Event) {})
+	endpoints := map[uint32]httpstore.Endpoint{}
+	httpStores := httpstore.New(httpstore.Options{Endpoints: endpoints, Clock: clock.System(), Log: zerolog.Nop()}, func(core.Event) {})
 	mux := &mux.Upstream{Primary: httpStores, Fallback: rest}
 	g := newGateway(b, settings(900, 900), zerolog.Nop())
 	b.Cleanup(func() {
@@ -104,7 +104,7 @@
 }
 
 func poolOptions() resp.Options {
-	return resp.Options{DialTimeout: 400, ProbeTimeout: 240, Streams: 100, MaxConns: 393, Clock: clock.System(), Log: zerolog.Nop()}
+	return resp.Options{DialTimeout: 400, HealthCheckTimeout: 240, MaxAttemptsPerConn: 100, MaxConns: 393, Clock: clock.System(), Log: zerolog.Nop()}
 }
 
 // measureDecoding measures reading the frames that encode the events, and reports their size.
--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -82,7 +82,7 @@
 	}
 	o := parseOperator(t, operatorText)
 	checkEqual(t, o.Node(7), want)
-	checkEqual(t, o.HTTPStores(), map[uint32]httpstore.Store{20: {
+	checkEqual(t, o.HTTPStores(), map[uint32]httpstore.Endpoint{20: {
 		Base:   "http://127.0.0.1:9000/rides",
 		Signer: &httpstore.Signer{AccessKey: "gateway", SecretKey: "s", Region: "kz-1", Service: "s3"},
 	}})
--- a/config/stores.go
+++ b/config/stores.go
@@ -78,7 +78,7 @@
 	case s.Addr != "":
 		return rule{addressField(section + "addr"), address(s.Addr)}
 	default:
-		return rule{section + "base", httpstore.Store{Base: s.Base}.Check()}
+		return rule{section + "base", httpstore.Endpoint{Base: s.Base}.Check()}
 	}
 }
 
@@ -94,13 +94,13 @@
 }
 
 // HTTPStores returns the HTTP endpoints by ID.
-func (o *Operator) HTTPStores() map[uint32]httpstore.Store {
-	stores := map[uint32]httpstore.Store{}
+func (o *Operator) HTTPStores() map[uint32]httpstore.Endpoint {
+	stores := map[uint32]httpstore.Endpoint{}
 	for _, s := range o.Stores {
 		if s.Base == "" {
 			continue
 		}
-		store := httpstore.Store{Base: s.Base}
+		store := httpstore.Endpoint{Base: s.Base}
 		if s.Signer != "" {
 			store.Signer = o.signer(s.Signer)
 		}
--- a/core/rig_test.go
+++ b/core/rig_test.go
@@ -71,7 +71,7 @@
 		},
 	}
 	pool := resp.New(resp.Options{
-		DialTimeout: 5000, ProbeTimeout: 5000, Streams: 100, MaxConns: 40, Clock: r.clock, Log: zerolog.Nop(),
+		DialTimeout: 5000, HealthCheckTimeout: 5000, MaxAttemptsPerConn: 100, MaxConns: 40, Clock: r.clock, Log: zerolog.Nop(),
 	}, func(ev core.Event) { r.core.Post(ev) })
 	opt.MaxCopyAge = func() time.Duration { return time.Duration(r.maxCopyAge.Load()) }
 	if r.core, err = core.New(opt, pool); err != nil {
--- a/discovery/connect_test.go
+++ b/discovery/connect_test.go
@@ -14,7 +14,8 @@
 )
 
 // The first byte is received even if an overloaded server, which serves many other clients first, sends it later than
-// IdleTimeout after the connect. Closing each connection after IdleTimeout would make the gateway redial forever and add to the overload.
+// IdleTimeout after the connect. Closing each connection after IdleTimeout would make the gateway redial forever
+// and add to the overload.
 func TestSlowFirstByteIsReceived(t *testing.T) {
 	const idleTimeout = 100 * time.Millisecond
 	for name, firstByteDelay := range map[string]time.Duration{
--- a/gateway.go
+++ b/gateway.go
@@ -141,16 +141,16 @@
 // openPool opens the pool of connections to RESP endpoints.
 func (gw *gateway) openPool(post func(core.Event)) {
 	gw.pool = resp.New(resp.Options{
-		DialTimeout:  gw.node.DialTimeout,
-		IdleClose:    gw.node.IdleClose,
-		ProbeTimeout: healthCheckTimeout,
-		Streams:      gw.node.Streams,
-		MaxConns:     gw.limits.upstream,
-		Longest:      clock.Ms(longestDeadline(gw.node)),
-		NoProbes:     !gw.node.Settings.CanCheckHealth,
-		NoDrops:      !gw.node.Settings.CanCancel,
-		Clock:        gw.Clock,
-		Log:          gw.Log,
+		DialTimeout:         gw.node.DialTimeout,
+		IdleClose:           gw.node.IdleClose,
+		HealthCheckTimeout:  healthCheckTimeout,
+		MaxAttemptsPerConn:  gw.node.Streams,
+		MaxConns:            gw.limits.upstream,
+		MaxRequestDuration:  clock.Ms(longestDeadline(gw.node)),
+		DisableHealthChecks: !gw.node.Settings.CanCheckHealth,
+		DisableCancel:       !gw.node.Settings.CanCancel,
+		Clock:               gw.Clock,
+		Log:                 gw.Log,
 	}, post)
 	gw.addCloser(func() { gw.pool.Close() })
 }
@@ -158,7 +158,7 @@
 // openHTTPEndpoints opens the upstream for HTTP endpoints.
 func (gw *gateway) openHTTPEndpoints(post func(core.Event)) *httpstore.Upstream {
 	httpUpstream := httpstore.New(httpstore.Options{
-		Stores:      gw.Operator.HTTPStores(),
+		Endpoints:   gw.Operator.HTTPStores(),
 		DialTimeout: gw.node.DialTimeout,
 		IdleClose:   gw.node.IdleClose,
 		MaxConns:    connsPerHTTPEndpoint,
@@ -217,7 +217,7 @@
 func (gw *gateway) setProcessCount(processes int) {
 	setHeapLimit(gw.node, processes)
 	limits := newConnectionLimits(gw.node.Sockets / processes)
-	gw.pool.Limit(limits.upstream)
+	gw.pool.SetMaxConns(limits.upstream)
 	for _, f := range gw.frontends {
 		f.SetProcessShare(processes, limits.frontend/len(gw.frontends))
 	}
--- a/upstream/httpstore/httpstore.go
+++ b/upstream/httpstore/httpstore.go
@@ -25,22 +25,22 @@
 	"turnfork.dev/turnfork/internal/neterr"
 )
 
-// Store is the address of an endpoint, and the signer of its requests.
-type Store struct {
+// Endpoint is the address of an endpoint, and the signer of its requests.
+type Endpoint struct {
 	Base   string  // such as http://127.0.0.1:9000/bucket
 	Signer *Signer // nil: requests are not signed
 }
 
 // Options configure an upstream.
 type Options struct {
-	Stores      map[uint32]Store
-	DialTimeout float64 // ms
-	IdleClose   float64 // ms
-	Probe       string  // path of health checks, below Base; "": Base itself
-	MaxConns    int     // to one endpoint
-	Clock       *clock.Clock
-	Log         zerolog.Logger
-	Dial        func(ctx context.Context, network, addr string) (net.Conn, error) // nil: net.Dialer
+	Endpoints       map[uint32]Endpoint
+	DialTimeout     float64 // ms
+	IdleClose       float64 // ms
+	HealthCheckPath string  // path of health checks, below Base; "": Base itself
+	MaxConns        int     // to one endpoint
+	Clock           *clock.Clock
+	Log             zerolog.Logger
+	Dial            func(ctx context.Context, network, addr string) (net.Conn, error) // nil: net.Dialer
 }
 
 const (
@@ -69,7 +69,7 @@
 }
 
 type attempt struct {
-	to              uint32
+	endpoint        uint32
 	mayBeSent       bool // it has a connection, so bytes of it may have been sent
 	cancel          context.CancelFunc
 	cancelRequested bool
@@ -113,12 +113,12 @@
 func (u *Upstream) UpdateEndpoints(core.EndpointList) {}
 
 // Has reports whether this upstream reaches the endpoint.
-func (u *Upstream) Has(id uint32) bool { _, ok := u.opt.Stores[id]; return ok }
+func (u *Upstream) Has(id uint32) bool { _, ok := u.opt.Endpoints[id]; return ok }
 
 // Send makes an attempt.
 func (u *Upstream) Send(s core.AttemptRequest) {
 	ctx, cancel := context.WithCancel(u.ctx)
-	a := &attempt{cancel: cancel, to: s.Endpoint}
+	a := &attempt{cancel: cancel, endpoint: s.Endpoint}
 	u.mu.Lock()
 	u.open[s.AttemptKey] = a
 	if _, excluded := u.excluded[s.Endpoint]; excluded {
@@ -174,7 +174,7 @@
 	}
 	u.excluded[endpoint] = struct{}{}
 	for _, a := range u.open {
-		if a.to == endpoint && !a.mayBeSent {
+		if a.endpoint == endpoint && !a.mayBeSent {
 			a.cancel()
 		}
 	}
@@ -188,7 +188,7 @@
 
 func (u *Upstream) roundTrip(ctx context.Context, s core.AttemptRequest, a *attempt) core.AttemptResult {
 	result := core.AttemptResult{AttemptKey: s.AttemptKey, Outcome: control.NotSent}
-	endpoint, ok := u.opt.Stores[s.Endpoint]
+	endpoint, ok := u.opt.Endpoints[s.Endpoint]
 	if !ok {
 		return result
 	}
@@ -318,7 +318,7 @@
 
 // CheckHealth checks whether an endpoint responds. The result has no load report.
 func (u *Upstream) CheckHealth(endpoint uint32) {
-	target, ok := u.opt.Stores[endpoint]
+	target, ok := u.opt.Endpoints[endpoint]
 	u.wg.Add(1)
 	go func() {
 		defer u.wg.Done()
@@ -333,7 +333,7 @@
 	}()
 }
 
-func (u *Upstream) checkHealth(endpoint Store) control.Outcome {
+func (u *Upstream) checkHealth(endpoint Endpoint) control.Outcome {
 	ctx, cancel := context.WithTimeout(u.ctx, healthCheckTimeout*time.Millisecond)
 	defer cancel()
 	var connecting atomic.Bool // it no longer waits for one of the limited connections
@@ -341,7 +341,7 @@
 		ConnectStart: func(string, string) { connecting.Store(true) },
 		GotConn:      func(httptrace.GotConnInfo) { connecting.Store(true) },
 	})
-	req, err := http.NewRequestWithContext(ctx, http.MethodHead, strings.TrimSuffix(endpoint.Base, "/")+"/"+u.opt.Probe, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodHead, strings.TrimSuffix(endpoint.Base, "/")+"/"+u.opt.HealthCheckPath, nil)
 	if err != nil {
 		return control.ConnectFailed
 	}
@@ -367,7 +367,7 @@
 }
 
 // Check returns an error if Base is not an absolute HTTP URL without a query.
-func (s Store) Check() error {
+func (s Endpoint) Check() error {
 	u, err := url.Parse(s.Base)
 	if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" || u.RawQuery != "" {
 		return fmt.Errorf("%q is no HTTP address", s.Base)
--- a/upstream/httpstore/httpstore_test.go
+++ b/upstream/httpstore/httpstore_test.go
@@ -110,7 +110,7 @@
 	l.Close()
 	got := make(chan core.Event, 16)
 	u := New(Options{
-		Stores: map[uint32]Store{1: {srv.URL + "/rides", &signer}, 2: {"http://" + unused, nil}}, DialTimeout: 5000,
+		Endpoints: map[uint32]Endpoint{1: {srv.URL + "/rides", &signer}, 2: {"http://" + unused, nil}}, DialTimeout: 5000,
 		IdleClose: 15000, MaxConns: 4, Clock: at, Log: zerolog.Nop(),
 	}, func(ev core.Event) { got <- ev })
 	defer u.Close()
@@ -155,7 +155,7 @@
 	defer srv.Close()
 	results := make(chan core.Event, 8)
 	u := New(Options{
-		Stores: map[uint32]Store{1: {Base: srv.URL}}, DialTimeout: 5000, IdleClose: 5000, MaxConns: 4,
+		Endpoints: map[uint32]Endpoint{1: {Base: srv.URL}}, DialTimeout: 5000, IdleClose: 5000, MaxConns: 4,
 		Clock: clock.Manual(1.8e12), Log: zerolog.Nop(),
 	}, func(ev core.Event) { results <- ev })
 	defer u.Close()
@@ -184,7 +184,7 @@
 	defer srv.Close()
 	got := make(chan core.Event, 4)
 	u := New(Options{
-		Stores: map[uint32]Store{1: {srv.URL, nil}}, DialTimeout: 5000, IdleClose: 15000, MaxConns: 1,
+		Endpoints: map[uint32]Endpoint{1: {srv.URL, nil}}, DialTimeout: 5000, IdleClose: 15000, MaxConns: 1,
 		Clock: clock.Manual(1.8e12), Log: zerolog.Nop(),
 	}, func(ev core.Event) { got <- ev })
 	defer u.Close()
@@ -244,7 +244,7 @@
 			}))
 			defer srv.Close()
 			ended := make(chan core.AttemptResult, 2)
-			u := New(Options{Stores: map[uint32]Store{1: {Base: srv.URL}}, DialTimeout: 5000, IdleClose: 60000, MaxConns: 1,
+			u := New(Options{Endpoints: map[uint32]Endpoint{1: {Base: srv.URL}}, DialTimeout: 5000, IdleClose: 60000, MaxConns: 1,
 				Clock: clock.Manual(1e12), Log: zerolog.Nop()}, func(ev core.Event) { ended <- ev.(core.AttemptResult) })
 			defer u.Close()
 			u.Send(core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 1}, Endpoint: 1, Class: "first", ObjectName: "a"})
@@ -282,7 +282,7 @@
 		}))
 		defer srv.Close()
 		ended := make(chan core.AttemptResult, 1)
-		u := New(Options{Stores: map[uint32]Store{1: {Base: srv.URL}}, DialTimeout: 5000, IdleClose: 60000, MaxConns: 1,
+		u := New(Options{Endpoints: map[uint32]Endpoint{1: {Base: srv.URL}}, DialTimeout: 5000, IdleClose: 60000, MaxConns: 1,
 			Clock: clock.Manual(1e12), Log: zerolog.Nop()}, func(ev core.Event) { ended <- ev.(core.AttemptResult) })
 		defer u.Close()
 		s := core.AttemptRequest{AttemptKey: core.AttemptKey{ID: 1}, Endpoint: 1, Class: "ride-end", ObjectName: "a", Write: true, Canceled: new(atomic.Bool)}
--- a/upstream/httpstore/local_failure_test.go
+++ b/upstream/httpstore/local_failure_test.go
@@ -22,7 +22,7 @@
 	t.Cleanup(server.Close)
 	dialer, events := &faultnet.Dialer{}, make(chan core.Event, 64)
 	u := New(Options{
-		Stores: map[uint32]Store{1: {Base: server.URL}}, DialTimeout: 5000, IdleClose: 60000, MaxConns: conns,
+		Endpoints: map[uint32]Endpoint{1: {Base: server.URL}}, DialTimeout: 5000, IdleClose: 60000, MaxConns: conns,
 		Clock: clock.Manual(1.8e12), Log: zerolog.Nop(), Dial: dialer.DialContext,
 	}, func(ev core.Event) { events <- ev })
 	t.Cleanup(u.Close)
--- a/upstream/resp/conn.go
+++ b/upstream/resp/conn.go
@@ -100,7 +100,7 @@
 // forgetExpiredIDs deletes the retired IDs for which no response can arrive any more.
 func (c *conn) forgetExpiredIDs(now float64) {
 	for id, since := range c.retiredIDs {
-		if now-since > max(retiredIDTTL, c.pool.opt.Longest) {
+		if now-since > max(retiredIDTTL, c.pool.opt.MaxRequestDuration) {
 			delete(c.retiredIDs, id)
 		}
 	}
@@ -139,7 +139,7 @@
 // are in flight.
 func (c *conn) addBarrier(drops []core.AttemptKey) (id string) {
 	_, excluded := c.pool.excluded[c.peer.id]
-	if len(drops) == 0 || excluded || !c.peer.ready || len(c.barriers) >= maxBarriers || c.pool.opt.NoProbes {
+	if len(drops) == 0 || excluded || !c.peer.ready || len(c.barriers) >= maxBarriers || c.pool.opt.DisableHealthChecks {
 		return ""
 	}
 	c.pool.lastProbeID++
--- a/upstream/resp/local_failure_test.go
+++ b/upstream/resp/local_failure_test.go
@@ -211,7 +211,7 @@
 		return acknowledge(c)
 	})
 	defer close(hold)
-	b.pool.opt.MaxConns, b.pool.opt.Streams = 1, 1
+	b.pool.opt.MaxConns, b.pool.opt.MaxAttemptsPerConn = 1, 1
 	b.pool.Send(newRequest(1, 0, 1))
 	b.waitUntil("the request arrives at the endpoint", func() bool { return len(s.Commands("GET")) == 1 })
 	second := newRequest(2, 0, 1)
@@ -256,7 +256,7 @@
 				t.Fatal(err)
 			}
 			dialer := &faultnet.Dialer{}
-			pool := New(Options{DialTimeout: 5000, ProbeTimeout: 5000, Streams: 100, MaxConns: 40, Clock: clk, Log: zerolog.Nop(),
+			pool := New(Options{DialTimeout: 5000, HealthCheckTimeout: 5000, MaxAttemptsPerConn: 100, MaxConns: 40, Clock: clk, Log: zerolog.Nop(),
 				Dial: dialer.DialContext}, module.Post)
 			defer pool.Close()
 			up.Upstream = pool
--- a/upstream/resp/resp.go
+++ b/upstream/resp/resp.go
@@ -20,17 +20,17 @@
 
 // Options set the limits of an upstream.
 type Options struct {
-	DialTimeout  float64 // ms
-	IdleClose    float64 // ms after which endpoints close idle connections; the pool closes them somewhat earlier
-	ProbeTimeout float64 // ms, of health checks and PINGs
-	Streams      int     // maximum number of attempts in flight on one connection
-	MaxConns     int     // to all endpoints together
-	Longest      float64 // ms, the maximum duration of a request
-	NoProbes     bool    // health checks are disabled, and with them PINGs: only time resolves an unconfirmed cancellation
-	NoDrops      bool    // cancellation is disabled: no DROP is sent, and a canceled attempt runs to its end at the endpoint
-	Clock        *clock.Clock
-	Log          zerolog.Logger
-	Dial         func(ctx context.Context, network, addr string) (net.Conn, error) // nil: net.Dialer
+	DialTimeout         float64 // ms
+	IdleClose           float64 // ms after which endpoints close idle connections; the pool closes them somewhat earlier
+	HealthCheckTimeout  float64 // ms, of health checks and PINGs
+	MaxAttemptsPerConn  int     // maximum number of attempts in flight on one connection
+	MaxConns            int     // to all endpoints together
+	MaxRequestDuration  float64 // ms, the maximum duration of a request
+	DisableHealthChecks bool    // health checks are disabled, and with them PINGs: only time resolves an unconfirmed cancellation
+	DisableCancel       bool    // cancellation is disabled: no DROP is sent, and a canceled attempt runs to its end at the endpoint
+	Clock               *clock.Clock
+	Log                 zerolog.Logger
+	Dial                func(ctx context.Context, network, addr string) (net.Conn, error) // nil: net.Dialer
 }
 
 const (
@@ -159,8 +159,8 @@
 	}
 }
 
-// Limit changes the maximum number of connections. Existing connections above it stay open until they are idle.
-func (p *Pool) Limit(maxConns int) {
+// SetMaxConns changes the maximum number of connections. Existing connections above it stay open until they are idle.
+func (p *Pool) SetMaxConns(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.opt.MaxConns = max(1, maxConns)
@@ -351,13 +351,13 @@
 	for _, ev := range ended {
 		p.postAsync(ev)
 	}
-	p.after(p.opt.ProbeTimeout, func() { p.cancelAndPost(a, control.TimedOut) })
+	p.after(p.opt.HealthCheckTimeout, func() { p.cancelAndPost(a, control.TimedOut) })
 }
 
 // ConfirmCancel has an endpoint confirm that it reads what is written to it now: with the PING behind the attempt's DROP if
 // that is in flight, else with a separate PING. Calls made before that PING is written share it.
 func (p *Pool) ConfirmCancel(k core.AttemptKey, endpoint uint32) bool {
-	if p.opt.NoProbes {
+	if p.opt.DisableHealthChecks {
 		return false
 	}
 	p.mu.Lock()
@@ -452,7 +452,7 @@
 			return p.endAttempt(a, outcome)
 		}
 		return p.endAttempt(a, control.NotSent)
-	case a.probe || p.opt.NoDrops:
+	case a.probe || p.opt.DisableCancel:
 		if a.conn.markIfUnresponsive(a); !a.probe { // its response may still arrive
 			a.conn.retireID(a.wireID)
 		}
@@ -501,7 +501,7 @@
 		go p.dial(q, q.addr, a)
 		return nil
 	}
-	c := q.pickConn(a.wireID, p.opt.Streams)
+	c := q.pickConn(a.wireID, p.opt.MaxAttemptsPerConn)
 	needsDial := c == nil || len(c.open) >= dialThreshold && p.now() > q.dialFailedAt+redialDelay
 	if needsDial && !q.dialing && p.conns < p.opt.MaxConns && q.countConns() < p.peerConnLimit() {
 		q.dialing = true
--- a/upstream/resp/resp_test.go
+++ b/upstream/resp/resp_test.go
@@ -34,7 +34,7 @@
 func newTestPool(t testing.TB, addrs ...string) *testPool {
 	b := &testPool{t: t, posted: make(chan struct{}, 1<<16), clock: clock.Manual(1e12)}
 	b.pool = New(Options{
-		DialTimeout: 5000, ProbeTimeout: 5000, Streams: 100, MaxConns: 40, Clock: b.clock, Log: zerolog.Nop(),
+		DialTimeout: 5000, HealthCheckTimeout: 5000, MaxAttemptsPerConn: 100, MaxConns: 40, Clock: b.clock, Log: zerolog.Nop(),
 	}, func(ev core.Event) {
 		b.mu.Lock()
 		if s, ok := ev.(core.CancelConfirmed); ok {
--- a/upstream/resp/unsent_test.go
+++ b/upstream/resp/unsent_test.go
@@ -144,18 +144,18 @@
 // request duration of the settings.
 func TestIDsAreNotReusedWithinLongestRequest(t *testing.T) {
 	for _, c := range []struct {
-		longest, after float64
-		used           bool
+		maxDuration, after float64
+		used               bool
 	}{{500, 9999, true}, {500, 10001, false}, {60000, 10001, true}, {60000, 59999, true}, {60000, 60001, false}} {
 		b := newTestPool(t)
-		b.pool.opt.Longest = c.longest
+		b.pool.opt.MaxRequestDuration = c.maxDuration
 		near, far := net.Pipe()
 		defer far.Close()
 		conn := newConn(b.pool, &peer{}, near)
 		conn.retireID("a")
 		conn.forgetExpiredIDs(b.clock.Now() + c.after)
 		if conn.idInUse("a") != c.used {
-			t.Errorf("longest %v, after %v: in use %t", c.longest, c.after, !c.used)
+			t.Errorf("longest %v, after %v: in use %t", c.maxDuration, c.after, !c.used)
 		}
 	}
 }
@@ -202,12 +202,12 @@
 // Commands that the settings disable are not written: no PING without health checks, and no DROP without cancellation.
 func TestDisabledCommandsAreNotWritten(t *testing.T) {
 	for _, x := range []struct {
-		noProbes, noDrops bool
-		pings, drops      int
+		disableHealthChecks, disableCancel bool
+		pings, drops                       int
 	}{{false, false, 1, 1}, {true, false, 0, 1}, {false, true, 0, 0}, {true, true, 0, 0}} {
 		s, hold := newBlockingEndpoint(t)
 		b := newTestPool(t, s.Addr())
-		b.pool.opt.NoProbes, b.pool.opt.NoDrops, b.pool.opt.MaxConns = x.noProbes, x.noDrops, 1
+		b.pool.opt.DisableHealthChecks, b.pool.opt.DisableCancel, b.pool.opt.MaxConns = x.disableHealthChecks, x.disableCancel, 1
 		k := newRequest(1, 0, 1).AttemptKey
 		b.pool.Send(newRequest(1, 0, 1))
 		b.waitUntil("the attempt arrives", func() bool { return len(s.Commands("GET")) == 1 })
@@ -227,7 +227,7 @@
 		if p, d := len(s.Commands("PING")), len(s.Commands("DROP")); p != x.pings || d != x.drops {
 			t.Errorf("%+v: %d PINGs and %d DROPs", x, p, d)
 		}
-		if got := b.pool.ConfirmCancel(core.AttemptKey{ID: 9}, 1); got == x.noProbes {
+		if got := b.pool.ConfirmCancel(core.AttemptKey{ID: 9}, 1); got == x.disableHealthChecks {
 			t.Errorf("%+v: cancellations can be confirmed: %t", x, got)
 		}
 		b.pool.Close()
@@ -343,7 +343,7 @@
 	} {
 		w := &gatedConn{held: make(chan struct{}), resume: make(chan struct{}), closeCalled: make(chan struct{}, 1)}
 		ended := make(chan core.Event, 8)
-		p := New(Options{DialTimeout: 5000, Streams: 100, MaxConns: 40, Clock: clock.Manual(1e12), Log: zerolog.Nop(),
+		p := New(Options{DialTimeout: 5000, MaxAttemptsPerConn: 100, MaxConns: 40, Clock: clock.Manual(1e12), Log: zerolog.Nop(),
 			Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 				w.TCPConn, _ = c.(*net.TCPConn)
