--- a/admin_test.go
+++ b/admin_test.go
@@ -17,7 +17,7 @@
 type fakeFrontend struct{ draining bool }
 
 func (f *fakeFrontend) Serve(context.Context, net.Listener) error { return nil }
-func (f *fakeFrontend) Open() int                                 { return 0 }
+func (f *fakeFrontend) OpenRequests() int                         { return 0 }
 func (f *fakeFrontend) Conns() int                                { return 0 }
 func (f *fakeFrontend) Drain(on bool)                             { f.draining = on }
 func (f *fakeFrontend) Stop()                                     {}
--- a/claims_test.go
+++ b/claims_test.go
@@ -29,7 +29,7 @@
 	members   []replica.Member
 	dirs      []string
 	stores    [3]*replica.Store
-	frontends [3]*signed.Front
+	frontends [3]*signed.Frontend
 	clock     *clock.Clock
 	keys      *ring.Ring
 	cert      func() (*tls.Config, error)
@@ -171,11 +171,11 @@
 	c.frontends[i] = c.newFrontend(faultyMember{c.stores[i], c}, deadline, 20000)
 }
 
-// newFrontend returns a frontend that claims tokens at a member. A claim may take up to claimMost ms.
-func (c *gatewayGroup) newFrontend(member signed.Claims, deadline, claimMost float64) *signed.Front {
+// newFrontend returns a frontend that claims tokens at a member. A claim may take up to claimTimeout ms.
+func (c *gatewayGroup) newFrontend(member signed.Claims, deadline, claimTimeout float64) *signed.Frontend {
 	return signed.New(signed.Options{
-		Post: answeringCore(&c.runs), Clock: c.clock, Log: zerolog.Nop(), Ring: c.keys, Claims: member, Leeway: 10000,
-		Classes: []signed.Class{{Name: "ride-end", Deadline: deadline, Write: true}}, ClaimMost: claimMost,
+		Post: answeringCore(&c.runs), Clock: c.clock, Log: zerolog.Nop(), Ring: c.keys, Claims: member, MaxClockSkew: 10000,
+		Classes: []signed.Class{{Name: "ride-end", Deadline: deadline, Write: true}}, ClaimTimeout: claimTimeout,
 	})
 }
 
@@ -190,7 +190,7 @@
 }
 
 // endRide sends a ride-end request to a frontend over a pipe, and returns the status and the reported state of the claim.
-func (c *gatewayGroup) endRide(f *signed.Front, url string) (int, string) {
+func (c *gatewayGroup) endRide(f *signed.Frontend, url string) (int, string) {
 	c.Helper()
 	client, server := net.Pipe()
 	go f.Handle(server)
--- a/front/arrival.go
+++ b/front/arrival.go
@@ -102,6 +102,6 @@
 // timed wraps the connection's reader to record when its bytes arrived.
 func (a *arrivals) timed(r io.Reader) io.Reader { return timedReader{a, r} }
 
-// Arrived returns when the bytes that were last read through CountReads arrived at this machine, or the time of the accept if
+// ArrivedAt returns when the bytes that were last read through CountReads arrived at this machine, or the time of the accept if
 // none were read. Only the reader's goroutine may call it.
-func (s *Conn) Arrived() float64 { return s.arrivals.arrivedAt }
+func (s *Conn) ArrivedAt() float64 { return s.arrivals.arrivedAt }
--- a/front/arrival_test.go
+++ b/front/arrival_test.go
@@ -58,8 +58,8 @@
 	return conn, conn.CountReads(nc)
 }
 
-// Arrived is the time at which the bytes arrived at this machine, however late they are read.
-func TestArrivedIsIndependentOfReadTime(t *testing.T) {
+// ArrivedAt returns the time at which the bytes arrived at this machine, however late they are read.
+func TestArrivedAtIsIndependentOfReadTime(t *testing.T) {
 	const wait = 300.0 // ms
 	read := func(t *testing.T, r io.Reader, want string) {
 		t.Helper()
@@ -75,7 +75,7 @@
 		clk := clock.Manual(1e12)
 		conn, r := trackReads(clk, far) // accepted after the bytes arrived
 		read(t, r, "a")
-		if at := conn.Arrived(); at > clk.Now()-60 || at < clk.Now()-20000 {
+		if at := conn.ArrivedAt(); at > clk.Now()-60 || at < clk.Now()-20000 {
 			t.Errorf("arrived %v ms ago, want 60", clk.Now()-at)
 		}
 	})
@@ -87,13 +87,13 @@
 		clk.Advance(wait)
 		for _, want := range []string{"a", "bc"} { // both from the same backlog
 			read(t, r, want)
-			if at := conn.Arrived(); at > 1e12 {
+			if at := conn.ArrivedAt(); at > 1e12 {
 				t.Errorf("%q arrived %v ms ago, want %v", want, clk.Now()-at, wait)
 			}
 		}
 		write(t, near, far, "d")
 		read(t, r, "d")
-		if at := conn.Arrived(); at < 1e12+wait/2 {
+		if at := conn.ArrivedAt(); at < 1e12+wait/2 {
 			t.Errorf("the bytes after the backlog arrived %v ms ago", clk.Now()-at)
 		}
 	})
@@ -113,7 +113,7 @@
 			t.Fatal(err)
 		}
 		<-done
-		if at := conn.Arrived(); at < 1e12+wait/2 {
+		if at := conn.ArrivedAt(); at < 1e12+wait/2 {
 			t.Errorf("arrived %v ms ago, want 0", clk.Now()-at)
 		}
 	})
@@ -125,7 +125,7 @@
 		clk.Advance(wait)
 		go near.Write([]byte("a"))
 		read(t, r, "a")
-		if at := conn.Arrived(); at != clk.Now() {
+		if at := conn.ArrivedAt(); at != clk.Now() {
 			t.Errorf("arrived %v ms ago, want 0", clk.Now()-at)
 		}
 	})
@@ -154,7 +154,7 @@
 				return
 			}
 			conn.CountReads(nc).Read(make([]byte, 2))
-			arrived <- conn.Arrived()
+			arrived <- conn.ArrivedAt()
 		})
 	}()
 	defer func() { cancel(); <-served }()
@@ -240,7 +240,7 @@
 			clk.Advance(x.delay)
 			close(g.resume)
 			<-done
-			if at := conn.Arrived(); (at <= last) != x.early {
+			if at := conn.ArrivedAt(); (at <= last) != x.early {
 				t.Errorf("arrived %v ms ago, %v ms after the heartbeat", clk.Now()-at, at-last)
 			}
 		})
--- a/front/close_test.go
+++ b/front/close_test.go
@@ -104,7 +104,7 @@
 
 // unread reports whether there are bytes in the socket's receive buffer.
 func unread(c *net.TCPConn) bool {
-	readable, _ := front.Pending(c)
+	readable, _ := front.PollConn(c)
 	return readable
 }
 
--- a/front/conn.go
+++ b/front/conn.go
@@ -41,8 +41,8 @@
 	s.shedPartial = f
 }
 
-// OnHandOver sets the function that starts the connection's handover to another process. Leave calls it, or OnHandOver itself
-// if Leave was called before. From then until HandedOver is called, a drain does not close the connection.
+// OnHandOver sets the function that starts the connection's handover to another process. Retire calls it, or OnHandOver itself
+// if Retire was called before. From then until HandedOver is called, a drain does not close the connection.
 func (s *Conn) OnHandOver(f func()) {
 	s.server.mu.Lock()
 	s.handOver = f
--- a/front/drain.go
+++ b/front/drain.go
@@ -59,9 +59,9 @@
 	s.draining = on
 }
 
-// Leave closes the server's connections because another process accepts the new ones. With handOver, connections are handed
+// Retire closes the server's connections because another process accepts the new ones. With handOver, connections are handed
 // over to that process if their frontend supports it. All others are closed as soon as they are idle.
-func (s *Server) Leave(handOver bool) {
+func (s *Server) Retire(handOver bool) {
 	var handovers []func()
 	s.mu.Lock()
 	s.retiring, s.retireStartedAt, s.handOverConns = true, s.Clock.Now(), handOver
--- a/front/fastcgi/cancel_test.go
+++ b/front/fastcgi/cancel_test.go
@@ -54,7 +54,7 @@
 			c.Write(append(beginRecord(1), paramsAndStdin(1, "/v1/tile", "0a")...))
 			<-called // the core is blocked from here on
 			c.Write(append(beginRecord(2), paramsAndStdin(2, "/v1/tile", "0b")...))
-			for f.Open() < 2 {
+			for f.OpenRequests() < 2 {
 				time.Sleep(time.Millisecond)
 			}
 			way.cancel(c)
@@ -74,7 +74,7 @@
 				t.Errorf("first request canceled: %t", first.Canceled.Load())
 			}
 			close(resume)
-			f.events.Put(core.GetStats{}) // the last event
+			f.events.Push(core.GetStats{}) // the last event
 			for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 				mu.Lock()
 				_, last := posted[len(posted)-1].(core.GetStats)
--- a/front/fastcgi/deadline_test.go
+++ b/front/fastcgi/deadline_test.go
@@ -42,7 +42,7 @@
 }
 
 // forwardingFront returns a frontend that sends the requests for the core to a channel.
-func forwardingFront(clk *clock.Clock, requests chan<- core.Request) *Front {
+func forwardingFront(clk *clock.Clock, requests chan<- core.Request) *Frontend {
 	return New(Options{Clock: clk, Log: zerolog.Nop(), Post: func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
 			requests <- a
@@ -78,7 +78,7 @@
 		f := forwardingFront(clk, requests)
 		go f.Handle(far)
 		near.Write(head)
-		eventually(t, "the beginning of the request", func() bool { return f.Open() == 1 })
+		eventually(t, "the beginning of the request", func() bool { return f.OpenRequests() == 1 })
 		clk.Advance(wait)
 		near.Write(end)
 		expectReceivedAt(t, requests, 1e12+wait-slack, 1e12+wait)
@@ -95,12 +95,12 @@
 			return net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 		}
 		requests, clk := make(chan core.Request, 1), clock.Manual(1e12)
-		frontends := []*Front{forwardingFront(clk, requests), forwardingFront(clk, requests), forwardingFront(clk, requests)}
+		frontends := []*Frontend{forwardingFront(clk, requests), forwardingFront(clk, requests), forwardingFront(clk, requests)}
 		var served sync.WaitGroup
 		served.Go(func() { frontends[0].Handle(far) })
 		near.Write(head)
 		for i, f := range frontends[:2] {
-			eventually(t, "the beginning of the request", func() bool { return f.Open() == 1 })
+			eventually(t, "the beginning of the request", func() bool { return f.OpenRequests() == 1 })
 			clk.Advance(wait)
 			f.HandOver(successor)
 			from, err := u.AcceptUnix()
@@ -109,7 +109,7 @@
 			}
 			served.Go(func() { frontends[i+1].Adopt(from) })
 		}
-		eventually(t, "the beginning of the request", func() bool { return frontends[2].Open() == 1 })
+		eventually(t, "the beginning of the request", func() bool { return frontends[2].OpenRequests() == 1 })
 		near.Write(end)
 		expectReceivedAt(t, requests, 1e12+2*wait-slack, 1e12+2*wait)
 		near.Close()
--- a/front/fastcgi/fastcgi.go
+++ b/front/fastcgi/fastcgi.go
@@ -27,14 +27,14 @@
 
 // Options configures a frontend.
 type Options struct {
-	Post       func(core.Event) // passes an event to the core
-	Clock      *clock.Clock
-	Log        zerolog.Logger
-	MaxConns   int                          // simultaneous connections; 0: 300
-	MaxBytes   int64                        // bytes of responses queued for writing, over all connections; 0: 48 MB
-	RetryAfter float64                      // ms; X-Throttle-Ms of rejections in a drain and of overload responses; 0: no header
-	MaxTaken   int64                        // bytes of parameters and bodies of open requests, over all connections; 0: 16 MB
-	Tap        func(conn net.Conn) net.Conn // wraps each connection, for recording; nil: none
+	Post             func(core.Event) // passes an event to the core
+	Clock            *clock.Clock
+	Log              zerolog.Logger
+	MaxConns         int                          // simultaneous connections; 0: 300
+	MaxResponseBytes int64                        // bytes of responses queued for writing, over all connections; 0: 48 MB
+	RetryAfter       float64                      // ms; X-Throttle-Ms of rejections in a drain and of overload responses; 0: no header
+	MaxRequestBytes  int64                        // bytes of parameters and bodies of open requests, over all connections; 0: 16 MB
+	Tap              func(conn net.Conn) net.Conn // wraps each connection, for recording; nil: none
 }
 
 const (
@@ -51,81 +51,81 @@
 	maxSubmitDelay = 10.0 // ms for which a complete request is held back until the bytes received after it are read
 )
 
-// Front accepts FastCGI connections at one listener.
-type Front struct {
+// Frontend accepts FastCGI connections at one listener.
+type Frontend struct {
 	opt            Options
 	server         front.Server
-	responseBudget front.Budget              // for responses queued for writing
-	requestBudget  front.Budget              // for parameters and bodies of open requests
-	events         front.Mailbox[core.Event] // to the core
+	responseBudget front.Budget                 // for responses queued for writing
+	requestBudget  front.Budget                 // for parameters and bodies of open requests
+	events         front.EventQueue[core.Event] // to the core
 	successor      atomic.Pointer[func() (*net.UnixConn, error)]
 	open           atomic.Int64 // unanswered requests plus unwritten responses
 }
 
 // New returns a frontend that passes its requests to opt.Post.
-func New(opt Options) *Front {
+func New(opt Options) *Frontend {
 	if opt.MaxConns <= 0 {
 		opt.MaxConns = 300
 	}
-	if opt.MaxBytes <= 0 {
-		opt.MaxBytes = 48 << 20
+	if opt.MaxResponseBytes <= 0 {
+		opt.MaxResponseBytes = 48 << 20
 	}
-	if opt.MaxTaken <= 0 {
-		opt.MaxTaken = 16 << 20
+	if opt.MaxRequestBytes <= 0 {
+		opt.MaxRequestBytes = 16 << 20
 	}
-	return &Front{
+	return &Frontend{
 		opt: opt,
 		server: front.Server{
 			Max: opt.MaxConns, FirstByteTimeout: firstByteTimeout, IdleTimeout: idleTimeout, ReadTimeout: readTimeout, RequestTimeout: requestTimeout,
 			Clock: opt.Clock, Log: opt.Log, Tap: opt.Tap,
 		},
-		responseBudget: front.Budget{Most: opt.MaxBytes}, requestBudget: front.Budget{Most: opt.MaxTaken},
-		events: front.Mailbox[core.Event]{Post: opt.Post},
+		responseBudget: front.Budget{Limit: opt.MaxResponseBytes}, requestBudget: front.Budget{Limit: opt.MaxRequestBytes},
+		events: front.EventQueue[core.Event]{Post: opt.Post},
 	}
 }
 
 // Serve accepts connections until the listener is closed or ctx is done, and returns once all its connections have ended.
 // When ctx is done, they are closed at once.
-func (f *Front) Serve(ctx context.Context, l net.Listener) error {
+func (f *Frontend) Serve(ctx context.Context, l net.Listener) error {
 	return f.server.Serve(ctx, l, f.handle)
 }
 
 // Handle serves one connection until it ends.
-func (f *Front) Handle(nc net.Conn) { f.server.Handle(nc, f.handle) }
+func (f *Frontend) Handle(nc net.Conn) { f.server.Handle(nc, f.handle) }
 
-// Open returns the number of requests that are not answered or whose response is not yet written.
-func (f *Front) Open() int { return int(f.open.Load()) }
+// OpenRequests returns the number of requests that are not answered or whose response is not yet written.
+func (f *Frontend) OpenRequests() int { return int(f.open.Load()) }
 
 // Drain starts a drain, in which the frontend closes its connections, or with on false ends it.
-func (f *Front) Drain(on bool) { f.server.Drain(on) }
+func (f *Frontend) Drain(on bool) { f.server.Drain(on) }
 
 // Stop closes each connection once the requests that were read from it are answered, and rejects new requests.
-func (f *Front) Stop() { f.server.Stop() }
+func (f *Frontend) Stop() { f.server.Stop() }
 
 // HandOver hands the connections over to the process that successor dials. A connection whose handover fails is closed once
 // no request is open on it, and so are all of them if successor is nil.
-func (f *Front) HandOver(successor func() (*net.UnixConn, error)) {
+func (f *Frontend) HandOver(successor func() (*net.UnixConn, error)) {
 	if successor != nil {
 		f.successor.Store(&successor)
 	}
-	f.server.Leave(successor != nil)
+	f.server.Retire(successor != nil)
 }
 
 // Conns returns the number of open connections.
-func (f *Front) Conns() int { return f.server.Conns() }
+func (f *Frontend) Conns() int { return f.server.Conns() }
 
 // SetProcessShare divides the limits on buffered bytes by the number of processes that share the memory, and sets the
 // connection limit.
-func (f *Front) SetProcessShare(processes, conns int) {
-	f.server.Limit(conns)
-	f.responseBudget.Limit(f.opt.MaxBytes / int64(processes))
-	f.requestBudget.Limit(f.opt.MaxTaken / int64(processes))
+func (f *Frontend) SetProcessShare(processes, conns int) {
+	f.server.SetMaxConns(conns)
+	f.responseBudget.SetLimit(f.opt.MaxResponseBytes / int64(processes))
+	f.requestBudget.SetLimit(f.opt.MaxRequestBytes / int64(processes))
 }
 
-func (f *Front) handle(nc net.Conn, serverConn *front.Conn) { f.serve(nc, serverConn, nil) }
+func (f *Frontend) handle(nc net.Conn, serverConn *front.Conn) { f.serve(nc, serverConn, nil) }
 
 // serve serves a connection. state is that of a connection that was handed over, else nil.
-func (f *Front) serve(nc net.Conn, serverConn *front.Conn, state *handoverState) {
+func (f *Frontend) serve(nc net.Conn, serverConn *front.Conn, state *handoverState) {
 	c := &conn{
 		frontend: f, net: nc, serverConn: serverConn, open: map[uint16]*request{}, wake: make(chan struct{}, 1), ended: make(chan struct{}),
 	}
@@ -165,7 +165,7 @@
 }
 
 type conn struct {
-	frontend   *Front
+	frontend   *Frontend
 	net        net.Conn // the client; after a handover, the process that took the connection over
 	serverConn *front.Conn
 	ended      chan struct{} // closed when the reader ends
@@ -239,13 +239,13 @@
 	f.open.Add(-int64(len(c.relayed)))
 	c.relayed = nil
 	for _, q := range c.open {
-		f.requestBudget.Give(q.reserved)
+		f.requestBudget.Release(q.reserved)
 		c.cancel(q)
 	}
 	f.open.Add(-int64(len(c.open) + len(c.out)))
 	c.open = map[uint16]*request{}
 	for _, b := range c.out {
-		f.responseBudget.Give(len(b))
+		f.responseBudget.Release(len(b))
 	}
 	c.out = nil
 	c.mu.Unlock()
@@ -258,8 +258,8 @@
 		return
 	}
 	q.canceled.Store(true)
-	if q.queued != nil && !c.frontend.events.Take(q.queued) {
-		c.frontend.events.Put(core.CancelRequest{Frontend: c, RequestTag: q.tag})
+	if q.queued != nil && !c.frontend.events.Remove(q.queued) {
+		c.frontend.events.Push(core.CancelRequest{Frontend: c, RequestTag: q.tag})
 	}
 }
 
@@ -377,7 +377,7 @@
 // handleRequest parses a complete request. It answers the request itself or adds it to those for the core. The caller holds mu.
 func (c *conn) handleRequest(id uint16, q *request) error {
 	q.completedAt = c.frontend.opt.Clock.Now()
-	a := core.Request{Frontend: c, RequestTag: q.tag, ReceivedAt: min(c.serverConn.Arrived(), q.completedAt), Body: q.body}
+	a := core.Request{Frontend: c, RequestTag: q.tag, ReceivedAt: min(c.serverConn.ArrivedAt(), q.completedAt), Body: q.body}
 	script, bad := "", ""
 	number := func(name, value string, bits int, base int) uint64 {
 		v, err := strconv.ParseUint(value, base, bits)
@@ -471,13 +471,13 @@
 	if len(c.unsubmitted) == 0 {
 		return
 	}
-	readable, hungUp := front.Pending(c.net)
-	if hungUp || readable && c.frontend.opt.Clock.Now() < c.unsubmitted[0].completedAt+maxDelay {
-		return // if hungUp, the requests are canceled at the end of the connection
+	readable, peerClosed := front.PollConn(c.net)
+	if peerClosed || readable && c.frontend.opt.Clock.Now() < c.unsubmitted[0].completedAt+maxDelay {
+		return // if peerClosed, the requests are canceled at the end of the connection
 	}
 	for _, q := range c.unsubmitted {
 		if !q.canceled.Load() {
-			q.queued = c.frontend.events.Put(q.coreRequest)
+			q.queued = c.frontend.events.Push(q.coreRequest)
 		}
 		q.coreRequest = core.Request{}
 	}
@@ -583,7 +583,7 @@
 // reserve reserves n bytes of a request in the request budget. If that is exhausted, the request is rejected and the rest of it
 // is ignored: many clients that send large requests slowly must not exhaust the memory.
 func (c *conn) reserve(id uint16, q *request, n int) bool {
-	if c.frontend.requestBudget.Take(n) {
+	if c.frontend.requestBudget.TryReserve(n) {
 		q.reserved += n
 		return true
 	}
@@ -596,7 +596,7 @@
 // removeRequest removes a request and releases its bytes.
 func (c *conn) removeRequest(id uint16) {
 	if q := c.open[id]; q != nil {
-		c.frontend.requestBudget.Give(q.reserved)
+		c.frontend.requestBudget.Release(q.reserved)
 		delete(c.open, id)
 		c.frontend.open.Add(-1)
 	}
@@ -615,7 +615,7 @@
 		c.net.Close()
 		return
 	}
-	c.frontend.responseBudget.TakeAnyway(len(b))
+	c.frontend.responseBudget.Reserve(len(b))
 	c.queue(b)
 }
 
@@ -624,7 +624,7 @@
 	if c.closed {
 		return true
 	}
-	if !c.frontend.responseBudget.Take(len(b)) {
+	if !c.frontend.responseBudget.TryReserve(len(b)) {
 		return false
 	}
 	c.queue(b)
@@ -666,7 +666,7 @@
 			n += len(b)
 		}
 		err := writeAll(nc, out)
-		c.frontend.responseBudget.Give(n)
+		c.frontend.responseBudget.Release(n)
 		c.frontend.open.Add(-int64(count))
 		c.mu.Lock()
 		c.writing = false
--- a/front/fastcgi/fastcgi_test.go
+++ b/front/fastcgi/fastcgi_test.go
@@ -49,7 +49,7 @@
 	done      chan struct{}        // closed at the end of the connection
 }
 
-func dial(f *Front) *client {
+func dial(f *Frontend) *client {
 	near, far := net.Pipe()
 	go f.Handle(far)
 	return newClient(near)
@@ -103,7 +103,7 @@
 	}
 }
 
-func newTestFrontend(post func(core.Event)) *Front {
+func newTestFrontend(post func(core.Event)) *Frontend {
 	return New(Options{Post: post, Clock: clock.Manual(1e12), Log: zerolog.Nop()})
 }
 
@@ -188,7 +188,7 @@
 // bytes of ended requests are released.
 func TestRequestBudget(t *testing.T) {
 	f := newTestFrontend(func(core.Event) {})
-	f.requestBudget.Most = 20000
+	f.requestBudget.Limit = 20000
 	c := dial(f)
 	big := bytes.Repeat([]byte{'x'}, 8000)
 	for id := uint16(1); id <= 3; id++ {
@@ -200,10 +200,10 @@
 	}
 	c.Close()
 	<-c.done
-	for f.Open() > 0 {
+	for f.OpenRequests() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if !f.requestBudget.Take(20000) {
+	if !f.requestBudget.TryReserve(20000) {
 		t.Error("the bytes of ended requests are still reserved")
 	}
 }
@@ -221,7 +221,7 @@
 	c, partial := dial(f), dial(f)
 	defer c.Close()
 	partial.Write(append(beginRecord(1), appendRecord(nil, typeParams, 1, nil)...))
-	for f.Open() == 0 { // the bytes must be read before the clock advances, or they count as progress
+	for f.OpenRequests() == 0 { // the bytes must be read before the clock advances, or they count as progress
 		time.Sleep(time.Millisecond)
 	}
 	c.Write(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "9b1f03aa5c7e2d41")...))
@@ -237,14 +237,14 @@
 	}
 	a.Frontend.Answer(a.RequestTag, core.Answer{Verdict: core.Rejected})
 	c.wait(t, 1)
-	for f.Open() > 0 { // the client may receive the response before it is recorded as written
+	for f.OpenRequests() > 0 { // the client may receive the response before it is recorded as written
 		time.Sleep(time.Millisecond)
 	}
 	clk.Advance(idleTimeout - 1)
 	f.server.Sweep()
 	c.Write(append(beginRecord(2), paramsAndStdin(2, "/healthz", "")...))
 	c.wait(t, 2)
-	for f.Open() > 0 {
+	for f.OpenRequests() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for done := false; !done; {
--- a/front/fastcgi/handover.go
+++ b/front/fastcgi/handover.go
@@ -89,7 +89,7 @@
 	// A response that is queued but not yet written must be written first: its request is no longer open here, so the new
 	// process would not know its id.
 	c.mu.Lock()
-	for end := time.Now().Add(writerWaitTimeout); (c.writing || len(c.out) > 0) && time.Now().Before(end) && !front.HungUp(nc); c.mu.Lock() {
+	for end := time.Now().Add(writerWaitTimeout); (c.writing || len(c.out) > 0) && time.Now().Before(end) && !front.PeerClosed(nc); c.mu.Lock() {
 		c.mu.Unlock()
 		time.Sleep(handoverPollInterval)
 	}
@@ -142,7 +142,7 @@
 	go func() {
 		poll := time.NewTicker(clientPollInterval)
 		defer poll.Stop()
-		for !front.HungUp(tcp) {
+		for !front.PeerClosed(tcp) {
 			select {
 			case <-stopped:
 				return
@@ -230,7 +230,7 @@
 }
 
 // Adopt receives a client connection that another process of the gateway hands over, and serves it until it ends.
-func (f *Front) Adopt(from *net.UnixConn) {
+func (f *Frontend) Adopt(from *net.UnixConn) {
 	defer from.Close()
 	nc, state, err := receiveState(from)
 	if err != nil {
--- a/front/fastcgi/handover_failure_test.go
+++ b/front/fastcgi/handover_failure_test.go
@@ -86,7 +86,7 @@
 			cl := newClient(near)
 			near.Write(append(append(beginRecord(1), paramsAndStdin(1, "/v1/firmware", "1")...), large...))
 			first := <-requests
-			for deadline := time.Now().Add(20 * time.Second); f.Open() < 2; time.Sleep(time.Millisecond) {
+			for deadline := time.Now().Add(20 * time.Second); f.OpenRequests() < 2; time.Sleep(time.Millisecond) {
 				if time.Now().After(deadline) {
 					t.Fatal("timed out waiting for the second request to be read")
 				}
@@ -216,7 +216,7 @@
 			requests <- a
 		}
 	})
-	f.server.Limit(1)
+	f.server.SetMaxConns(1)
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	busy, farBusy := tcpPair(t)
--- a/front/fastcgi/handover_test.go
+++ b/front/fastcgi/handover_test.go
@@ -14,7 +14,7 @@
 )
 
 // gatedFrontend returns a frontend whose requests are answered with its name and their transaction once gate is closed.
-func gatedFrontend(name string, received chan<- string, gate <-chan struct{}) *Front {
+func gatedFrontend(name string, received chan<- string, gate <-chan struct{}) *Frontend {
 	return newTestFrontend(func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
 			received <- a.Txn
@@ -50,7 +50,7 @@
 	}
 	for cut := 0; cut <= len(stream); cut += 5 {
 		gate, received := make(chan struct{}), make(chan string, 16)
-		frontends := []*Front{gatedFrontend("a", received, gate), gatedFrontend("b", received, gate), gatedFrontend("c", received, gate)}
+		frontends := []*Frontend{gatedFrontend("a", received, gate), gatedFrontend("b", received, gate), gatedFrontend("c", received, gate)}
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -110,8 +110,8 @@
 			}
 		}
 		for i, f := range frontends {
-			if f.Open() != 0 || f.Conns() != 0 {
-				t.Errorf("cut at %d: frontend %d has %d open requests on %d connections", cut, i, f.Open(), f.Conns())
+			if f.OpenRequests() != 0 || f.Conns() != 0 {
+				t.Errorf("cut at %d: frontend %d has %d open requests on %d connections", cut, i, f.OpenRequests(), f.Conns())
 			}
 		}
 	}
@@ -142,8 +142,8 @@
 		}
 		c.Close()
 		<-ended
-		if f.Open() != 0 {
-			t.Errorf("partly sent %t: %d requests stay open", partlySent, f.Open())
+		if f.OpenRequests() != 0 {
+			t.Errorf("partly sent %t: %d requests stay open", partlySent, f.OpenRequests())
 		}
 	}
 }
--- a/front/fastcgi/slow_client_test.go
+++ b/front/fastcgi/slow_client_test.go
@@ -17,7 +17,7 @@
 func TestSlowClientDoesNotAffectOthers(t *testing.T) {
 	const large = 32 << 20 // exceeds the socket buffers at both ends of a connection
 	requests := make(chan core.Request, 1)
-	f := New(Options{MaxBytes: large + 1<<20, Clock: clock.Manual(1e12), Log: zerolog.Nop(), Post: func(ev core.Event) {
+	f := New(Options{MaxResponseBytes: large + 1<<20, Clock: clock.Manual(1e12), Log: zerolog.Nop(), Post: func(ev core.Event) {
 		if a, ok := ev.(core.Request); ok {
 			requests <- a
 		}
@@ -52,8 +52,8 @@
 		}
 	}
 
-	f.responseBudget.Limit(large / 2) // exhausted until the slow client has read its response
-	near, far := tcpPair(t)           // a connection that another process hands over, which still answers its request
+	f.responseBudget.SetLimit(large / 2) // exhausted until the slow client has read its response
+	near, far := tcpPair(t)              // a connection that another process hands over, which still answers its request
 	defer near.Close()
 	oldProcess, from := unixPair(t)
 	defer oldProcess.Close()
--- a/front/fastcgi/unread_cancel_test.go
+++ b/front/fastcgi/unread_cancel_test.go
@@ -40,7 +40,7 @@
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		unread := 0
 		raw.Control(func(fd uintptr) { unread, err = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
-		if err == nil && (unread >= bytes || closed) && front.HungUp(c) == closed {
+		if err == nil && (unread >= bytes || closed) && front.PeerClosed(c) == closed {
 			return
 		}
 		if time.Now().After(deadline) {
@@ -103,7 +103,7 @@
 			}
 			near.Close()
 			<-served
-			f.events.Put(core.GetStats{})
+			f.events.Push(core.GetStats{})
 			<-flushed // the queue to the core is empty
 			if len(requests) > 0 {
 				t.Errorf("passed to the core after the client had canceled it: %+v", <-requests)
--- a/front/front.go
+++ b/front/front.go
@@ -49,8 +49,8 @@
 	sweepInterval    = 100 * time.Millisecond
 )
 
-// Limit changes the maximum number of connections. Open connections in excess of it are not closed.
-func (s *Server) Limit(maxConns int) {
+// SetMaxConns changes the maximum number of connections. Open connections in excess of it are not closed.
+func (s *Server) SetMaxConns(maxConns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxOverride = max(1, maxConns)
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -325,7 +325,7 @@
 	<-started
 	clk.Advance(10000)
 	s.Sweep()
-	s.Leave(false)
+	s.Retire(false)
 	s.Stop()
 	if s.tryAdmit(&testConn{}) != nil {
 		t.Error("its slot was assigned to another connection")
--- a/front/signed/answer.go
+++ b/front/signed/answer.go
@@ -24,7 +24,7 @@
 	c.reply(s, c.frontend.errorAnswer(s, status, code, text, head))
 }
 
-func (f *Front) errorAnswer(s *slot, status int, code, text, head string) []byte {
+func (f *Frontend) errorAnswer(s *slot, status int, code, text, head string) []byte {
 	return http1.ErrorAnswer(status, code, text, f.dateHeader()+head+proxyStatusHeader(code)+f.opt.CORS.headers(&s.msg), s.msg.Close)
 }
 
@@ -66,7 +66,7 @@
 }
 
 // buildRepresentation returns the response with a representation, or what the request's conditions and ranges make of it.
-func (f *Front) buildRepresentation(s *slot, a core.Answer, head string) []byte {
+func (f *Frontend) buildRepresentation(s *slot, a core.Answer, head string) []byte {
 	m := &s.msg
 	head += f.commonHeaders(s, a)
 	if s.class.Write {
@@ -114,13 +114,13 @@
 }
 
 // commonHeaders returns the headers that all responses about a representation share.
-func (f *Front) commonHeaders(s *slot, a core.Answer) string {
+func (f *Frontend) commonHeaders(s *slot, a core.Answer) string {
 	return f.dateHeader() + f.cachingHeaders(s, a) + f.opt.CORS.headers(&s.msg)
 }
 
 // cachingHeaders returns the headers that state the age of a copy and how long it may be cached: as long as its class
 // permits, and no longer than the grant is valid. Only private caches may store it, as the URL or the cookie is private too.
-func (f *Front) cachingHeaders(s *slot, a core.Answer) string {
+func (f *Frontend) cachingHeaders(s *slot, a core.Answer) string {
 	if s.class.Write {
 		return "Cache-Control: no-store\r\n"
 	}
@@ -130,7 +130,7 @@
 		age = math.Max(0, math.Floor((now-a.CreatedAt)/1000))
 		head = "Age: " + strconv.Itoa(int(math.Min(age, math.MaxInt32))) + "\r\n"
 	}
-	if maxAge := math.Floor(math.Min(s.class.Fresh/1000, age+(s.grantExpiresAt-f.opt.Clock.Now())/1000)); maxAge > age {
+	if maxAge := math.Floor(math.Min(s.class.FreshMs/1000, age+(s.grantExpiresAt-f.opt.Clock.Now())/1000)); maxAge > age {
 		head += "Cache-Control: private, max-age=" + strconv.Itoa(int(maxAge)) + "\r\n"
 	} else { // valid until it is purged, or stale already: to be revalidated each time, which 304 makes cheap
 		head += "Cache-Control: private, no-cache\r\n"
@@ -158,13 +158,13 @@
 }()
 
 // cacheStatusHeader returns the header that states whether an endpoint had the copy, and for how long it stays fresh.
-func (f *Front) cacheStatusHeader(s *slot, a core.Answer, age float64) string {
+func (f *Frontend) cacheStatusHeader(s *slot, a core.Answer, age float64) string {
 	text, ok := cacheStatusHeaders[a.Note]
 	if !ok {
 		text = cacheStatusHeaders[control.NoNote]
 	}
-	if s.class.Fresh > 0 && a.CreatedAt > 0 {
-		text += ";ttl=" + strconv.Itoa(int(s.class.Fresh/1000-age))
+	if s.class.FreshMs > 0 && a.CreatedAt > 0 {
+		text += ";ttl=" + strconv.Itoa(int(s.class.FreshMs/1000-age))
 	}
 	return text + "\r\n"
 }
@@ -176,7 +176,7 @@
 }
 
 // dateHeader returns the header Date of a response.
-func (f *Front) dateHeader() string {
+func (f *Frontend) dateHeader() string {
 	second := int64(f.opt.Clock.Unix() / 1000)
 	if d := f.cachedDate.Load(); d != nil && d.second == second {
 		return d.text
@@ -187,7 +187,7 @@
 }
 
 // withDate inserts the header Date after the status line of a small response.
-func (f *Front) withDate(b []byte) []byte {
+func (f *Frontend) withDate(b []byte) []byte {
 	return bytes.Replace(b, []byte("\r\n"), []byte("\r\n"+f.dateHeader()), 1)
 }
 
@@ -230,7 +230,7 @@
 }
 
 // optionsResponse returns the response to OPTIONS. No token is required, as a browser's preflight carries none.
-func (f *Front) optionsResponse(s *slot, class Class) []byte {
+func (f *Frontend) optionsResponse(s *slot, class Class) []byte {
 	m, allow := &s.msg, "GET, HEAD, OPTIONS"
 	if class.Write {
 		allow = "POST, OPTIONS"
--- a/front/signed/claim.go
+++ b/front/signed/claim.go
@@ -56,7 +56,7 @@
 // recordOutcome applies the last step of a claim without blocking the core. The step is retried until the time-out, as a group
 // of voters without a leader soon elects one. If too many steps are pending, the claim stays as it is, which prevents a second
 // use of the token.
-func (f *Front) recordOutcome(name string, step claims.Step) {
+func (f *Frontend) recordOutcome(name string, step claims.Step) {
 	select {
 	case f.outcomeSlots <- struct{}{}:
 	default:
--- a/front/signed/claim_test.go
+++ b/front/signed/claim_test.go
@@ -62,7 +62,7 @@
 	*testing.T
 	store     *claimStore
 	clock     *clock.Clock
-	frontends []*Front
+	frontends []*Frontend
 	addrs     []string
 	url       string
 	claimName string
@@ -132,7 +132,7 @@
 
 // waitIdle waits until the gateways have no open request and no pending step of a claim.
 func (d *gatewayPair) waitIdle() {
-	for limit := time.Now().Add(20 * time.Second); d.frontends[0].Open()+d.frontends[1].Open() > 0; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(20 * time.Second); d.frontends[0].OpenRequests()+d.frontends[1].OpenRequests() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			d.Fatal("requests or claim steps are still pending after 20 s")
 		}
--- a/front/signed/disconnect_test.go
+++ b/front/signed/disconnect_test.go
@@ -82,7 +82,7 @@
 					waitFor("cancellation", request.Canceled.Load)
 					request.Frontend.Answer(request.RequestTag, core.Answer{Verdict: core.Failed, Reason: core.ClientGone}) // as the core does
 				}
-				waitFor("end of all requests and claims", func() bool { return f.Open() == 0 })
+				waitFor("end of all requests and claims", func() bool { return f.OpenRequests() == 0 })
 				if stage := d.store.stage(d.claimName); stage != "" {
 					t.Errorf("claim of a request that was never sent is in stage %q", stage)
 				}
@@ -134,7 +134,7 @@
 			fmt.Fprintf(client, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", issued.URL)
 			if disconnect != nil {
 				disconnect(client.(*net.TCPConn))
-				for limit := time.Now().Add(20 * time.Second); !front.HungUp(accepted); time.Sleep(time.Millisecond) {
+				for limit := time.Now().Add(20 * time.Second); !front.PeerClosed(accepted); time.Sleep(time.Millisecond) {
 					if time.Now().After(limit) {
 						t.Fatal("the close did not arrive within 20 s")
 					}
@@ -147,8 +147,8 @@
 				client.Close()
 			}
 			<-handled
-			if f.Open() != 0 {
-				t.Errorf("%d requests are still open", f.Open())
+			if f.OpenRequests() != 0 {
+				t.Errorf("%d requests are still open", f.OpenRequests())
 			}
 			if len(submitted) > 0 {
 				t.Error("submitted although its client had disconnected")
--- a/front/signed/drain_test.go
+++ b/front/signed/drain_test.go
@@ -68,7 +68,7 @@
 	}
 	f.Drain(true)
 	health(idle, idleReader, 503)
-	for f.Open() > 0 {
+	for f.OpenRequests() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	clk.Advance(600)
--- a/front/signed/guard.go
+++ b/front/signed/guard.go
@@ -66,7 +66,7 @@
 	for {
 		select {
 		case <-poll.C:
-			if front.HungUp(c.net) {
+			if front.PeerClosed(c.net) {
 				return false
 			}
 		case <-timer.C:
@@ -79,7 +79,7 @@
 
 // logSampled writes a log line that clients can cause. It limits the lines per second of each kind, and adds the number of
 // lines that were suppressed.
-func (f *Front) logSampled(e *zerolog.Event, kind string, addFields func(*zerolog.Event)) {
+func (f *Frontend) logSampled(e *zerolog.Event, kind string, addFields func(*zerolog.Event)) {
 	f.samplerMu.Lock()
 	ok, suppressed := f.sampler.Take(kind, f.opt.Clock.Now())
 	f.samplerMu.Unlock()
@@ -111,7 +111,7 @@
 }
 
 // releaseLimits ends the request in its limits, and charges the bytes of its response.
-func (f *Front) releaseLimits(s *slot) {
+func (f *Frontend) releaseLimits(s *slot) {
 	if s.limitNames != nil {
 		f.limits.Release(*s.limitNames, float64(len(s.answer)), f.opt.Clock.Now())
 		s.limitNames = nil
--- a/front/signed/manage.go
+++ b/front/signed/manage.go
@@ -95,19 +95,19 @@
 }
 
 // handleManagement answers the operator's calls and the health check.
-func (f *Front) handleManagement(m *http1.Message) []byte {
+func (f *Frontend) handleManagement(m *http1.Message) []byte {
 	if draining, _ := f.server.Draining(); draining && m.Path == "/healthz" {
 		return http1.ErrorAnswer(503, "draining", "this gateway is being emptied", "", m.Close)
 	}
 	if m.Path == "/healthz" {
 		return http1.Answer(200, "text/plain", "", 3, []byte("ok\n"), m.Close)
 	}
-	if f.opt.Operator == "" {
+	if f.opt.OperatorSecret == "" {
 		return http1.ErrorAnswer(404, "not_found", "no such path", "", m.Close)
 	}
 	secret, _ := strings.CutPrefix(m.Header["authorization"], "Bearer ")
 	// Digests have the same length, so the comparison does not reveal the length of the secret.
-	got, want := sha256.Sum256([]byte(secret)), sha256.Sum256([]byte(f.opt.Operator))
+	got, want := sha256.Sum256([]byte(secret)), sha256.Sum256([]byte(f.opt.OperatorSecret))
 	if subtle.ConstantTimeCompare(got[:], want[:]) != 1 {
 		return http1.ErrorAnswer(401, "missing", "for the operator alone", "WWW-Authenticate: Bearer\r\n", m.Close)
 	}
@@ -145,9 +145,9 @@
 	return nil
 }
 
-// Changed applies configuration from the replicated store. A value that can't be used is logged and ignored: the previous one
-// stays in force.
-func (f *Front) Changed(name string, value json.RawMessage) {
+// ApplyConfig applies configuration from the replicated store. A value that can't be used is logged and ignored: the previous
+// one stays in force.
+func (f *Frontend) ApplyConfig(name string, value json.RawMessage) {
 	var err error
 	switch name {
 	case ConfigKeys:
--- a/front/signed/operator_calls.go
+++ b/front/signed/operator_calls.go
@@ -21,13 +21,13 @@
 
 // operatorCalls maps paths to the operator's calls. Each takes the body of the request, and returns the response, which is
 // encoded as JSON.
-var operatorCalls = map[string]func(f *Front, ctx context.Context, body []byte) (any, error){
-	"/-/tokens":      (*Front).issueToken,
-	"/-/revocations": (*Front).revokeToken,
-	"/-/keys":        (*Front).replaceKeys,
-	"/-/policy":      (*Front).changePolicy,
-	"/-/purges":      (*Front).purgeCopies,
-	"/-/members":     (*Front).replaceMember,
+var operatorCalls = map[string]func(f *Frontend, ctx context.Context, body []byte) (any, error){
+	"/-/tokens":      (*Frontend).issueToken,
+	"/-/revocations": (*Frontend).revokeToken,
+	"/-/keys":        (*Frontend).replaceKeys,
+	"/-/policy":      (*Frontend).changePolicy,
+	"/-/purges":      (*Frontend).purgeCopies,
+	"/-/members":     (*Frontend).replaceMember,
 }
 
 // okResponse is the response to a successful call without a result.
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (f *Front) issueToken(_ context.Context, body []byte) (any, error) {
+func (f *Frontend) issueToken(_ context.Context, body []byte) (any, error) {
 	var q IssueRequest
 	if err := readJSON(body, &q); err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	return Issue(f.ring.Load(), q, f.opt.Clock.Unix()/1000, f.policy.Load().TokenSeconds, rand.Text())
 }
 
-func (f *Front) revokeToken(ctx context.Context, body []byte) (any, error) {
+func (f *Frontend) revokeToken(ctx context.Context, body []byte) (any, error) {
 	var q struct {
 		Key, ID string
 		Until   float64 // Unix seconds; 0: the maximum lifetime of a token from now on
@@ -79,7 +79,7 @@
 	return okResponse, asUnavailable(f.opt.Claims.Revoke(ctx, token.Grant{Key: q.Key, ID: q.ID}.Use(), q.Until*1000+policy.LeewayMs))
 }
 
-func (f *Front) replaceKeys(ctx context.Context, body []byte) (any, error) {
+func (f *Frontend) replaceKeys(ctx context.Context, body []byte) (any, error) {
 	var keys []token.Key
 	if err := readJSON(body, &keys); err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 	return okResponse, asUnavailable(f.opt.Claims.Put(ctx, ConfigKeys, keys))
 }
 
-func (f *Front) changePolicy(ctx context.Context, body []byte) (any, error) {
+func (f *Frontend) changePolicy(ctx context.Context, body []byte) (any, error) {
 	p := *f.policy.Load()
 	if err := readJSON(body, &p); err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 }
 
 // purgeCopies invalidates the copies of one object, or of one group of objects, that are older than the call.
-func (f *Front) purgeCopies(ctx context.Context, body []byte) (any, error) {
+func (f *Frontend) purgeCopies(ctx context.Context, body []byte) (any, error) {
 	var q struct {
 		Object string // as in paths
 		Group  uint16
@@ -130,7 +130,7 @@
 }
 
 // replaceMember returns the voters after a replacement.
-func (f *Front) replaceMember(ctx context.Context, body []byte) (any, error) {
+func (f *Frontend) replaceMember(ctx context.Context, body []byte) (any, error) {
 	var replacement membership.Replacement
 	if err := readJSON(body, &replacement); err != nil {
 		return nil, err
--- a/front/signed/signed.go
+++ b/front/signed/signed.go
@@ -49,31 +49,31 @@
 type Class struct {
 	Name     string
 	Deadline float64 // ms
-	Fresh    float64 // ms that a copy stays fresh; 0: until it is purged
+	FreshMs  float64 // ms that a copy stays fresh; 0: until it is purged
 	Write    bool    // accepts POST only, and requires a single-use token
 }
 
 // Options configure a frontend.
 type Options struct {
-	Post       func(core.Event)
-	Clock      *clock.Clock
-	Log        zerolog.Logger
-	Classes    []Class
-	Ring       *ring.Ring
-	Claims     Claims
-	State      SharedState // for the operator's calls; nil: those that need it are rejected
-	Leeway     float64     // tolerated clock skew in either direction, in ms
-	Scheme     string      // of the URIs that clients see; "": http
-	Operator   string      // secret of the operator's calls; "": the calls are disabled
-	TokenMost  float64     // maximum lifetime of an issued token, in s; 0: one day
-	MaxConns   int         // 0: 200
-	CORS       CORS
-	Limits     limits.Options
-	Guard      limits.GuardOptions // the zero value: limits.DefaultGuard
-	RetryAfter float64             // retry delay, in ms, for requests that a drain rejects; 0: the minimum of 1 s
-	MaxBytes   int64               // limit of buffered responses, in bytes; 0: 24 MB
-	ClaimMost  float64             // timeout of a claim, in ms; 0: 1000
-	Tap        func(net.Conn) net.Conn
+	Post             func(core.Event)
+	Clock            *clock.Clock
+	Log              zerolog.Logger
+	Classes          []Class
+	Ring             *ring.Ring
+	Claims           Claims
+	State            SharedState // for the operator's calls; nil: those that need it are rejected
+	MaxClockSkew     float64     // tolerated clock skew in either direction, in ms
+	Scheme           string      // of the URIs that clients see; "": http
+	OperatorSecret   string      // secret of the operator's calls; "": the calls are disabled
+	MaxTokenSeconds  float64     // maximum lifetime of an issued token, in s; 0: one day
+	MaxConns         int         // 0: 200
+	CORS             CORS
+	Limits           limits.Options
+	Guard            limits.GuardOptions // the zero value: limits.DefaultGuard
+	RetryAfter       float64             // retry delay, in ms, for requests that a drain rejects; 0: the minimum of 1 s
+	MaxResponseBytes int64               // limit of buffered responses, in bytes; 0: 24 MB
+	ClaimTimeout     float64             // timeout of a claim, in ms; 0: 1000
+	Tap              func(net.Conn) net.Conn
 }
 
 const (
@@ -93,8 +93,8 @@
 	maxPendingOutcomes     = 256                   // outcomes that are being recorded at the same time
 )
 
-// Front is the frontend of one listener.
-type Front struct {
+// Frontend is the frontend of one listener.
+type Frontend struct {
 	opt            Options
 	server         front.Server
 	responseBudget front.Budget
@@ -103,7 +103,7 @@
 	ring           atomic.Pointer[ring.Ring]
 	policy         atomic.Pointer[Policy]
 	open           atomic.Int64
-	mailbox        front.Mailbox[core.Event] // events for the core
+	events         front.EventQueue[core.Event] // events for the core
 	outcomeSlots   chan struct{}
 	cachedDate     atomic.Pointer[dateLine]
 	guard          *limits.Guard
@@ -114,76 +114,76 @@
 }
 
 // New returns a frontend.
-func New(opt Options) *Front {
+func New(opt Options) *Frontend {
 	if opt.MaxConns <= 0 {
 		opt.MaxConns = 200
 	}
-	if opt.MaxBytes <= 0 {
-		opt.MaxBytes = 24 << 20
+	if opt.MaxResponseBytes <= 0 {
+		opt.MaxResponseBytes = 24 << 20
 	}
-	if opt.ClaimMost <= 0 {
-		opt.ClaimMost = 1000
+	if opt.ClaimTimeout <= 0 {
+		opt.ClaimTimeout = 1000
 	}
 	if opt.Scheme == "" {
 		opt.Scheme = "http"
 	}
-	if opt.TokenMost <= 0 {
-		opt.TokenMost = DefaultTokenSeconds
+	if opt.MaxTokenSeconds <= 0 {
+		opt.MaxTokenSeconds = DefaultTokenSeconds
 	}
-	f := &Front{
+	f := &Frontend{
 		opt: opt,
 		server: front.Server{
 			Max: opt.MaxConns, FirstByteTimeout: firstByteTimeout, IdleTimeout: idleTimeout, ReadTimeout: readTimeout, RequestTimeout: requestTimeout,
 			Clock: opt.Clock, Log: opt.Log, Tap: opt.Tap,
 		},
-		responseBudget: front.Budget{Most: opt.MaxBytes}, bodyBudget: front.Budget{Most: maxTotalBodyBytes},
+		responseBudget: front.Budget{Limit: opt.MaxResponseBytes}, bodyBudget: front.Budget{Limit: maxTotalBodyBytes},
 		classes: map[string]Class{}, outcomeSlots: make(chan struct{}, maxPendingOutcomes),
 		guard: limits.NewGuard(guardOptions(opt.Guard)), limits: limits.New(opt.Limits),
 		sampler: limits.NewSampler(limits.Rate{PerSecond: maxLogsPerSecond, Burst: maxLogsPerSecond}),
 	}
-	f.mailbox.Post = func(ev core.Event) { f.opt.Post(ev) }
+	f.events.Post = func(ev core.Event) { f.opt.Post(ev) }
 	for _, c := range opt.Classes {
 		f.classes[c.Name] = c
 	}
 	f.ring.Store(opt.Ring)
-	f.policy.Store(&Policy{LeewayMs: opt.Leeway, TokenSeconds: opt.TokenMost})
+	f.policy.Store(&Policy{LeewayMs: opt.MaxClockSkew, TokenSeconds: opt.MaxTokenSeconds})
 	return f
 }
 
 // SetRing replaces the keys. Requests that are complete from now on are validated with them.
-func (f *Front) SetRing(r *ring.Ring) { f.ring.Store(r) }
+func (f *Frontend) SetRing(r *ring.Ring) { f.ring.Store(r) }
 
 // Serve accepts connections until the listener closes or ctx ends, and returns once all connections have ended.
-func (f *Front) Serve(ctx context.Context, l net.Listener) error {
+func (f *Frontend) Serve(ctx context.Context, l net.Listener) error {
 	return f.server.Serve(ctx, l, f.handle)
 }
 
 // Handle serves one connection until it ends.
-func (f *Front) Handle(nc net.Conn) { f.server.Handle(nc, f.handle) }
+func (f *Frontend) Handle(nc net.Conn) { f.server.Handle(nc, f.handle) }
 
-// Open returns the number of requests whose response is not yet written, plus the number of claim outcomes that are not yet
+// OpenRequests returns the number of requests whose response is not yet written, plus the number of claim outcomes that are not yet
 // recorded.
-func (f *Front) Open() int { return int(f.open.Load()) + len(f.outcomeSlots) }
+func (f *Frontend) OpenRequests() int { return int(f.open.Load()) + len(f.outcomeSlots) }
 
 // Drain starts draining the frontend's connections, or with on false stops draining them.
-func (f *Front) Drain(on bool) { f.server.Drain(on) }
+func (f *Frontend) Drain(on bool) { f.server.Drain(on) }
 
 // Stop closes each connection once the requests read on it have been answered. Whatever arrives afterwards is rejected.
-func (f *Front) Stop() { f.server.Stop() }
+func (f *Frontend) Stop() { f.server.Stop() }
 
 // HandOver closes each connection once no request is open on it, which is possible between any two requests here. Another
 // process accepts the new connections.
-func (f *Front) HandOver(func() (*net.UnixConn, error)) { f.server.Leave(false) }
+func (f *Frontend) HandOver(func() (*net.UnixConn, error)) { f.server.Retire(false) }
 
 // Conns counts the connections.
-func (f *Front) Conns() int { return f.server.Conns() }
+func (f *Frontend) Conns() int { return f.server.Conns() }
 
 // SetProcessShare limits the frontend to conns connections and to its share of the memory, which is divided by the number of
 // processes.
-func (f *Front) SetProcessShare(processes, conns int) {
-	f.server.Limit(conns)
-	f.responseBudget.Limit(f.opt.MaxBytes / int64(processes))
-	f.bodyBudget.Limit(maxTotalBodyBytes / int64(processes))
+func (f *Frontend) SetProcessShare(processes, conns int) {
+	f.server.SetMaxConns(conns)
+	f.responseBudget.SetLimit(f.opt.MaxResponseBytes / int64(processes))
+	f.bodyBudget.SetLimit(maxTotalBodyBytes / int64(processes))
 }
 
 // slot is one request's position in the order of responses.
@@ -208,7 +208,7 @@
 }
 
 type conn struct {
-	frontend   *Front
+	frontend   *Frontend
 	net        net.Conn
 	serverConn *front.Conn
 	queue      chan *slot
@@ -227,7 +227,7 @@
 	lastTag         uint64           // the last tag that was assigned
 }
 
-func (f *Front) handle(nc net.Conn, serverConn *front.Conn) {
+func (f *Frontend) handle(nc net.Conn, serverConn *front.Conn) {
 	c := &conn{
 		frontend: f, net: nc, serverConn: serverConn,
 		queue: make(chan *slot, maxPipelined), writerDone: make(chan struct{}), open: map[uint64]*slot{},
@@ -256,7 +256,7 @@
 		m, err := http1.Read(r, maxBodyBytes, c.sendContinue)
 		c.unanswered.Add(1) // before the report by setRequestDeadline: an unanswered request keeps the connection open
 		c.setRequestDeadline(0)
-		s := &slot{msg: m, receivedAt: c.serverConn.Arrived(), ready: make(chan struct{})}
+		s := &slot{msg: m, receivedAt: c.serverConn.ArrivedAt(), ready: make(chan struct{})}
 		if b, ok := http1.IsBad(err); ok {
 			c.frontend.guard.Failed(c.source, c.frontend.opt.Clock.Now())
 			c.frontend.logSampled(c.frontend.opt.Log.Warn(), "request can't be read", func(e *zerolog.Event) {
@@ -365,7 +365,7 @@
 	}
 	c.mu.Unlock()
 	for _, tag := range submitted {
-		c.frontend.mailbox.Put(core.CancelRequest{Frontend: c, RequestTag: tag})
+		c.frontend.events.Push(core.CancelRequest{Frontend: c, RequestTag: tag})
 	}
 }
 
@@ -379,7 +379,7 @@
 		case c.queue <- s:
 			return true
 		case <-poll.C:
-			if !front.HungUp(c.net) {
+			if !front.PeerClosed(c.net) {
 				continue
 			}
 		case <-c.writerDone:
@@ -413,25 +413,25 @@
 		for s := range c.queue { // the reader cancels open requests, which completes these slots too
 			<-s.ready
 			c.frontend.releaseLimits(s)
-			c.frontend.bodyBudget.Give(s.bookedBytes)
+			c.frontend.bodyBudget.Release(s.bookedBytes)
 			c.frontend.open.Add(-1)
 		}
 	}()
 	for s := range c.queue {
 		<-s.ready
-		c.frontend.bodyBudget.Give(s.bookedBytes)
+		c.frontend.bodyBudget.Release(s.bookedBytes)
 		c.frontend.releaseLimits(s)
-		if s.answer != nil && !c.frontend.responseBudget.Take(len(s.answer)) {
+		if s.answer != nil && !c.frontend.responseBudget.TryReserve(len(s.answer)) {
 			// A client must not lose its connection because others leave too much unread, so it gets a small error response
 			// beyond the budget. Each connection has only one such response at a time.
 			c.frontend.opt.Log.Warn().Msg("response budget exhausted; responding 502 instead")
 			s.answer = c.frontend.errorAnswer(s, 502, "crowded", "too much waits to be written", "Retry-After: 1\r\n")
-			c.frontend.responseBudget.TakeAnyway(len(s.answer))
+			c.frontend.responseBudget.Reserve(len(s.answer))
 		}
 		booked := len(s.answer)
 		c.net.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, err := c.net.Write(s.answer)
-		c.frontend.responseBudget.Give(booked)
+		c.frontend.responseBudget.Release(booked)
 		c.frontend.open.Add(-1)
 		c.unanswered.Add(-1)
 		c.report(true)
@@ -513,7 +513,7 @@
 	if !c.enterLimits(s, &grant) {
 		return
 	}
-	if !f.bodyBudget.Take(len(m.Body)) {
+	if !f.bodyBudget.TryReserve(len(m.Body)) {
 		c.fail(s, 503, "crowded", "too many bytes of requests in hand", "Retry-After: 1\r\n")
 		return
 	}
@@ -567,7 +567,7 @@
 // submit passes a request to the core. If the client has disconnected meanwhile, even if its close follows bytes that are not
 // read yet, the request's claim is released instead.
 func (c *conn) submit(s *slot, request core.Request) {
-	disconnected := front.HungUp(c.net)
+	disconnected := front.PeerClosed(c.net)
 	c.mu.Lock()
 	s.submitted = !c.disconnected && !disconnected
 	if !s.submitted {
@@ -577,7 +577,7 @@
 	owner, submitted := s.owner, s.submitted
 	c.mu.Unlock()
 	if submitted {
-		c.frontend.mailbox.Put(request)
+		c.frontend.events.Push(request)
 	} else if owner != "" {
 		c.frontend.recordOutcome(s.claimName, claims.Step{Op: claims.Release, Owner: owner})
 	}
@@ -594,7 +594,7 @@
 	c.mu.Lock()
 	s.owner = rand.Text()
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), clock.Duration(min(remaining, f.opt.ClaimMost)))
+	ctx, cancel := context.WithTimeout(context.Background(), clock.Duration(min(remaining, f.opt.ClaimTimeout)))
 	defer cancel()
 	until := s.grantUntil*1000 + 2*f.policy.Load().LeewayMs + claimMargin
 	for _, step := range []claims.Step{{Op: claims.Hold, Owner: s.owner, Until: until}, {Op: claims.Send, Owner: s.owner}} {
@@ -628,7 +628,7 @@
 		return // canceled
 	}
 	delete(c.open, tag)
-	if s.owner != "" { // before the response, so that Open does not return 0 in between
+	if s.owner != "" { // before the response, so that OpenRequests does not return 0 in between
 		c.frontend.recordOutcome(s.claimName, outcomeStep(s, a))
 	}
 	if !s.done {
@@ -637,7 +637,7 @@
 }
 
 // buildResponse maps a final answer to a response.
-func (f *Front) buildResponse(s *slot, a core.Answer) []byte {
+func (f *Frontend) buildResponse(s *slot, a core.Answer) []byte {
 	head := ""
 	if a.ETag != "" {
 		head = "ETag: \"" + a.ETag + "\"\r\n"
@@ -669,7 +669,7 @@
 }
 
 // renewalHeader returns the header with the successor of a request's token, or "" if the token is not renewed.
-func (f *Front) renewalHeader(s *slot) string {
+func (f *Frontend) renewalHeader(s *slot) string {
 	next, now := &s.renewable.Renewal, f.opt.Clock.Unix()/1000
 	// Guards against a token that outlives its revocation, which is kept for the maximum lifetime of a token.
 	if float64(next.Seconds) > f.policy.Load().TokenSeconds || !s.renewable.Renews(now) {
--- a/front/unread.go
+++ b/front/unread.go
@@ -45,23 +45,23 @@
 	return found
 }
 
-// HungUp reports whether the peer has closed or reset the connection, even if unread bytes precede that. It returns false if
-// the connection provides no descriptor.
-func HungUp(c net.Conn) bool {
-	_, gone := Pending(c)
-	return gone
+// PeerClosed reports whether the peer has closed or reset the connection, even if unread bytes precede that. It returns false
+// if the connection provides no descriptor.
+func PeerClosed(c net.Conn) bool {
+	_, closed := PollConn(c)
+	return closed
 }
 
-// Pending reports whether a read would not block, and whether the peer has closed or reset the connection, even if unread
+// PollConn reports whether a read would not block, and whether the peer has closed or reset the connection, even if unread
 // bytes precede that. Both are false if the connection provides no descriptor.
-func Pending(c net.Conn) (readable, gone bool) {
+func PollConn(c net.Conn) (readable, closed bool) {
 	withDescriptor(c, func(fd int) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
 		if n, err := retryOnEINTR(func() (int, error) { return unix.Poll(p, 0) }); err != nil || n == 0 {
 			return
 		}
 		readable = p[0].Revents&unix.POLLIN != 0
-		gone = p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		closed = p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return readable, gone
+	return readable, closed
 }
--- a/frontends.go
+++ b/frontends.go
@@ -21,8 +21,8 @@
 type frontend interface {
 	stoppableServer
 	Serve(ctx context.Context, l net.Listener) error
-	// Open returns the number of unanswered requests.
-	Open() int
+	// OpenRequests returns the number of unanswered requests.
+	OpenRequests() int
 	// Drain starts the drain of the frontend's connections if on is true, and ends it otherwise.
 	Drain(on bool)
 	// HandOver hands the connections over to the process that successor dials, or closes each between requests.
@@ -45,14 +45,14 @@
 		return nil
 	}
 	f := fastcgi.New(fastcgi.Options{
-		Post:       gw.core.Post,
-		Clock:      gw.Clock,
-		Log:        gw.Log,
-		MaxConns:   gw.limits.frontend,
-		Tap:        gw.tap("fastcgi"),
-		RetryAfter: retryAfter(gw.node),
-		MaxBytes:   memoryBytes(responseShare, gw.node),
-		MaxTaken:   memoryBytes(requestShare, gw.node),
+		Post:             gw.core.Post,
+		Clock:            gw.Clock,
+		Log:              gw.Log,
+		MaxConns:         gw.limits.frontend,
+		Tap:              gw.tap("fastcgi"),
+		RetryAfter:       retryAfter(gw.node),
+		MaxResponseBytes: memoryBytes(responseShare, gw.node),
+		MaxRequestBytes:  memoryBytes(requestShare, gw.node),
 	})
 	gw.addrs.FastCGI, err = gw.listen(ctx, "listen", gw.node.Listen, gw.node.SocketFD, f)
 	if err != nil {
@@ -79,7 +79,7 @@
 		fd = 0
 	}
 	f := signed.New(gw.signedOptions(keys))
-	gw.plane.Configure(f.Changed, signed.ConfigKeys, signed.ConfigPolicy)
+	gw.plane.Configure(f.ApplyConfig, signed.ConfigKeys, signed.ConfigPolicy)
 	gw.addrs.Signed, err = gw.listen(ctx, "listen", operator.Listen, fd, f)
 	if err != nil {
 		return err
@@ -91,23 +91,23 @@
 func (gw *gateway) signedOptions(keys *ring.Ring) signed.Options {
 	operator := gw.Operator
 	return signed.Options{
-		Post:       gw.core.Post,
-		Clock:      gw.Clock,
-		Log:        gw.Log,
-		Classes:    signedClasses(gw.node),
-		Ring:       keys,
-		Claims:     gw.plane,
-		State:      gw.plane,
-		Leeway:     operator.LeewayS * 1000,
-		Scheme:     operator.Scheme,
-		Operator:   operator.OperatorSecret,
-		TokenMost:  operator.TokenS,
-		MaxConns:   gw.limits.frontend,
-		Tap:        gw.tap("signed"),
-		Limits:     operator.Limit.Options(),
-		CORS:       signed.CORS{Origins: operator.Cors.Origins, Headers: operator.Cors.Headers, MaxAge: operator.Cors.MaxAgeS},
-		RetryAfter: retryAfter(gw.node),
-		MaxBytes:   memoryBytes(responseShare, gw.node),
+		Post:             gw.core.Post,
+		Clock:            gw.Clock,
+		Log:              gw.Log,
+		Classes:          signedClasses(gw.node),
+		Ring:             keys,
+		Claims:           gw.plane,
+		State:            gw.plane,
+		MaxClockSkew:     operator.LeewayS * 1000,
+		Scheme:           operator.Scheme,
+		OperatorSecret:   operator.OperatorSecret,
+		MaxTokenSeconds:  operator.TokenS,
+		MaxConns:         gw.limits.frontend,
+		Tap:              gw.tap("signed"),
+		Limits:           operator.Limit.Options(),
+		CORS:             signed.CORS{Origins: operator.Cors.Origins, Headers: operator.Cors.Headers, MaxAge: operator.Cors.MaxAgeS},
+		RetryAfter:       retryAfter(gw.node),
+		MaxResponseBytes: memoryBytes(responseShare, gw.node),
 	}
 }
 
@@ -116,7 +116,7 @@
 		classes = append(classes, signed.Class{
 			Name:     node.Classes[i],
 			Deadline: clock.Ms(class.Deadline),
-			Fresh:    clock.Ms(class.FreshFor),
+			FreshMs:  clock.Ms(class.FreshFor),
 			Write:    class.Write,
 		})
 	}
@@ -182,7 +182,7 @@
 // openRequests returns the number of unanswered requests.
 func (gw *gateway) openRequests() (count int) {
 	for _, f := range gw.frontends {
-		count += f.Open()
+		count += f.OpenRequests()
 	}
 	return count
 }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -1,5 +1,5 @@
 // Package controlplane is the control side of a gateway: it opens the replicated state that the operator's file names, as a
-// voter, as a subscriber or alone, and brings what changes there into force. Configuration goes to the signed front; purges,
+// voter, as a subscriber or alone, and brings what changes there into force. Configuration goes to the signed frontend; purges,
 // and the bound on the age of copies while purges may be missing, go to the core.
 package controlplane
 
@@ -34,9 +34,9 @@
 	operator   *config.Operator
 	clock      *clock.Clock
 	log        zerolog.Logger
-	events     front.Mailbox[core.Event] // a change must not wait for the core
-	subscriber *replica.Subscriber       // nil: a voter, or alone
-	store      *replica.Store            // nil: a subscriber, or alone
+	events     front.EventQueue[core.Event] // a change must not wait for the core
+	subscriber *replica.Subscriber          // nil: a voter, or alone
+	store      *replica.Store               // nil: a subscriber, or alone
 
 	mu        sync.Mutex
 	configure func(name string, value json.RawMessage)
@@ -167,7 +167,7 @@
 
 // Purged hands a purge to the core, as made now: it was made before, and copies of then are void whatever clocks say.
 func (p *Plane) Purged(c distribution.Change) {
-	p.events.Put(core.Purge{Object: c.Object, Group: c.Group, At: p.clock.Unix()})
+	p.events.Push(core.Purge{Object: c.Object, Group: c.Group, At: p.clock.Unix()})
 }
 
 // PurgesMissed tells of purges that may never be known. This gateway keeps no copies of its own, and stores drop theirs by
@@ -184,7 +184,7 @@
 	}
 	p.log.Warn().Dur("max_copy_age", p.Timing.StaleCopyAge()).
 		Msg("the replicated state is stale: no single-use work is begun, and no older copies are asked for")
-	p.events.Put(core.CopyAgeLimited{})
+	p.events.Push(core.CopyAgeLimited{})
 }
 
 // Subscription tells how a subscriber or a voter stands; nil: the gateway is alone.
--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -46,7 +46,7 @@
 	log      zerolog.Logger
 	plane    *controlplane.Plane
 	core     *core.Core
-	frontend *signed.Front
+	frontend *signed.Frontend
 	cancel   context.CancelFunc
 	done     chan struct{}
 
@@ -90,7 +90,7 @@
 	}
 	g.frontend = signed.New(signed.Options{
 		Post: gatewayCore.Post, Clock: opt.Clock, Log: opt.Log, Ring: ring, Claims: plane, Scheme: opt.Operator.Scheme,
-		Leeway: opt.Operator.LeewayS * 1000, TokenMost: opt.Operator.TokenS, Limits: opt.Operator.Limit.Options(),
+		MaxClockSkew: opt.Operator.LeewayS * 1000, MaxTokenSeconds: opt.Operator.TokenS, Limits: opt.Operator.Limit.Options(),
 	})
 	go g.run(ctx)
 	if err := plane.Open(g.post); err != nil {
@@ -130,7 +130,7 @@
 	if name == ConfigStores {
 		g.updateEndpoints(value)
 	} else {
-		g.frontend.Changed(name, value)
+		g.frontend.ApplyConfig(name, value)
 	}
 	if g.observer != nil {
 		g.observer.ConfigInForce(name, value, time.Now())
--- a/shutdown.go
+++ b/shutdown.go
@@ -71,7 +71,7 @@
 	}
 	pollUntilZero(ctx, handoverPollInterval, func() (left int) {
 		for _, f := range gw.frontends {
-			left += f.Conns() + f.Open()
+			left += f.Conns() + f.OpenRequests()
 		}
 		return left
 	})
--- a/signed_test.go
+++ b/signed_test.go
@@ -567,7 +567,7 @@
 		t.Fatalf("served %d, ran %d", ok.Load(), c.runs.Load())
 	}
 	for _, f := range c.frontends { // wait until the outcome of the request is recorded
-		for f.Open() > 0 {
+		for f.OpenRequests() > 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
