--- a/capacity/voters_test.go
+++ b/capacity/voters_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// useToken records the complete use of a single-use token in its three steps (hold, send, settle), each a log entry.
+// useToken records the complete use of a single-use token in its three steps (hold, send, finish), each a log entry.
 func useToken(s *replica.Store) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
@@ -144,7 +144,7 @@
 	until := float64(time.Now().UnixMilli()) + 70000
 	for _, step := range []claims.Step{
 		{Op: claims.Hold, Owner: owner, Until: until}, {Op: claims.Send, Owner: owner},
-		{Op: claims.Settle, Owner: owner, To: claims.Ran, Outcome: "served 64 bytes"},
+		{Op: claims.Finish, Owner: owner, To: claims.Ran, Outcome: "served 64 bytes"},
 	} {
 		if _, ok, err := s.Step(ctx, name, step); err != nil || !ok {
 			return fmt.Errorf("%s: %v, %w", step.Op, ok, err)
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -1,7 +1,7 @@
 // Package claims decides who may use a single-use token, and records what became of the use. It is the state machine of one
 // claim: it does no I/O, and a replicated log applies the steps in one order, so every member computes the same record.
 //
-// A use passes the stages held (reserved), sent, and ran or doubt. Only while it is held can it pass to another request: its
+// A use passes the stages held (reserved), sent, and ran or unconfirmed. Only while it is held can it pass to another request: its
 // owner has sent nothing yet, and the owner's own step to sent fails once the use belongs to another request. A hold whose
 // outcome its owner never learned therefore blocks no other request, and a use that may have run is never granted again.
 //
@@ -15,10 +15,10 @@
 
 // The stages. A record of an older version has none, and counts as sent. They are stored under these names.
 const (
-	Held  Stage = "held"  // reserved: nothing was sent
-	Sent  Stage = "sent"  // the request may be running, or have run
-	Ran   Stage = "ran"   // the request ran; Outcome states the result
-	Doubt Stage = "doubt" // the request may have run, and its result can't be known
+	Held        Stage = "held"  // reserved: nothing was sent
+	Sent        Stage = "sent"  // the request may be running, or have run
+	Ran         Stage = "ran"   // the request ran; Outcome states the result
+	Unconfirmed Stage = "doubt" // the request may have run, and its result can't be known
 )
 
 // ErrNotProposed is returned for a step that was rejected before it was proposed: nothing has to be undone.
@@ -50,7 +50,7 @@
 const (
 	Hold    Op = "hold"    // reserve a use that has no owner, or that another only holds
 	Send    Op = "send"    // the owner is about to send
-	Settle  Op = "settle"  // the use ended in the stage To
+	Finish  Op = "settle"  // the use ended in the stage To
 	Release Op = "release" // nothing ran: the use has no owner again
 )
 
@@ -60,7 +60,7 @@
 	Owner   string
 	Until   float64
 	At      float64 // Unix ms of the step
-	To      Stage   // of Settle: Ran or Doubt
+	To      Stage   // of Finish: Ran or Unconfirmed
 	Outcome string
 }
 
@@ -75,8 +75,8 @@
 		return applyHold(r, exists, s)
 	case Send:
 		return applySend(r, exists, s)
-	case Settle:
-		return applySettle(r, exists, s)
+	case Finish:
+		return applyFinish(r, exists, s)
 	case Release:
 		return applyRelease(r, exists, s)
 	}
@@ -103,11 +103,11 @@
 	return r, true, true
 }
 
-// applySettle records the end of a use. A repeated step with the same end is granted.
-func applySettle(r Record, exists bool, s Step) (next Record, keep, ok bool) {
+// applyFinish records the end of a use. A repeated step with the same end is granted.
+func applyFinish(r Record, exists bool, s Step) (next Record, keep, ok bool) {
 	owned := exists && r.Owner == s.Owner
 	endable := owned && r.Stage != Held && r.Stage != Ran
-	valid := (s.To == Ran || s.To == Doubt) && len(s.Outcome) <= MaxOutcomeLen
+	valid := (s.To == Ran || s.To == Unconfirmed) && len(s.Outcome) <= MaxOutcomeLen
 	if !endable || !valid {
 		repeated := owned && r.Stage == s.To && r.Outcome == s.Outcome
 		return r, exists, repeated
@@ -122,7 +122,7 @@
 		return r, false, true
 	}
 	owned := r.Owner == s.Owner
-	if !owned || r.Stage == Ran || r.Stage == Doubt {
+	if !owned || r.Stage == Ran || r.Stage == Unconfirmed {
 		return r, true, false
 	}
 	return Record{}, false, true
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -36,7 +36,7 @@
 				if !q.sends {
 					continue
 				}
-				s.Op, s.To, s.Outcome = Settle, []Stage{Ran, Doubt}[b%2], "200"
+				s.Op, s.To, s.Outcome = Finish, []Stage{Ran, Unconfirmed}[b%2], "200"
 			case 3: // nothing ran: the request was rejected, or it never learned that it may send
 				if q.ended {
 					continue
@@ -66,7 +66,7 @@
 					}
 				}
 				q.sends = true
-			case Settle:
+			case Finish:
 				q.ended = true
 			case Release:
 				q.released = true
--- a/claims_test.go
+++ b/claims_test.go
@@ -207,7 +207,7 @@
 // turn. The client must get one correct final response, the request must run at most once, and all members must report the same
 // state once the killed member is back.
 func TestLeaderKilledAtEachStep(t *testing.T) {
-	for _, op := range []claims.Op{claims.Hold, claims.Send, claims.Settle} {
+	for _, op := range []claims.Op{claims.Hold, claims.Send, claims.Finish} {
 		for _, after := range []bool{false, true} {
 			for _, atLeader := range []bool{false, true} { // at the leader's own gateway, or at another
 				t.Run(fmt.Sprintf("%s after=%v own=%v", op, after, atLeader), func(t *testing.T) {
@@ -251,7 +251,7 @@
 							}
 						}
 						// If the gateway's own member died before the outcome was committed, the claim stays in the state "sent".
-						if (sendOutcomeLost || ownMemberKilled && op == claims.Settle && !after) && claimCounts["sent"] == 3 || time.Now().After(waitUntil) {
+						if (sendOutcomeLost || ownMemberKilled && op == claims.Finish && !after) && claimCounts["sent"] == 3 || time.Now().After(waitUntil) {
 							break
 						}
 					}
--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -88,9 +88,9 @@
 	}})
 	checkEqual(t, o.Limit.Options(), limits.Options{
 		Grant: limits.Limit{
-			Requests: limits.Rate{PerSecond: 20, Burst: 40}, Bytes: limits.Rate{PerSecond: 7000}, AtOnce: 3,
+			Requests: limits.Rate{PerSecond: 20, Burst: 40}, Bytes: limits.Rate{PerSecond: 7000}, MaxInFlight: 3,
 		},
-		Client: limits.Limit{Bytes: limits.Rate{PerSecond: 20_000_000}, AtOnce: 200},
+		Client: limits.Limit{Bytes: limits.Rate{PerSecond: 20_000_000}, MaxInFlight: 200},
 	})
 }
 
--- a/config/rate_limits.go
+++ b/config/rate_limits.go
@@ -30,20 +30,20 @@
 // Options converts the section to the limiter's options.
 func (l RateLimits) Options() limits.Options {
 	return limits.Options{
-		Grant:  l.Grant.limit(),
-		Key:    l.Key.limit(),
-		Client: l.Client.limit(),
-		V4:     l.ClientV4Bits,
-		V6:     l.ClientV6Bits,
-		Names:  l.Names,
+		Grant:         l.Grant.limit(),
+		Key:           l.Key.limit(),
+		Client:        l.Client.limit(),
+		IPv4PrefixLen: l.ClientV4Bits,
+		IPv6PrefixLen: l.ClientV6Bits,
+		MaxNames:      l.Names,
 	}
 }
 
 func (l RateLimit) limit() limits.Limit {
 	return limits.Limit{
-		Requests: limits.Rate{PerSecond: l.PerSecond, Burst: l.Burst},
-		Bytes:    limits.Rate{PerSecond: l.KBps * 1000},
-		AtOnce:   l.MaxConcurrent,
+		Requests:    limits.Rate{PerSecond: l.PerSecond, Burst: l.Burst},
+		Bytes:       limits.Rate{PerSecond: l.KBps * 1000},
+		MaxInFlight: l.MaxConcurrent,
 	}
 }
 
--- a/front/signed/claim.go
+++ b/front/signed/claim.go
@@ -12,7 +12,7 @@
 // request that was never sent has not run either: the token may be used again. A request that failed after it was sent may
 // have run.
 func outcomeStep(s *slot, a core.Answer) claims.Step {
-	step := claims.Step{Op: claims.Settle, Owner: s.owner, To: claims.Doubt}
+	step := claims.Step{Op: claims.Finish, Owner: s.owner, To: claims.Unconfirmed}
 	switch {
 	case a.Verdict == core.Rejected, a.Verdict == core.Failed && !a.MayHaveRun:
 		step.Op, step.To = claims.Release, ""
@@ -44,7 +44,7 @@
 		return text + ": by a request that was sent on and may have run"
 	case claims.Ran:
 		text += ": it ran"
-	case claims.Doubt:
+	case claims.Unconfirmed:
 		text += ": it may have run"
 	}
 	if r.Outcome != "" {
--- a/front/signed/claim_test.go
+++ b/front/signed/claim_test.go
@@ -150,7 +150,7 @@
 // request run at most once, and learns how it ended.
 func TestClaimRetriesRunAtMostOnce(t *testing.T) {
 	cases := 0
-	for _, op := range []claims.Op{"", claims.Hold, claims.Send, claims.Settle, claims.Release} {
+	for _, op := range []claims.Op{"", claims.Hold, claims.Send, claims.Finish, claims.Release} {
 		for _, when := range []string{"before", "after"} {
 			for name, answers := range map[string][]core.Answer{
 				"served": {served}, "rejected, then served": {rejected, served}, "failed": {failed}, "late": {timedOut}, "rejected twice": {rejected, rejected, served},
@@ -189,7 +189,7 @@
 					d.clock.Advance(6000)
 					code, claim, text = d.call(1) // a client that lost its response retries
 					stage := map[int]string{200: "ran", 502: "doubt", 504: "doubt"}[want]
-					if op == claims.Settle && when == "before" {
+					if op == claims.Finish && when == "before" {
 						stage = "sent" // the outcome was never recorded, as if the gateway had crashed
 					}
 					if code != 403 || claim != stage || !strings.Contains(text, "replayed") || d.runs != 1 {
@@ -205,7 +205,7 @@
 // A gateway that crashed leaves its claim in its last stage. Another request may take the token over only if the crashed gateway
 // had not sent its own.
 func TestClaimOfCrashedGateway(t *testing.T) {
-	for stage, want := range map[claims.Stage]int{claims.Held: 200, claims.Sent: 403, claims.Ran: 403, claims.Doubt: 403, "": 403} {
+	for stage, want := range map[claims.Stage]int{claims.Held: 200, claims.Sent: 403, claims.Ran: 403, claims.Unconfirmed: 403, "": 403} {
 		d := newGatewayPair(t)
 		d.answer = func() core.Answer { return served }
 		d.store.records[d.claimName] = claims.Record{Owner: "dead", Until: 2e12, Stage: stage}
--- a/front/signed/guard.go
+++ b/front/signed/guard.go
@@ -95,25 +95,25 @@
 // enterLimits counts a request in the limits of its grant, its key and its client, or rejects the request.
 func (c *conn) enterLimits(s *slot, g *token.Grant) bool {
 	f := c.frontend
-	if !f.limits.On() {
+	if !f.limits.Enabled() {
 		return true
 	}
-	limitNames := &limits.Who{Key: g.Key, Client: f.limits.Client(c.clientAddr)}
+	limitNames := &limits.Subject{Key: g.Key, Client: f.limits.Client(c.clientAddr)}
 	if g.ID != "" {
 		limitNames.Grant = g.Use()
 	}
 	if r := f.limits.Enter(*limitNames, f.opt.Clock.Now()); r != nil {
-		c.fail(s, 429, "limited", "the limit of this "+r.By+" is reached", retryHeaders(r.Wait))
+		c.fail(s, 429, "limited", "the limit of this "+r.Limit+" is reached", retryHeaders(r.RetryAfter))
 		return false
 	}
-	s.limitNames = limitNames
+	s.limitSubject = limitNames
 	return true
 }
 
 // releaseLimits ends the request in its limits, and charges the bytes of its response.
 func (f *Frontend) releaseLimits(s *slot) {
-	if s.limitNames != nil {
-		f.limits.Release(*s.limitNames, float64(len(s.answer)), f.opt.Clock.Now())
-		s.limitNames = nil
+	if s.limitSubject != nil {
+		f.limits.Release(*s.limitSubject, float64(len(s.answer)), f.opt.Clock.Now())
+		s.limitSubject = nil
 	}
 }
--- a/front/signed/guard_test.go
+++ b/front/signed/guard_test.go
@@ -37,7 +37,7 @@
 	f := d.frontends[0]
 	f.opt.Log = zerolog.New(log)
 	f.guard = limits.NewGuard(limits.GuardOptions{
-		Failures: limits.Rate{PerSecond: 1, Burst: 1}, Checks: limits.Rate{PerSecond: 1, Burst: 1}, Sources: 8,
+		Failures: limits.Rate{PerSecond: 1, Burst: 1}, Checks: limits.Rate{PerSecond: 1, Burst: 1}, MaxSources: 8,
 	})
 	forged := strings.Replace(d.url, "signature=", "signature=A", 1)
 	sendForged := func() <-chan string {
--- a/front/signed/signed.go
+++ b/front/signed/signed.go
@@ -192,16 +192,16 @@
 	msg            http1.Message
 	receivedAt     float64 // when its last byte arrived, in clock ms
 	class          Class
-	grantUntil     float64      // expiry of its grant, in Unix seconds
-	grantExpiresAt float64      // the same in clock ms, computed when the request was validated
-	claimName      string       // claim name of its grant; "": the grant has no ID
-	tokenHeader    string       // name of the header that carried its token
-	renewable      *token.Grant // nil: its token is not renewable
-	limitNames     *limits.Who  // names under which it is counted in the limits; nil: it is not
-	owner          string       // owner of its claim; "": it is not claimed
-	bookedBytes    int          // bytes of its body that are booked in the frontend's budget
-	submitted      bool         // it was submitted to the core
-	canceled       *atomic.Bool // true once its client has disconnected
+	grantUntil     float64         // expiry of its grant, in Unix seconds
+	grantExpiresAt float64         // the same in clock ms, computed when the request was validated
+	claimName      string          // claim name of its grant; "": the grant has no ID
+	tokenHeader    string          // name of the header that carried its token
+	renewable      *token.Grant    // nil: its token is not renewable
+	limitSubject   *limits.Subject // names under which it is counted in the limits; nil: it is not
+	owner          string          // owner of its claim; "": it is not claimed
+	bookedBytes    int             // bytes of its body that are booked in the frontend's budget
+	submitted      bool            // it was submitted to the core
+	canceled       *atomic.Bool    // true once its client has disconnected
 	done           bool
 	ready          chan struct{} // closed once done
 	answer         []byte        // valid once done; nil: the client has disconnected
--- a/limits/guard.go
+++ b/limits/guard.go
@@ -4,15 +4,15 @@
 
 // GuardOptions configure a guard.
 type GuardOptions struct {
-	Failures Rate    // failures that are tolerated
-	Checks   Rate    // tokens of a blocked source that are checked nevertheless
-	PauseMs  float64 // between the requests of a connection whose source is blocked
-	Sources  int     // number of sources that are tracked
+	Failures   Rate    // failures that are tolerated
+	Checks     Rate    // tokens of a blocked source that are checked nevertheless
+	PauseMs    float64 // between the requests of a connection whose source is blocked
+	MaxSources int     // number of sources that are tracked
 }
 
 // DefaultGuard is generous to one honest proxy and slows a client that guesses tokens.
 var DefaultGuard = GuardOptions{
-	Failures: Rate{PerSecond: 2, Burst: 100}, Checks: Rate{PerSecond: 20, Burst: 20}, PauseMs: 250, Sources: 1 << 15,
+	Failures: Rate{PerSecond: 2, Burst: 100}, Checks: Rate{PerSecond: 20, Burst: 20}, PauseMs: 250, MaxSources: 1 << 15,
 }
 
 // Guard limits sources that send forged or unknown tokens. Each source has a token bucket of tolerated failures. When half of
@@ -28,11 +28,11 @@
 
 // NewGuard returns a guard.
 func NewGuard(opt GuardOptions) *Guard {
-	return &Guard{opt: opt, failures: NewTable(opt.Failures, opt.Sources), checks: NewTable(opt.Checks, opt.Sources)}
+	return &Guard{opt: opt, failures: NewTable(opt.Failures, opt.MaxSources), checks: NewTable(opt.Checks, opt.MaxSources)}
 }
 
-// Bytes returns the size of the guard's memory.
-func (g *Guard) Bytes() int { return g.failures.Bytes() + g.checks.Bytes() }
+// MemoryBytes returns the size of the guard's memory.
+func (g *Guard) MemoryBytes() int { return g.failures.MemoryBytes() + g.checks.MemoryBytes() }
 
 // Failed counts a token of a source that was not accepted.
 func (g *Guard) Failed(source string, now float64) { g.failures.Spend(source, 1, now) }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -7,25 +7,25 @@
 
 // Limit holds the limits of each name of a kind. Zero values mean no limit.
 type Limit struct {
-	Requests Rate
-	Bytes    Rate // of responses
-	AtOnce   int  // requests in flight
+	Requests    Rate
+	Bytes       Rate // of responses
+	MaxInFlight int  // requests in flight
 }
 
 func (l Limit) enabled() bool {
-	return l.Requests.PerSecond > 0 || l.Bytes.PerSecond > 0 || l.AtOnce > 0
+	return l.Requests.PerSecond > 0 || l.Bytes.PerSecond > 0 || l.MaxInFlight > 0
 }
 
 // Options configure the limits of a frontend.
 type Options struct {
-	Grant, Key, Client Limit
-	V4, V6             int // prefix length that identifies a client; 0: 24 and 56
-	Names              int // number of names that are tracked of each kind; 0: 65,536
+	Grant, Key, Client           Limit
+	IPv4PrefixLen, IPv6PrefixLen int // prefix length that identifies a client; 0: 24 and 56
+	MaxNames                     int // number of names that are tracked of each kind; 0: 65,536
 }
 
-// Who holds the names that a request is limited by: its grant, its key (the tenant) and its client's prefix. Empty names are
+// Subject holds the names that a request is limited by: its grant, its key (the tenant) and its client's prefix. Empty names are
 // not limited.
-type Who struct{ Grant, Key, Client string }
+type Subject struct{ Grant, Key, Client string }
 
 // Limits limit the requests per second, the bytes per second and the requests in flight, by grant, key and client. A request
 // passes all limits, or is rejected and charged to none.
@@ -43,39 +43,39 @@
 
 // New returns limits. Tables are allocated only for what is limited.
 func New(opt Options) *Limits {
-	if opt.V4 == 0 {
-		opt.V4 = 24
+	if opt.IPv4PrefixLen == 0 {
+		opt.IPv4PrefixLen = 24
 	}
-	if opt.V6 == 0 {
-		opt.V6 = 56
+	if opt.IPv6PrefixLen == 0 {
+		opt.IPv6PrefixLen = 56
 	}
-	if opt.Names == 0 {
-		opt.Names = 1 << 16
+	if opt.MaxNames == 0 {
+		opt.MaxNames = 1 << 16
 	}
 	l := &Limits{opt: opt, inUse: Gauge{open: map[string]int{}}}
 	for i, k := range []Limit{opt.Grant, opt.Key, opt.Client} {
 		l.kinds[i] = kind{name: []string{"grant", "key", "client"}[i], limit: k}
 		if k.Requests.PerSecond > 0 {
-			l.kinds[i].requests = NewTable(k.Requests, opt.Names)
+			l.kinds[i].requests = NewTable(k.Requests, opt.MaxNames)
 		}
 		if k.Bytes.PerSecond > 0 {
-			l.kinds[i].bytes = NewTable(k.Bytes, opt.Names)
+			l.kinds[i].bytes = NewTable(k.Bytes, opt.MaxNames)
 		}
 	}
 	return l
 }
 
-// On reports whether anything is limited.
-func (l *Limits) On() bool {
+// Enabled reports whether anything is limited.
+func (l *Limits) Enabled() bool {
 	return l.opt.Grant.enabled() || l.opt.Key.enabled() || l.opt.Client.enabled()
 }
 
-// Bytes returns the size of the tables.
-func (l *Limits) Bytes() (n int) {
+// MemoryBytes returns the size of the tables.
+func (l *Limits) MemoryBytes() (n int) {
 	for _, k := range l.kinds {
 		for _, t := range []*Table{k.requests, k.bytes} {
 			if t != nil {
-				n += t.Bytes()
+				n += t.MemoryBytes()
 			}
 		}
 	}
@@ -84,9 +84,9 @@
 
 // Client returns the prefix of an address by which a client is limited.
 func (l *Limits) Client(a netip.Addr) string {
-	bits := l.opt.V4
+	bits := l.opt.IPv4PrefixLen
 	if a.Is6() {
-		bits = l.opt.V6
+		bits = l.opt.IPv6PrefixLen
 	}
 	p, err := a.Prefix(bits)
 	if err != nil {
@@ -95,10 +95,10 @@
 	return p.String()
 }
 
-// Refusal states which limit rejected a request, and after how many ms a retry is worthwhile.
-type Refusal struct {
-	By   string // "grant", "key" or "client"
-	Wait float64
+// Rejection states which limit rejected a request, and after how many ms a retry is worthwhile.
+type Rejection struct {
+	Limit      string // "grant", "key" or "client"
+	RetryAfter float64
 }
 
 // busyRetryDelay is the delay, in ms, after which to retry when too many requests are in flight: it can't be predicted when one
@@ -106,7 +106,7 @@
 const busyRetryDelay = 1000
 
 // Enter admits a request, or returns why it is rejected. Each admitted request must be released once.
-func (l *Limits) Enter(w Who, now float64) *Refusal {
+func (l *Limits) Enter(w Subject, now float64) *Rejection {
 	names := w.names()
 	for i := range l.kinds {
 		k, name := &l.kinds[i], names[i]
@@ -115,7 +115,7 @@
 		}
 		if wait := l.enter(k, name, now); wait > 0 {
 			l.rollBack(names, i, now)
-			return &Refusal{k.name, wait}
+			return &Rejection{k.name, wait}
 		}
 	}
 	return nil
@@ -126,23 +126,23 @@
 	if wait := k.retryDelay(name, now); wait > 0 {
 		return wait
 	}
-	if !l.inUse.Enter(k.name+"/"+name, k.limit.AtOnce) {
+	if !l.inUse.Enter(k.name+"/"+name, k.limit.MaxInFlight) {
 		return busyRetryDelay
 	}
 	ok, wait := k.requests.Take(name, 1, now) // a concurrent request may have taken the last token meanwhile
 	if !ok {
-		l.inUse.Release(k.name+"/"+name, k.limit.AtOnce)
+		l.inUse.Release(k.name+"/"+name, k.limit.MaxInFlight)
 	}
 	return wait
 }
 
-func (w Who) names() [3]string { return [3]string{w.Grant, w.Key, w.Client} }
+func (w Subject) names() [3]string { return [3]string{w.Grant, w.Key, w.Client} }
 
 // retryDelay returns after how many ms a name has a token in each table; 0: it has one now.
 func (k *kind) retryDelay(name string, now float64) float64 {
 	wait := 0.0
 	for _, t := range []*Table{k.requests, k.bytes} {
-		if t.On() {
+		if t.Enabled() {
 			if level := t.Level(name, now); level < 1 {
 				wait = max(wait, (1-level)/t.rate.PerSecond*1000)
 			}
@@ -155,17 +155,17 @@
 func (l *Limits) rollBack(names [3]string, before int, now float64) {
 	for i := range before {
 		if k := &l.kinds[i]; names[i] != "" {
-			l.inUse.Release(k.name+"/"+names[i], k.limit.AtOnce)
+			l.inUse.Release(k.name+"/"+names[i], k.limit.MaxInFlight)
 			k.requests.Spend(names[i], -1, now)
 		}
 	}
 }
 
 // Release ends an admitted request, and charges the bytes of its response.
-func (l *Limits) Release(w Who, bytes, now float64) {
+func (l *Limits) Release(w Subject, bytes, now float64) {
 	for i, name := range w.names() {
 		if k := &l.kinds[i]; name != "" {
-			l.inUse.Release(k.name+"/"+name, k.limit.AtOnce)
+			l.inUse.Release(k.name+"/"+name, k.limit.MaxInFlight)
 			k.bytes.Spend(name, bytes, now)
 		}
 	}
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -68,16 +68,16 @@
 			}
 		}
 	}
-	if n := table.Bytes(); n > 1<<16*bucketSize*2 || evicted > 0 {
+	if n := table.MemoryBytes(); n > 1<<16*bucketSize*2 || evicted > 0 {
 		t.Errorf("%d bytes, evicted %d times", n, evicted)
 	}
-	t.Logf("%d bytes for a million names", table.Bytes())
+	t.Logf("%d bytes for a million names", table.MemoryBytes())
 }
 
 // A source with failures is slowed, then blocked; its tokens are still checked at the configured rate, and it recovers with
 // time. Other sources are not affected.
 func TestGuard(t *testing.T) {
-	g := NewGuard(GuardOptions{Failures: Rate{1, 10}, Checks: Rate{5, 5}, PauseMs: 200, Sources: 100})
+	g := NewGuard(GuardOptions{Failures: Rate{1, 10}, Checks: Rate{5, 5}, PauseMs: 200, MaxSources: 100})
 	now, checked := 0.0, 0
 	for i := range 40 {
 		pause := g.Pause("bad", now)
@@ -132,7 +132,7 @@
 		var admitted atomic.Int64
 		for range 16 {
 			wg.Go(func() {
-				if l.Enter(Who{Grant: "g"}, 0) == nil {
+				if l.Enter(Subject{Grant: "g"}, 0) == nil {
 					admitted.Add(1)
 				}
 			})
@@ -161,9 +161,9 @@
 	f.Add([]byte{1, 2, 3, 128, 4, 5, 129, 130, 1, 1, 1, 1})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		l := New(Options{
-			Grant: Limit{Requests: Rate{10, 3}, AtOnce: 2}, Key: Limit{AtOnce: 4, Bytes: Rate{1000, 1000}}, Client: Limit{Requests: Rate{5, 5}},
+			Grant: Limit{Requests: Rate{10, 3}, MaxInFlight: 2}, Key: Limit{MaxInFlight: 4, Bytes: Rate{1000, 1000}}, Client: Limit{Requests: Rate{5, 5}},
 		})
-		var admitted []Who
+		var admitted []Subject
 		count := map[string]int{}
 		now := 1e6
 		for _, s := range steps {
@@ -176,7 +176,7 @@
 				continue
 			}
 			now += float64(s>>3) * 5
-			w := Who{Grant: fmt.Sprint("g", s%4), Key: fmt.Sprint("k", s%2), Client: "c"}
+			w := Subject{Grant: fmt.Sprint("g", s%4), Key: fmt.Sprint("k", s%2), Client: "c"}
 			before := l.kinds[2].requests.Level("c", now)
 			r := l.Enter(w, now)
 			after := l.kinds[2].requests.Level("c", now)
@@ -185,7 +185,7 @@
 				count["g"+w.Grant]++
 				count["k"+w.Key]++
 				admitted = append(admitted, w)
-			case r.Wait <= 0 || math.Abs(before-after) > 1e-3:
+			case r.RetryAfter <= 0 || math.Abs(before-after) > 1e-3:
 				t.Fatalf("%+v cost %v", r, before-after)
 			}
 			if count["g"+w.Grant] > 2 || count["k"+w.Key] > 4 {
--- a/limits/table.go
+++ b/limits/table.go
@@ -60,11 +60,11 @@
 	return t
 }
 
-// Bytes returns the size of the table's memory.
-func (t *Table) Bytes() int { return shards * len(t.shards[0].sets) * ways * bucketSize }
+// MemoryBytes returns the size of the table's memory.
+func (t *Table) MemoryBytes() int { return shards * len(t.shards[0].sets) * ways * bucketSize }
 
-// On reports whether the table limits anything.
-func (t *Table) On() bool { return t != nil && t.rate.PerSecond > 0 }
+// Enabled reports whether the table limits anything.
+func (t *Table) Enabled() bool { return t != nil && t.rate.PerSecond > 0 }
 
 // level returns a bucket's tokens at now. After a backward step of the clock none are refilled.
 func (t *Table) level(b *bucket, now float64) float64 {
@@ -74,7 +74,7 @@
 // Take takes n tokens from a name's bucket if it has them, and otherwise returns in how many ms it will. If n exceeds the
 // burst, a full bucket suffices, and the difference is owed.
 func (t *Table) Take(name string, n, now float64) (ok bool, wait float64) {
-	if !t.On() {
+	if !t.Enabled() {
 		return true, 0
 	}
 	return t.consume(name, n, now, math.Min(n, t.rate.burst()))
@@ -82,14 +82,14 @@
 
 // Spend takes n tokens from a name's bucket whether or not it has them: missing tokens are owed, up to a burst.
 func (t *Table) Spend(name string, n, now float64) {
-	if t.On() {
+	if t.Enabled() {
 		t.consume(name, n, now, math.Inf(-1))
 	}
 }
 
 // Level returns the tokens of a name.
 func (t *Table) Level(name string, now float64) float64 {
-	if !t.On() {
+	if !t.Enabled() {
 		return math.Inf(1)
 	}
 	hash, s, set := t.find(name)
--- a/replica/clock_step_test.go
+++ b/replica/clock_step_test.go
@@ -379,7 +379,7 @@
 		c := []command{
 			{Op: string(claims.Hold), Name: name, Owner: owner, Until: proposedAt + minute},
 			{Op: string(claims.Send), Name: name, Owner: owner},
-			{Op: string(claims.Settle), Name: name, Owner: owner, To: claims.Ran, Outcome: "200"},
+			{Op: string(claims.Finish), Name: name, Owner: owner, To: claims.Ran, Outcome: "200"},
 			{Op: string(claims.Release), Name: name, Owner: owner},
 			{Op: opRevoke, Name: name, Until: proposedAt + minute},
 			{Op: opPut, Name: name, Value: json.RawMessage(`1`)},
--- a/replica/command.go
+++ b/replica/command.go
@@ -44,7 +44,7 @@
 // isClaimStep reports whether a command is a step of a claim, which its owner may repeat.
 func (c *command) isClaimStep() bool {
 	switch claims.Op(c.Op) {
-	case claims.Hold, claims.Send, claims.Settle, claims.Release:
+	case claims.Hold, claims.Send, claims.Finish, claims.Release:
 		return true
 	}
 	return false
