--- a/adminapi/requests.go
+++ b/adminapi/requests.go
@@ -111,10 +111,10 @@
 	if message.Method == http.MethodHead {
 		body = nil
 	}
-	return http1.Answer(status, "application/json", "Cache-Control: no-store\r\n", length, body, true)
+	return http1.EncodeResponse(status, "application/json", "Cache-Control: no-store\r\n", length, body, true)
 }
 
 // errorResponse returns a response with an error code and text. headers are complete header lines.
 func errorResponse(status int, code, text, headers string) []byte {
-	return http1.ErrorAnswer(status, code, text, headers, true)
+	return http1.EncodeErrorResponse(status, code, text, headers, true)
 }
--- a/adminapi/server.go
+++ b/adminapi/server.go
@@ -100,9 +100,9 @@
 	nc.SetReadDeadline(deadline)
 	r := bufio.NewReaderSize(requestReader{nc, conn, deadline}, 1<<10)
 	message, err := http1.Read(r, maxBodyLen, func() { nc.Write([]byte(continueResponse)) })
-	if malformed, ok := http1.IsBad(err); ok {
-		s.opt.Log.Warn().Int("status", malformed.Status).Str("reason", malformed.Text).Msg("admin request malformed")
-		return errorResponse(malformed.Status, "malformed", malformed.Text, "")
+	if malformed, ok := http1.AsBadMessage(err); ok {
+		s.opt.Log.Warn().Int("status", malformed.Status).Str("reason", malformed.Detail).Msg("admin request malformed")
+		return errorResponse(malformed.Status, "malformed", malformed.Detail, "")
 	}
 	if err != nil {
 		return nil
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -1,8 +1,8 @@
 // Package claims decides who may use a single-use token, and records what became of the use. It is the state machine of one
 // claim: it does no I/O, and a replicated log applies the steps in one order, so every member computes the same record.
 //
-// A use passes the stages held (reserved), sent, and ran or unconfirmed. Only while it is held can it pass to another request: its
-// owner has sent nothing yet, and the owner's own step to sent fails once the use belongs to another request. A hold whose
+// A use passes the stages held (reserved), sent, and ran or unconfirmed. Only while it is held can it pass to another request:
+// its owner has sent nothing yet, and the owner's own step to sent fails once the use belongs to another request. A hold whose
 // outcome its owner never learned therefore blocks no other request, and a use that may have run is never granted again.
 //
 // It does not interpret tokens and does not decide when a record is deleted: packages front/signed and replica do.
--- a/front/signed/answer.go
+++ b/front/signed/answer.go
@@ -21,11 +21,11 @@
 
 // fail answers a request with an error, and states the cause in Proxy-Status (RFC 9209).
 func (c *conn) fail(s *slot, status int, code, text, head string) {
-	c.reply(s, c.frontend.errorAnswer(s, status, code, text, head))
+	c.reply(s, c.frontend.errorResponse(s, status, code, text, head))
 }
 
-func (f *Frontend) errorAnswer(s *slot, status int, code, text, head string) []byte {
-	return http1.ErrorAnswer(status, code, text, f.dateHeader()+head+proxyStatusHeader(code)+f.opt.CORS.headers(&s.msg), s.msg.Close)
+func (f *Frontend) errorResponse(s *slot, status int, code, text, head string) []byte {
+	return http1.EncodeErrorResponse(status, code, text, f.dateHeader()+head+proxyStatusHeader(code)+f.opt.CORS.headers(&s.msg), s.msg.Close)
 }
 
 // proxyErrors maps the frontend's error codes to the proxy error types of RFC 9209, 2.3. The type of other codes is
@@ -70,7 +70,7 @@
 	m := &s.msg
 	head += f.commonHeaders(s, a)
 	if s.class.Write {
-		return http1.Answer(200, octetStream, head, len(a.Body), a.Body, m.Close)
+		return http1.EncodeResponse(200, octetStream, head, len(a.Body), a.Body, m.Close)
 	}
 	plan := conditional.Decide(conditional.Request{
 		Method: m.Method, IfNoneMatch: m.Header["if-none-match"], IfMatch: m.Header["if-match"], IfRange: m.Header["if-range"],
@@ -79,24 +79,24 @@
 	size := strconv.Itoa(len(a.Body))
 	switch plan.Status {
 	case 304:
-		return http1.Answer(304, "", head, 0, nil, m.Close)
+		return http1.EncodeResponse(304, "", head, 0, nil, m.Close)
 	case 412:
-		return http1.Answer(412, "", head, 0, nil, m.Close)
+		return http1.EncodeResponse(412, "", head, 0, nil, m.Close)
 	case 416:
-		return http1.Answer(416, "", head+"Content-Range: bytes */"+size+"\r\n", 0, nil, m.Close)
+		return http1.EncodeResponse(416, "", head+"Content-Range: bytes */"+size+"\r\n", 0, nil, m.Close)
 	case 206:
 		if len(plan.Spans) > 1 {
 			kind, body := multipart(a.Body, plan.Spans)
-			return http1.Answer(206, kind, head, len(body), body, m.Close)
+			return http1.EncodeResponse(206, kind, head, len(body), body, m.Close)
 		}
 		p := plan.Spans[0]
-		return http1.Answer(206, octetStream, head+contentRange(p, size), p.To-p.From, a.Body[p.From:p.To], m.Close)
+		return http1.EncodeResponse(206, octetStream, head+contentRange(p, size), p.To-p.From, a.Body[p.From:p.To], m.Close)
 	}
 	head += "Accept-Ranges: bytes\r\n"
 	if m.Method == "HEAD" {
-		return http1.Answer(200, octetStream, head, len(a.Body), nil, m.Close)
+		return http1.EncodeResponse(200, octetStream, head, len(a.Body), nil, m.Close)
 	}
-	return http1.Answer(200, octetStream, head, len(a.Body), a.Body, m.Close)
+	return http1.EncodeResponse(200, octetStream, head, len(a.Body), a.Body, m.Close)
 }
 
 func contentRange(p conditional.Span, size string) string {
@@ -245,5 +245,5 @@
 			head += "Access-Control-Max-Age: " + strconv.Itoa(f.opt.CORS.MaxAge) + "\r\n"
 		}
 	}
-	return http1.Answer(204, "", f.dateHeader()+head+f.opt.CORS.varyHeader(), 0, nil, m.Close)
+	return http1.EncodeResponse(204, "", f.dateHeader()+head+f.opt.CORS.varyHeader(), 0, nil, m.Close)
 }
--- a/front/signed/manage.go
+++ b/front/signed/manage.go
@@ -97,26 +97,26 @@
 // handleManagement answers the operator's calls and the health check.
 func (f *Frontend) handleManagement(m *http1.Message) []byte {
 	if draining, _ := f.server.Draining(); draining && m.Path == "/healthz" {
-		return http1.ErrorAnswer(503, "draining", "this gateway is being emptied", "", m.Close)
+		return http1.EncodeErrorResponse(503, "draining", "this gateway is being emptied", "", m.Close)
 	}
 	if m.Path == "/healthz" {
-		return http1.Answer(200, "text/plain", "", 3, []byte("ok\n"), m.Close)
+		return http1.EncodeResponse(200, "text/plain", "", 3, []byte("ok\n"), m.Close)
 	}
 	if f.opt.OperatorSecret == "" {
-		return http1.ErrorAnswer(404, "not_found", "no such path", "", m.Close)
+		return http1.EncodeErrorResponse(404, "not_found", "no such path", "", m.Close)
 	}
 	secret, _ := strings.CutPrefix(m.Header["authorization"], "Bearer ")
 	// Digests have the same length, so the comparison does not reveal the length of the secret.
 	got, want := sha256.Sum256([]byte(secret)), sha256.Sum256([]byte(f.opt.OperatorSecret))
 	if subtle.ConstantTimeCompare(got[:], want[:]) != 1 {
-		return http1.ErrorAnswer(401, "missing", "for the operator alone", "WWW-Authenticate: Bearer\r\n", m.Close)
+		return http1.EncodeErrorResponse(401, "missing", "for the operator alone", "WWW-Authenticate: Bearer\r\n", m.Close)
 	}
 	if m.Method != "POST" {
-		return http1.ErrorAnswer(405, "method", "this takes POST", "Allow: POST\r\n", m.Close)
+		return http1.EncodeErrorResponse(405, "method", "this takes POST", "Allow: POST\r\n", m.Close)
 	}
 	call, ok := operatorCalls[m.Path]
 	if !ok {
-		return http1.ErrorAnswer(404, "not_found", "no such path", "", m.Close)
+		return http1.EncodeErrorResponse(404, "not_found", "no such path", "", m.Close)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), operatorCallTimeout)
 	defer cancel()
@@ -124,16 +124,16 @@
 	var unavailable *unavailableError
 	switch {
 	case errors.As(err, &unavailable):
-		return http1.ErrorAnswer(503, unavailable.code, err.Error(), "Retry-After: 1\r\n", m.Close)
+		return http1.EncodeErrorResponse(503, unavailable.code, err.Error(), "Retry-After: 1\r\n", m.Close)
 	case err != nil:
-		return http1.ErrorAnswer(400, "malformed", err.Error(), "", m.Close)
+		return http1.EncodeErrorResponse(400, "malformed", err.Error(), "", m.Close)
 	}
 	body, err := json.Marshal(out)
 	if err != nil {
-		return http1.ErrorAnswer(502, "failed", "the answer can't be written", "", m.Close)
+		return http1.EncodeErrorResponse(502, "failed", "the answer can't be written", "", m.Close)
 	}
 	body = append(body, '\n')
-	return http1.Answer(200, "application/json", "Cache-Control: no-store\r\n", len(body), body, m.Close)
+	return http1.EncodeResponse(200, "application/json", "Cache-Control: no-store\r\n", len(body), body, m.Close)
 }
 
 func readJSON(b []byte, into any) error {
--- a/front/signed/object.go
+++ b/front/signed/object.go
@@ -81,7 +81,7 @@
 // singleETag returns the tag of the client's copy if there is exactly one: it is sent to the endpoint. A list or a star is
 // compared when the response arrives.
 func singleETag(v string) string {
-	tags, ok := conditional.Tags(v)
+	tags, ok := conditional.ParseTags(v)
 	if !ok || len(tags) != 1 {
 		return ""
 	}
--- a/front/signed/signed.go
+++ b/front/signed/signed.go
@@ -257,14 +257,14 @@
 		c.unanswered.Add(1) // before the report by setRequestDeadline: an unanswered request keeps the connection open
 		c.setRequestDeadline(0)
 		s := &slot{msg: m, receivedAt: c.serverConn.ArrivedAt(), ready: make(chan struct{})}
-		if b, ok := http1.IsBad(err); ok {
+		if b, ok := http1.AsBadMessage(err); ok {
 			c.frontend.guard.Failed(c.source, c.frontend.opt.Clock.Now())
 			c.frontend.logSampled(c.frontend.opt.Log.Warn(), "request can't be read", func(e *zerolog.Event) {
-				e.Int("status", b.Status).Str("what", b.Text).Str("from", c.source)
+				e.Int("status", b.Status).Str("what", b.Detail).Str("from", c.source)
 			})
 			s.msg.Close = true
 			c.frontend.open.Add(1)
-			s.finish(c.frontend.errorAnswer(s, b.Status, "malformed", b.Text, ""))
+			s.finish(c.frontend.errorResponse(s, b.Status, "malformed", b.Detail, ""))
 			c.enqueue(s)
 			c.linger(r)
 			return
@@ -425,7 +425,7 @@
 			// A client must not lose its connection because others leave too much unread, so it gets a small error response
 			// beyond the budget. Each connection has only one such response at a time.
 			c.frontend.opt.Log.Warn().Msg("response budget exhausted; responding 502 instead")
-			s.answer = c.frontend.errorAnswer(s, 502, "crowded", "too much waits to be written", "Retry-After: 1\r\n")
+			s.answer = c.frontend.errorResponse(s, 502, "crowded", "too much waits to be written", "Retry-After: 1\r\n")
 			c.frontend.responseBudget.Reserve(len(s.answer))
 		}
 		booked := len(s.answer)
@@ -649,23 +649,23 @@
 	case core.Served:
 		return f.buildRepresentation(s, a, head)
 	case core.NotModified:
-		return http1.Answer(304, "", head+f.commonHeaders(s, a), 0, nil, s.msg.Close)
+		return http1.EncodeResponse(304, "", head+f.commonHeaders(s, a), 0, nil, s.msg.Close)
 	case core.Rejected:
 		head := retryHeaders(a.RetryAfter)
 		if a.Reason == core.DeadlineExceeded {
-			return f.errorAnswer(s, 504, "deadline", "no answer in time; trying again is harmless", head)
+			return f.errorResponse(s, 504, "deadline", "no answer in time; trying again is harmless", head)
 		}
-		return f.errorAnswer(s, 503, "refused", "not now; trying again is harmless", head)
+		return f.errorResponse(s, 503, "refused", "not now; trying again is harmless", head)
 	}
 	switch a.Reason {
 	case core.UnknownClass:
-		return f.errorAnswer(s, 404, "unknown_class", "no such class", "")
+		return f.errorResponse(s, 404, "unknown_class", "no such class", "")
 	case core.DeadlineExceeded:
-		return f.errorAnswer(s, 504, "deadline", "no answer in time", "")
+		return f.errorResponse(s, 504, "deadline", "no answer in time", "")
 	case core.AuthorizationExpired:
-		return f.errorAnswer(s, 403, "expired", "the token expired before the request could be sent on", "")
+		return f.errorResponse(s, 403, "expired", "the token expired before the request could be sent on", "")
 	}
-	return f.errorAnswer(s, 502, "upstream_failed", "the store failed", "")
+	return f.errorResponse(s, 502, "upstream_failed", "the store failed", "")
 }
 
 // renewalHeader returns the header with the successor of a request's token, or "" if the token is not renewed.
--- a/internal/conditional/conditional.go
+++ b/internal/conditional/conditional.go
@@ -9,8 +9,8 @@
 
 // Limits of the lists in a request.
 const (
-	RangesMost = 16 // with more, or with overlapping ranges, the complete representation is sent
-	TagsMost   = 64 // a longer list of entity tags is invalid
+	MaxRanges = 16 // with more, or with overlapping ranges, the complete representation is sent
+	MaxTags   = 64 // a longer list of entity tags is invalid
 )
 
 // Request holds the method of a request and its headers for conditions and ranges.
@@ -44,7 +44,7 @@
 	case q.Range == "" || q.Method != "GET" || q.IfRange != "" && !ifRangeMatches(q.IfRange, tag):
 		return Plan{Status: 200}
 	}
-	spans, ok := Ranges(q.Range, size)
+	spans, ok := ParseRanges(q.Range, size)
 	switch {
 	case !ok:
 		return Plan{Status: 200}
@@ -63,7 +63,7 @@
 	if list == "*" {
 		return true
 	}
-	tags, ok := Tags(list)
+	tags, ok := ParseTags(list)
 	if !ok || tag == "" {
 		return false
 	}
@@ -81,13 +81,13 @@
 	Weak bool
 }
 
-// Tags parses a list of entity tags (RFC 9110, 8.8.3).
-func Tags(list string) (out []Tag, ok bool) {
+// ParseTags parses a list of entity tags (RFC 9110, 8.8.3).
+func ParseTags(list string) (out []Tag, ok bool) {
 	rest := strings.Trim(list, " \t")
 	for rest != "" {
 		var t Tag
 		rest, t.Weak = strings.CutPrefix(rest, "W/")
-		if rest == "" || rest[0] != '"' || len(out) == TagsMost {
+		if rest == "" || rest[0] != '"' || len(out) == MaxTags {
 			return nil, false
 		}
 		end := strings.IndexByte(rest[1:], '"')
@@ -113,9 +113,9 @@
 	return out, len(out) > 0
 }
 
-// Ranges parses a Range of bytes for a representation of the given size. If ok is false the header is to be ignored: it is
+// ParseRanges parses a Range of bytes for a representation of the given size. If ok is false the header is to be ignored: it is
 // malformed, or requests too many ranges or overlapping ones. If there is no span, no range is satisfiable.
-func Ranges(text string, size int) (out []Span, ok bool) {
+func ParseRanges(text string, size int) (out []Span, ok bool) {
 	unit, list, found := strings.Cut(text, "=")
 	if !found || !strings.EqualFold(unit, "bytes") {
 		return nil, false
@@ -126,7 +126,7 @@
 		if item == "" {
 			continue
 		}
-		if n++; n > RangesMost {
+		if n++; n > MaxRanges {
 			return nil, false
 		}
 		s, satisfiable, ok := parseSpan(item, size)
--- a/internal/conditional/conditional_test.go
+++ b/internal/conditional/conditional_test.go
@@ -16,7 +16,7 @@
 			t.Skip()
 		}
 		p := Decide(Request{Method: "GET", Range: rangeHeader}, size, "a")
-		if (p.Status == 206) != (len(p.Spans) > 0) || len(p.Spans) > RangesMost {
+		if (p.Status == 206) != (len(p.Spans) > 0) || len(p.Spans) > MaxRanges {
 			t.Errorf("%+v", p)
 		}
 		seen := make([]bool, size)
@@ -31,8 +31,8 @@
 				t.Errorf("empty span: %+v", p)
 			}
 		}
-		list, ok := Tags(tags)
-		if ok && (len(list) == 0 || len(list) > TagsMost) {
+		list, ok := ParseTags(tags)
+		if ok && (len(list) == 0 || len(list) > MaxTags) {
 			t.Errorf("%+v", list)
 		}
 		for _, x := range list {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -28,14 +28,14 @@
 	Close                     bool // the connection is closed after the response
 }
 
-// BadMessage is the error of a malformed request. It is answered with Status and Text, and the connection is closed.
+// BadMessage is the error of a malformed request. It is answered with Status and Detail, and the connection is closed.
 type BadMessage struct {
 	Status int
-	Text   string
+	Detail string
 }
 
 // Error returns the HTTP status and what is wrong with the request.
-func (b *BadMessage) Error() string { return fmt.Sprintf("%d: %s", b.Status, b.Text) }
+func (b *BadMessage) Error() string { return fmt.Sprintf("%d: %s", b.Status, b.Detail) }
 
 func badMessage(status int, text string) error { return &BadMessage{status, text} }
 
@@ -267,8 +267,8 @@
 	return s != ""
 }
 
-// IsBad returns the BadMessage that an error of Read wraps, if any.
-func IsBad(err error) (*BadMessage, bool) {
+// AsBadMessage returns the BadMessage that an error of Read wraps, if any.
+func AsBadMessage(err error) (*BadMessage, bool) {
 	var b *BadMessage
 	ok := errors.As(err, &b)
 	return b, ok
@@ -282,8 +282,8 @@
 	504: "Gateway Timeout", 505: "HTTP Version Not Supported",
 }
 
-// Answer returns an encoded response. The response to HEAD has a nil body and the length that GET would return.
-func Answer(status int, contentType, head string, length int, body []byte, closeConn bool) []byte {
+// EncodeResponse returns an encoded response. The response to HEAD has a nil body and the length that GET would return.
+func EncodeResponse(status int, contentType, head string, length int, body []byte, closeConn bool) []byte {
 	b := make([]byte, 0, 256+len(head)+len(body))
 	b = append(b, "HTTP/1.1 "+strconv.Itoa(status)+" "+statusTexts[status]+"\r\n"...)
 	if contentType != "" {
@@ -300,9 +300,9 @@
 	return append(b, body...)
 }
 
-// ErrorAnswer returns an encoded response with an error as JSON.
-func ErrorAnswer(status int, code, text, head string, closeConn bool) []byte {
+// EncodeErrorResponse returns an encoded response with an error as JSON.
+func EncodeErrorResponse(status int, code, text, head string, closeConn bool) []byte {
 	body, _ := json.Marshal(map[string]string{"error": code, "detail": text})
 	body = append(body, '\n')
-	return Answer(status, "application/json", "Cache-Control: no-store\r\n"+head, len(body), body, closeConn)
+	return EncodeResponse(status, "application/json", "Cache-Control: no-store\r\n"+head, len(body), body, closeConn)
 }
