--- a/admin.go
+++ b/admin.go
@@ -61,14 +61,14 @@
 	defer a.mu.Unlock()
 	notReady := a.readiness.reasons(a.overrides.Draining)
 	s := adminapi.State{
-		Ready:     len(notReady) == 0,
-		Why:       notReady,
-		Draining:  a.overrides.Draining,
-		Disabled:  []string{},
-		Open:      a.openRequests(),
-		Processes: a.processCount(),
-		Durable:   a.durable(),
-		Storage:   a.storageErrors(),
+		Ready:           len(notReady) == 0,
+		NotReadyReasons: notReady,
+		Draining:        a.overrides.Draining,
+		Disabled:        []string{},
+		OpenRequests:    a.openRequests(),
+		Processes:       a.processCount(),
+		Durable:         a.durable(),
+		Storage:         a.storageErrors(),
 	}
 	for _, id := range a.overrides.Disabled {
 		s.Disabled = append(s.Disabled, fmt.Sprintf("s-%08x", id))
@@ -93,12 +93,12 @@
 	return errs
 }
 
-// Drain starts the drain of the gateway if on is true, and ends it otherwise.
-func (a *adminState) Drain(ctx context.Context, on bool) error {
+// SetDraining starts the drain of the gateway if on is true, and ends it otherwise.
+func (a *adminState) SetDraining(ctx context.Context, on bool) error {
 	return a.apply(ctx, drainOverride{on: on})
 }
 
-// Disable excludes an endpoint if on is true, and readmits it otherwise.
-func (a *adminState) Disable(ctx context.Context, id uint32, on bool) error {
+// SetDisabled excludes an endpoint if on is true, and readmits it otherwise.
+func (a *adminState) SetDisabled(ctx context.Context, id uint32, on bool) error {
 	return a.apply(ctx, disableOverride{endpoint: id, on: on})
 }
--- a/admin_test.go
+++ b/admin_test.go
@@ -48,13 +48,13 @@
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	go admin.runWriter(ctx)
-	if err := admin.Drain(ctx, true); err != nil || !f.draining || !admin.State().Draining {
+	if err := admin.SetDraining(ctx, true); err != nil || !f.draining || !admin.State().Draining {
 		t.Errorf("without siblings: %v, frontend draining %t, %+v", err, f.draining, admin.State())
 	}
 	admin.mu.Lock()
 	admin.siblings.Serving = 1
 	admin.mu.Unlock()
-	if err := admin.Drain(ctx, true); err == nil || !admin.State().Draining {
+	if err := admin.SetDraining(ctx, true); err == nil || !admin.State().Draining {
 		t.Errorf("with a sibling that can't read the override: %v", err)
 	}
 	if admin.applySiblingOverrides(ctx); !admin.State().Draining {
@@ -71,7 +71,7 @@
 			t.Fatalf("override not written within 30 s: %+v %v", s, err)
 		}
 	}
-	if err := admin.Drain(ctx, false); err != nil || f.draining {
+	if err := admin.SetDraining(ctx, false); err != nil || f.draining {
 		t.Errorf("undrain: %v, frontend draining %t", err, f.draining)
 	}
 }
--- a/adminapi/gateway.go
+++ b/adminapi/gateway.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// ErrUnknown is returned for an endpoint that has not been in any endpoint list.
-var ErrUnknown = errors.New("no list has named this store")
+// ErrUnknownEndpoint is returned for an endpoint that has not been in any endpoint list.
+var ErrUnknownEndpoint = errors.New("no list has named this store")
 
 var errMalformedID = errors.New("malformed endpoint id")
 
@@ -17,19 +17,19 @@
 type Gateway interface {
 	// State returns the gateway's current state, which is the body of every successful response.
 	State() State
-	// Disable excludes an endpoint if on is true, and readmits it otherwise.
-	Disable(ctx context.Context, id uint32, on bool) error
-	// Drain drains the gateway if on is true, and ends the drain otherwise.
-	Drain(ctx context.Context, on bool) error
+	// SetDisabled excludes an endpoint if on is true, and readmits it otherwise.
+	SetDisabled(ctx context.Context, id uint32, on bool) error
+	// SetDraining drains the gateway if on is true, and ends the drain otherwise.
+	SetDraining(ctx context.Context, on bool) error
 }
 
 // State is the gateway's state as the admin API reports it. Its JSON field names are stable.
 type State struct {
-	Ready    bool     `json:"ready"`
-	Why      []string `json:"why,omitempty"` // reasons why the gateway is not ready
-	Draining bool     `json:"draining"`
-	Disabled []string `json:"disabled"` // endpoints excluded by operators
-	Open     int      `json:"open"`     // requests in flight
+	Ready           bool     `json:"ready"`
+	NotReadyReasons []string `json:"why,omitempty"` // reasons why the gateway is not ready
+	Draining        bool     `json:"draining"`
+	Disabled        []string `json:"disabled"` // endpoints excluded by operators
+	OpenRequests    int      `json:"open"`     // requests in flight
 	// Durable reports whether every override in force would survive a kill and restart.
 	Durable bool `json:"durable"`
 	// Storage lists the errors of files that can't be written at present. Requests that need no disk are served nevertheless.
@@ -46,7 +46,7 @@
 	AgeMS        float64 `json:"age_ms"` // time since the state was last known to be complete; -1: never
 	MaxCopyAgeMS float64 `json:"max_copy_age_ms"`
 	Revision     uint64  `json:"revision"`
-	Votes        bool    `json:"votes,omitempty"`
+	IsVoter      bool    `json:"votes,omitempty"`
 	Voter        string  `json:"voter,omitempty"` // voter that a non-voting gateway subscribes to; "": none
 	Reconnects   uint64  `json:"reconnects"`
 }
--- a/adminapi/requests.go
+++ b/adminapi/requests.go
@@ -31,16 +31,16 @@
 }
 
 func drain(on bool) func(context.Context, Gateway, string) error {
-	return func(ctx context.Context, g Gateway, _ string) error { return g.Drain(ctx, on) }
+	return func(ctx context.Context, g Gateway, _ string) error { return g.SetDraining(ctx, on) }
 }
 
 func disable(on bool) func(context.Context, Gateway, string) error {
 	return func(ctx context.Context, g Gateway, endpoint string) error {
 		id, err := ParseID(endpoint)
 		if err != nil {
-			return ErrUnknown
+			return ErrUnknownEndpoint
 		}
-		return g.Disable(ctx, id, on)
+		return g.SetDisabled(ctx, id, on)
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 	if route.apply != nil {
 		err := s.applyOverride(ctx, message.Path, route, endpoint)
-		if errors.Is(err, ErrUnknown) {
+		if errors.Is(err, ErrUnknownEndpoint) {
 			return errorResponse(http.StatusNotFound, "unknown_store", err.Error(), "")
 		}
 		if err != nil {
--- a/adminapi/server_test.go
+++ b/adminapi/server_test.go
@@ -19,11 +19,11 @@
 
 func (g *fakeGateway) State() State { return State{Ready: !g.draining, Draining: g.draining} }
 
-func (g *fakeGateway) Drain(_ context.Context, on bool) error { g.draining = on; return nil }
+func (g *fakeGateway) SetDraining(_ context.Context, on bool) error { g.draining = on; return nil }
 
-func (g *fakeGateway) Disable(_ context.Context, id uint32, on bool) error {
+func (g *fakeGateway) SetDisabled(_ context.Context, id uint32, on bool) error {
 	if id != 0xc41f7a {
-		return ErrUnknown
+		return ErrUnknownEndpoint
 	}
 	g.disabled = on
 	return nil
--- a/front/close_test.go
+++ b/front/close_test.go
@@ -83,9 +83,9 @@
 
 type idleGateway struct{}
 
-func (idleGateway) State() adminapi.State                       { return adminapi.State{Ready: true} }
-func (idleGateway) Disable(context.Context, uint32, bool) error { return nil }
-func (idleGateway) Drain(context.Context, bool) error           { return nil }
+func (idleGateway) State() adminapi.State                           { return adminapi.State{Ready: true} }
+func (idleGateway) SetDisabled(context.Context, uint32, bool) error { return nil }
+func (idleGateway) SetDraining(context.Context, bool) error         { return nil }
 
 // undrained is a server that is not affected by a drain.
 type undrained struct{ *adminapi.Server }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -200,7 +200,7 @@
 	}
 	out := &adminapi.Subscription{
 		Fresh: status.Fresh, AgeMS: -1, MaxCopyAgeMS: clock.Ms(p.CopyAgeBound()()),
-		Revision: uint64(status.Position.Revision), Votes: p.store != nil, Voter: status.Voter, Reconnects: status.Reconnects,
+		Revision: uint64(status.Position.Revision), IsVoter: p.store != nil, Voter: status.Voter, Reconnects: status.Reconnects,
 	}
 	if !status.CompleteAt.IsZero() {
 		out.AgeMS = clock.Ms(status.CompleteAge)
--- a/overrides.go
+++ b/overrides.go
@@ -144,7 +144,7 @@
 	select {
 	case err := <-reply:
 		if errors.Is(err, core.ErrUnknownEndpoint) {
-			return adminapi.ErrUnknown
+			return adminapi.ErrUnknownEndpoint
 		}
 		return err
 	case <-ctx.Done():
--- a/subscribe_test.go
+++ b/subscribe_test.go
@@ -348,7 +348,7 @@
 func TestVotingGateway(t *testing.T) {
 	s := newVotingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
-	if got := s.subscription(); !got.Votes || got.AgeMS < 0 || got.MaxCopyAgeMS != 0 {
+	if got := s.subscription(); !got.IsVoter || got.AgeMS < 0 || got.MaxCopyAgeMS != 0 {
 		t.Errorf("fresh: %+v", got)
 	}
 	if status, fresh := s.get(s.keys, "url", "firmware", 1); status != http.StatusOK || fresh != -1 {
