--- a/connection_limits.go
+++ b/connection_limits.go
@@ -44,8 +44,9 @@
 	}
 }
 
-// Limit configures the Go runtime for a machine with this number of cores and this memory; 0 leaves a setting as it is.
-func Limit(cores float64, memoryMB int) {
+// SetRuntimeLimits configures the Go runtime for a machine with this number of cores and this memory; 0 leaves a setting as it
+// is.
+func SetRuntimeLimits(cores float64, memoryMB int) {
 	if cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Round(cores))))
 	}
--- a/frontends.go
+++ b/frontends.go
@@ -49,7 +49,7 @@
 		Clock:            gw.Clock,
 		Log:              gw.Log,
 		MaxConns:         gw.limits.frontend,
-		Tap:              gw.tap("fastcgi"),
+		Tap:              gw.connWrapper("fastcgi"),
 		RetryAfter:       retryAfter(gw.node),
 		MaxResponseBytes: memoryBytes(responseShare, gw.node),
 		MaxRequestBytes:  memoryBytes(requestShare, gw.node),
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	gw.addrs.Fronts.FastCGI = f.Handle
+	gw.addrs.Frontends.FastCGI = f.Handle
 	gw.acceptHandover = f.Adopt
 	return nil
 }
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	gw.addrs.Fronts.Signed = f.Handle
+	gw.addrs.Frontends.Signed = f.Handle
 	return nil
 }
 
@@ -103,7 +103,7 @@
 		OperatorSecret:   operator.OperatorSecret,
 		MaxTokenSeconds:  operator.TokenS,
 		MaxConns:         gw.limits.frontend,
-		Tap:              gw.tap("signed"),
+		Tap:              gw.connWrapper("signed"),
 		Limits:           operator.Limit.Options(),
 		CORS:             signed.CORS{Origins: operator.Cors.Origins, Headers: operator.Cors.Headers, MaxAge: operator.Cors.MaxAgeS},
 		RetryAfter:       retryAfter(gw.node),
@@ -131,12 +131,12 @@
 	return clock.Ms(node.Settings.MaxRetryAfter)
 }
 
-// tap returns the function that wraps a frontend's connections for recording; nil: no recording.
-func (gw *gateway) tap(name string) func(net.Conn) net.Conn {
-	if gw.Tap == nil {
+// connWrapper returns the function that wraps a frontend's connections for recording; nil: no recording.
+func (gw *gateway) connWrapper(name string) func(net.Conn) net.Conn {
+	if gw.WrapConn == nil {
 		return nil
 	}
-	return func(conn net.Conn) net.Conn { return gw.Tap(name, conn) }
+	return func(conn net.Conn) net.Conn { return gw.WrapConn(name, conn) }
 }
 
 // listen opens a frontend's listener and registers both.
--- a/gateway.go
+++ b/gateway.go
@@ -204,7 +204,7 @@
 
 // openProcessLimits divides the gateway's limits among its processes, now and whenever their number changes.
 func (gw *gateway) openProcessLimits(context.Context) error {
-	gw.addrs.Fronts.Open = gw.openRequests
+	gw.addrs.Frontends.OpenRequests = gw.openRequests
 	gw.admin.frontends = gw.frontends
 	gw.admin.openRequests = gw.openRequests
 	gw.admin.setProcessCount = gw.setProcessCount
--- a/graceful_shutdown_test.go
+++ b/graceful_shutdown_test.go
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	cfg := Config{Node: node, Log: zerolog.Nop(), Clock: clock.System(), Stop: g.stop, Ready: func(a Addrs) { ready <- a }}
-	cfg.Tap = func(_ string, nc net.Conn) net.Conn {
+	cfg.WrapConn = func(_ string, nc net.Conn) net.Conn {
 		c := &watchedConn{
 			TCPConn: nc.(*net.TCPConn), readDone: make(chan struct{}), resume: make(chan struct{}), closing: make(chan struct{}),
 		}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -121,7 +121,7 @@
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
 	cfg.SharedDir = os.Getenv("TMPDIR")
-	turnfork.Limit(cfg.Node.Cores, cfg.Node.MemoryMB)
+	turnfork.SetRuntimeLimits(cfg.Node.Cores, cfg.Node.MemoryMB)
 	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer done()
 	cfg.Stop = stop.Done()
--- a/internal/cli/pcap.go
+++ b/internal/cli/pcap.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.Tap = func(_ string, c net.Conn) net.Conn { return w.Tap(c) }
+	cfg.WrapConn = func(_ string, c net.Conn) net.Conn { return w.Tap(c) }
 	return errors.Join(serve(cfg, *file), w.Flush())
 }
 
@@ -73,7 +73,7 @@
 		return err
 	}
 	defer f.Close()
-	turnfork.Limit(cfg.Node.Cores, cfg.Node.MemoryMB)
+	turnfork.SetRuntimeLimits(cfg.Node.Cores, cfg.Node.MemoryMB)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ready, ended := make(chan turnfork.Addrs, 1), make(chan error, 1)
@@ -166,9 +166,9 @@
 		return nil
 	}
 	if r.clientEnd == nil {
-		serveConn := f.frontends.Fronts.Signed
+		serveConn := f.frontends.Frontends.Signed
 		if f.frontend == "fastcgi" || f.frontend == "" && b[0] == 1 { // 1 is the FastCGI version; no HTTP method starts with it
-			serveConn = f.frontends.Fronts.FastCGI
+			serveConn = f.frontends.Frontends.FastCGI
 		}
 		if serveConn == nil {
 			f.skipped++
@@ -201,7 +201,7 @@
 
 // waitOpenRequests waits until at most maxOpen requests are open, but no longer than responseTimeout.
 func (f *replayer) waitOpenRequests(maxOpen int) {
-	for end := time.Now().Add(responseTimeout); f.frontends.Fronts.Open() > maxOpen && time.Now().Before(end); {
+	for end := time.Now().Add(responseTimeout); f.frontends.Frontends.OpenRequests() > maxOpen && time.Now().Before(end); {
 		time.Sleep(pollInterval)
 	}
 }
--- a/reload.go
+++ b/reload.go
@@ -25,7 +25,7 @@
 
 // reload applies one configuration.
 func (gw *gateway) reload(ctx context.Context, node config.Node) {
-	Limit(node.Cores, node.MemoryMB)
+	SetRuntimeLimits(node.Cores, node.MemoryMB)
 	switch {
 	case gw.node.Changelog == "":
 		for _, event := range node.Known {
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -126,7 +126,7 @@
 		for received := 0; received < parts*gateways; time.Sleep(time.Millisecond) { // before the clock advances
 			received = int(ended.Load())
 			for _, f := range gatewayAddrs {
-				received += f.Fronts.Open()
+				received += f.Frontends.OpenRequests()
 			}
 		}
 		const step = 50.0
--- a/turnfork.go
+++ b/turnfork.go
@@ -31,8 +31,8 @@
 	Reload    <-chan config.Node // reloaded configurations; nil: no reloads
 	Ready     func(Addrs)        // called once the frontends listen; nil: not called
 
-	// Tap wraps the frontends' connections in order to record them; nil: no recording.
-	Tap func(frontend string, conn net.Conn) net.Conn
+	// WrapConn wraps the frontends' connections in order to record them; nil: no recording.
+	WrapConn func(frontend string, conn net.Conn) net.Conn
 
 	Distribution distribution.Timing // timing of the replicated state's distribution; zero value: defaults
 
@@ -43,13 +43,13 @@
 // Addrs are the addresses that the gateway listens on; the address of a disabled listener is nil.
 type Addrs struct {
 	FastCGI, Signed, Admin net.Addr
-	Fronts                 Fronts
+	Frontends              FrontendHandlers
 }
 
-// Fronts let a caller pass connections to the frontends directly, without their listeners.
-type Fronts struct {
+// FrontendHandlers let a caller pass connections to the frontends directly, without their listeners.
+type FrontendHandlers struct {
 	FastCGI, Signed func(net.Conn) // each returns when the connection has closed; nil: frontend disabled
-	Open            func() int     // number of unanswered requests of both frontends
+	OpenRequests    func() int     // number of unanswered requests of both frontends
 }
 
 // Run serves until ctx ends, or until Stop is closed and the shutdown that follows has completed.
