--- a/claims_test.go
+++ b/claims_test.go
@@ -182,7 +182,7 @@
 // url returns a signed URL of a ride-end request.
 func (c *gatewayGroup) url(nonce string) string {
 	c.Helper()
-	u, err := c.keys.Issue("url", token.Terms{URI: rideEnd, Until: c.clock.Unix()/1000 + 600, ID: nonce})
+	u, err := c.keys.Issue("url", token.Terms{URI: rideEnd, Expires: c.clock.Unix()/1000 + 600, ID: nonce})
 	if err != nil {
 		c.Fatal(err)
 	}
--- a/flood_test.go
+++ b/flood_test.go
@@ -126,7 +126,7 @@
 	log, clk := &lineCounter{}, clock.System()
 	addr, keys, stop := startGatewayWithKeys(b, endpoint, zerolog.New(log), clk, "")
 	defer stop()
-	got, err := keys.Issue("url", token.Terms{URI: tile, Until: math.Floor(clk.Unix()/1000) + 600, ID: "n"})
+	got, err := keys.Issue("url", token.Terms{URI: tile, Expires: math.Floor(clk.Unix()/1000) + 600, ID: "n"})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 `)
 	defer stop()
 	get := func(from, key, id, part string) (int, string) {
-		u, err := keys.Issue(key, token.Terms{URI: "/v1/firmware/7f3a9c21e0b4d655/" + part, Until: start/1000 + 600, ID: id})
+		u, err := keys.Issue(key, token.Terms{URI: "/v1/firmware/7f3a9c21e0b4d655/" + part, Expires: start/1000 + 600, ID: id})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/front/signed/claim_test.go
+++ b/front/signed/claim_test.go
@@ -79,7 +79,7 @@
 	}
 	clk := clock.Manual(1e12)
 	d := &gatewayPair{T: t, clock: clk, store: &claimStore{records: map[string]claims.Record{}, faults: map[claims.Op]string{}}, claimName: "k/n", submitted: make(chan core.Request, 16)}
-	got, err := keys.Issue("k", token.Terms{URI: "/v1/ride-end/00000000000000e1/0", Until: 1e9 + 600, ID: "n"})
+	got, err := keys.Issue("k", token.Terms{URI: "/v1/ride-end/00000000000000e1/0", Expires: 1e9 + 600, ID: "n"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/front/signed/disconnect_test.go
+++ b/front/signed/disconnect_test.go
@@ -107,7 +107,7 @@
 		t.Run(how, func(t *testing.T) {
 			f := newGatewayPair(t).frontends[0]
 			f.classes["firmware"] = Class{Name: "firmware", Deadline: 3000}
-			issued, err := f.ring.Load().Issue("k", token.Terms{URI: "/v1/firmware/00000000000000e1/0", Until: 1e9 + 600, ID: "n"})
+			issued, err := f.ring.Load().Issue("k", token.Terms{URI: "/v1/firmware/00000000000000e1/0", Expires: 1e9 + 600, ID: "n"})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -168,7 +168,7 @@
 	d := newGatewayPair(t)
 	f := d.frontends[0]
 	f.classes["firmware"] = Class{Name: "firmware", Deadline: 3000}
-	issued, err := f.ring.Load().Issue("k", token.Terms{URI: "/v1/firmware/00000000000000e1/0", Until: 1e9 + 600, ID: "n"})
+	issued, err := f.ring.Load().Issue("k", token.Terms{URI: "/v1/firmware/00000000000000e1/0", Expires: 1e9 + 600, ID: "n"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/front/signed/guard.go
+++ b/front/signed/guard.go
@@ -31,8 +31,8 @@
 
 // isForgery reports whether a rejection may be caused by a guessed token. An expired or a missing token is not guessed.
 func isForgery(err error) bool {
-	switch token.WhyOf(err) {
-	case token.BadSignature, token.BadKey, token.Malformed:
+	switch token.ReasonOf(err) {
+	case token.BadSignature, token.UnknownKey, token.Malformed:
 		return true
 	}
 	return false
@@ -100,7 +100,7 @@
 	}
 	limitNames := &limits.Subject{Key: g.Key, Client: f.limits.Client(c.clientAddr)}
 	if g.ID != "" {
-		limitNames.Grant = g.Use()
+		limitNames.Grant = g.UseKey()
 	}
 	if r := f.limits.Enter(*limitNames, f.opt.Clock.Now()); r != nil {
 		c.fail(s, 429, "limited", "the limit of this "+r.Limit+" is reached", retryHeaders(r.RetryAfter))
--- a/front/signed/manage.go
+++ b/front/signed/manage.go
@@ -79,19 +79,19 @@
 		return out, fmt.Errorf("cover: beside regex")
 	}
 	if q.Key == "" {
-		if q.Key, err = keys.Signer(q.Kind, now); err != nil {
+		if q.Key, err = keys.SigningKeyID(q.Kind, now); err != nil {
 			return out, fmt.Errorf("kind: no key of kind %q signs", q.Kind)
 		}
 	}
 	t := token.Terms{
-		URI: q.URI, Cover: q.Regex + q.Cover, ID: id, Single: q.SingleUse, Address: q.Address, Method: q.Method, Data: q.Data,
-		Until: math.Floor(now + q.Seconds), Now: now, Renew: q.Renew,
+		URI: q.URI, Patterns: q.Regex + q.Cover, ID: id, SingleUse: q.SingleUse, Address: q.Address, Method: q.Method, Data: q.Data,
+		Expires: math.Floor(now + q.Seconds), Now: now, Renew: q.Renew,
 	}
 	if q.After > 0 {
-		t.From = math.Floor(now + q.After)
+		t.NotBefore = math.Floor(now + q.After)
 	}
 	got, err := keys.Issue(q.Key, t)
-	return Issued{Key: q.Key, ID: got.ID, Expires: t.Until, Token: got.Token, URL: got.URL}, err
+	return Issued{Key: q.Key, ID: got.ID, Expires: t.Expires, Token: got.Token, URL: got.URL}, err
 }
 
 // handleManagement answers the operator's calls and the health check.
--- a/front/signed/object.go
+++ b/front/signed/object.go
@@ -47,7 +47,7 @@
 	if a.Object, err = parseObjectID(o.object); err != nil {
 		return a, err
 	}
-	part, ok := token.Number(o.part, 32) // accepts one spelling for each part only
+	part, ok := token.ParseDecimal(o.part, 32) // accepts one spelling for each part only
 	if !ok {
 		return a, fmt.Errorf("the part is no number")
 	}
--- a/front/signed/operator_calls.go
+++ b/front/signed/operator_calls.go
@@ -76,7 +76,7 @@
 	if q.Until == 0 {
 		q.Until = f.opt.Clock.Unix()/1000 + policy.TokenSeconds
 	}
-	return okResponse, asUnavailable(f.opt.Claims.Revoke(ctx, token.Grant{Key: q.Key, ID: q.ID}.Use(), q.Until*1000+policy.LeewayMs))
+	return okResponse, asUnavailable(f.opt.Claims.Revoke(ctx, token.Grant{Key: q.Key, ID: q.ID}.UseKey(), q.Until*1000+policy.LeewayMs))
 }
 
 func (f *Frontend) replaceKeys(ctx context.Context, body []byte) (any, error) {
--- a/front/signed/response_budget_test.go
+++ b/front/signed/response_budget_test.go
@@ -21,7 +21,7 @@
 	f := d.frontends[0]
 	f.responseBudget.SetLimit(large + 1<<20)
 	f.classes["firmware"] = Class{Name: "firmware", Deadline: 3000}
-	issued, err := f.ring.Load().Issue("k", token.Terms{URI: "/v1/firmware/00000000000000e1/0", Until: 1e9 + 600, ID: "n"})
+	issued, err := f.ring.Load().Issue("k", token.Terms{URI: "/v1/firmware/00000000000000e1/0", Expires: 1e9 + 600, ID: "n"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/front/signed/signed.go
+++ b/front/signed/signed.go
@@ -479,7 +479,7 @@
 		c.reject(s, err)
 		return
 	}
-	if grant.ID != "" && f.opt.Claims.Revoked(grant.Use()) {
+	if grant.ID != "" && f.opt.Claims.Revoked(grant.UseKey()) {
 		c.fail(s, 403, "revoked", "the token was revoked", "")
 		return
 	}
@@ -518,10 +518,10 @@
 		return
 	}
 	s.bookedBytes = len(m.Body)
-	s.class, s.grantUntil, s.tokenHeader = class, grant.Until, grant.Vary
-	s.grantExpiresAt = judgedAt + grant.Until*1000 - now
+	s.class, s.grantUntil, s.tokenHeader = class, grant.Expires, grant.VaryHeader
+	s.grantExpiresAt = judgedAt + grant.Expires*1000 - now
 	if grant.ID != "" {
-		s.claimName = grant.Use()
+		s.claimName = grant.UseKey()
 	}
 	if grant.Renewal.Seconds > 0 {
 		renewable := grant
@@ -536,7 +536,7 @@
 	request.RequestTag, request.Canceled = s.tag, s.canceled
 	c.open[s.tag] = s
 	c.mu.Unlock()
-	if !class.Write && grant.Uses != 1 {
+	if !class.Write && grant.MaxUses != 1 {
 		c.submit(s, request)
 		return
 	}
@@ -672,17 +672,17 @@
 func (f *Frontend) renewalHeader(s *slot) string {
 	next, now := &s.renewable.Renewal, f.opt.Clock.Unix()/1000
 	// Guards against a token that outlives its revocation, which is kept for the maximum lifetime of a token.
-	if float64(next.Seconds) > f.policy.Load().TokenSeconds || !s.renewable.Renews(now) {
+	if float64(next.Seconds) > f.policy.Load().TokenSeconds || !s.renewable.NeedsRenewal(now) {
 		return ""
 	}
-	name, text, err := f.ring.Load().Renewed(s.renewable, now)
+	name, text, err := f.ring.Load().Renew(s.renewable, now)
 	switch {
 	case err != nil:
 		return ""
 	case next.Header:
 		return name + ": " + text + "\r\n"
 	}
-	return "Set-Cookie: " + name + "=" + text + "; Path=" + cookiePath(s.msg.Path, next.Depth) +
+	return "Set-Cookie: " + name + "=" + text + "; Path=" + cookiePath(s.msg.Path, next.CookiePathDepth) +
 		"; Max-Age=" + strconv.Itoa(next.Seconds) + "; HttpOnly\r\n"
 }
 
@@ -713,7 +713,7 @@
 
 // rejectionResponse returns the contents of the response to a rejected token.
 func rejectionResponse(err error) (status int, code, text, head string) {
-	reason := token.WhyOf(err)
+	reason := token.ReasonOf(err)
 	code, text = string(reason), strings.TrimPrefix(err.Error(), "token: ")
 	switch reason {
 	case token.Missing:
--- a/signed_test.go
+++ b/signed_test.go
@@ -136,7 +136,7 @@
 
 func (s *signedGateway) url(path string, seconds float64, nonce string) string {
 	s.t.Helper()
-	u, err := s.ring.Issue("url", token.Terms{URI: path, Until: s.clock.Unix()/1000 + seconds, ID: nonce})
+	u, err := s.ring.Issue("url", token.Terms{URI: path, Expires: s.clock.Unix()/1000 + seconds, ID: nonce})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 	if change != nil {
 		change(&c)
 	}
-	p, err := s.ring.Package("pack", c)
+	p, err := s.ring.SignClaims("pack", c)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -386,7 +386,7 @@
 		t.Fatal(code, text)
 	}
 	s.ring, _ = ring.New(keys)
-	next, err := s.ring.Issue("url2", token.Terms{URI: tile, Until: s.clock.Unix()/1000 + 60, ID: "x"})
+	next, err := s.ring.Issue("url2", token.Terms{URI: tile, Expires: s.clock.Unix()/1000 + 60, ID: "x"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -605,7 +605,7 @@
 				method = "POST"
 			}
 			got, err := s.ring.Issue(key, token.Terms{
-				URI: "http://" + s.addr + path, Until: now + 60, Now: now, ID: key + path, Single: true, Method: method,
+				URI: "http://" + s.addr + path, Expires: now + 60, Now: now, ID: key + path, SingleUse: true, Method: method,
 			})
 			if err != nil {
 				t.Fatal(err)
--- a/subscribe_test.go
+++ b/subscribe_test.go
@@ -173,7 +173,7 @@
 func (s *replicatedGateway) get(keys *ring.Ring, key, class string, object uint64) (status, fresh int) {
 	s.Helper()
 	path := fmt.Sprintf("/v1/%s/%016x/0", class, object)
-	issued, err := keys.Issue(key, token.Terms{URI: path, Until: s.clock.Unix()/1000 + 600, ID: fmt.Sprint("n", object)})
+	issued, err := keys.Issue(key, token.Terms{URI: path, Expires: s.clock.Unix()/1000 + 600, ID: fmt.Sprint("n", object)})
 	if err != nil {
 		s.Fatal(err)
 	}
--- a/token/cat/cat.go
+++ b/token/cat/cat.go
@@ -91,21 +91,21 @@
 // Kind returns "cat".
 func (Dialect) Kind() token.Kind { return token.CAT }
 
-// Ready requires a secret of at least 32 bytes for HS256, and a key pair for ES256 and EdDSA.
-func (Dialect) Ready(k token.Key) (token.Material, error) {
-	return k.Choice(map[string]token.Family{"ES256": token.P256, "EdDSA": token.Ed25519})
+// LoadKey requires a secret of at least 32 bytes for HS256, and a key pair for ES256 and EdDSA.
+func (Dialect) LoadKey(k token.Key) (token.Material, error) {
+	return k.LoadByAlgorithm(map[string]token.KeyType{"ES256": token.P256, "EdDSA": token.Ed25519})
 }
 
 // Find returns the token in the query, otherwise the one in the header, otherwise the one in the cookie.
-func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
+func (Dialect) Find(q *token.Request, _ []*token.LoadedKey) (token.FoundToken, bool) {
 	if t := q.Query.Get(Param); t != "" {
-		return token.Carried{Text: t, Params: []string{Param}}, true
+		return token.FoundToken{Text: t, Params: []string{Param}}, true
 	}
-	if t := q.HeaderOf(Header); t != "" {
-		return token.Carried{Text: t, From: token.InHeader, Name: Header}, true
+	if t := q.HeaderValue(Header); t != "" {
+		return token.FoundToken{Text: t, Source: token.InHeader, Name: Header}, true
 	}
-	t := q.CookieOf(Param)
-	return token.Carried{Text: t, From: token.InCookie}, t != ""
+	t := q.CookieValue(Param)
+	return token.FoundToken{Text: t, Source: token.InCookie}, t != ""
 }
 
 // message is a COSE_Mac0 or COSE_Sign1 message.
@@ -138,7 +138,7 @@
 }
 
 // Open authenticates a token.
-func (Dialect) Open(_ *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
+func (Dialect) Open(_ *token.Request, c token.FoundToken, keys token.Keys) (g token.Grant, err error) {
 	if len(c.Text) > maxTokenBytes {
 		return g, token.Reject(token.Malformed, "the token is too long")
 	}
@@ -164,7 +164,7 @@
 	if !ok {
 		id, _ = m.Unprotected[headerKeyID].([]byte)
 	}
-	key, err := keys.Find(string(id))
+	key, err := keys.Lookup(string(id))
 	if err != nil {
 		return g, err
 	}
@@ -184,9 +184,9 @@
 	}
 	r := claimReader{claims: claims}
 	g = r.grant(key, c.Params)
-	g.Native = claims
+	g.DialectClaims = claims
 	if g.ID == "" {
-		g.ID = token.IDOf(string(m.Payload))
+		g.ID = token.DerivedID(string(m.Payload))
 	}
 	return g, r.err
 }
@@ -197,7 +197,7 @@
 }
 
 // verify reports whether the MAC or the signature of a message is valid.
-func verify(k *token.Ready, m *message) bool {
+func verify(k *token.LoadedKey, m *message) bool {
 	switch pub := k.Verifier.(type) {
 	case *ecdsa.PublicKey:
 		if len(m.Sum) != 64 {
@@ -208,7 +208,7 @@
 	case ed25519.PublicKey:
 		return ed25519.Verify(pub, signingInput("Signature1", m), m.Sum)
 	}
-	return hmac.Equal(m.Sum, mac(k.Shared, m))
+	return hmac.Equal(m.Sum, mac(k.SharedSecret, m))
 }
 
 func mac(secret []byte, m *message) []byte {
@@ -218,7 +218,7 @@
 }
 
 // sign signs claims with a key.
-func sign(k *token.Ready, claims map[int64]any) (string, error) {
+func sign(k *token.LoadedKey, claims map[int64]any) (string, error) {
 	payload, err := encMode.Marshal(claims)
 	if err != nil {
 		return "", fmt.Errorf("token: %w", err)
@@ -228,7 +228,7 @@
 	tag := uint64(tagSign1)
 	switch k.Alg {
 	case "HS256":
-		tag, m.Sum = tagMac0, mac(k.Shared, &m)
+		tag, m.Sum = tagMac0, mac(k.SharedSecret, &m)
 	case "ES256":
 		sum := sha256.Sum256(signingInput("Signature1", &m))
 		der, err := k.Signer.Sign(rand.Reader, sum[:], crypto.SHA256)
@@ -254,15 +254,15 @@
 	return base64URL.EncodeToString(raw), nil
 }
 
-// Issue signs a token for a single URI, or for all URIs whose path begins with the prefix in t.Cover.
-func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
-	u, err := t.Whole(true)
+// Issue signs a token for a single URI, or for all URIs whose path begins with the prefix in t.Patterns.
+func (Dialect) Issue(k *token.LoadedKey, t token.Terms) (out token.Issued, err error) {
+	u, err := t.AbsoluteURI(true)
 	if err != nil {
 		return out, err
 	}
-	c := map[int64]any{claimExp: int64(t.Until), claimVersion: int64(1)}
-	if t.Cover != "" {
-		c[claimURI] = map[int64]any{partPath: map[int64]any{matchPrefix: t.Cover}}
+	c := map[int64]any{claimExp: int64(t.Expires), claimVersion: int64(1)}
+	if t.Patterns != "" {
+		c[claimURI] = map[int64]any{partPath: map[int64]any{matchPrefix: t.Patterns}}
 	} else {
 		c[claimURI] = map[int64]any{
 			partScheme: map[int64]any{matchExact: u.Scheme}, partHost: map[int64]any{matchExact: u.Hostname()},
@@ -278,19 +278,19 @@
 	if t.Now > 0 {
 		c[claimIat] = int64(t.Now)
 	}
-	if t.From > 0 {
-		c[claimNbf] = int64(t.From)
+	if t.NotBefore > 0 {
+		c[claimNbf] = int64(t.NotBefore)
 	}
 	if t.Method != "" {
 		c[claimMethods] = []any{t.Method}
 	}
-	if t.Single {
+	if t.SingleUse {
 		c[claimCti] = []byte(t.ID)
 		c[claimReplay] = int64(1)
 		out.ID = t.ID
 	}
 	if t.Address != "" {
-		net, err := token.Net(t.Address)
+		net, err := token.ParsePrefix(t.Address)
 		if err != nil {
 			return out, fmt.Errorf("address: %w", err)
 		}
@@ -307,18 +307,18 @@
 		if err != nil {
 			return out, fmt.Errorf("token: %w", err)
 		}
-		out.ID = token.IDOf(string(payload))
+		out.ID = token.DerivedID(string(payload))
 	}
 	if t.URI == "" {
 		return out, nil
 	}
-	out.URL = token.Join(u, Param+"="+out.Token)
+	out.URL = token.AppendQuery(u, Param+"="+out.Token)
 	return out, nil
 }
 
 // Renew returns the next token for one with catr: the same claims, with the validity starting now.
-func (Dialect) Renew(k *token.Ready, g *token.Grant, now float64) (name, text string, err error) {
-	old, ok := g.Native.(map[int64]any)
+func (Dialect) Renew(k *token.LoadedKey, g *token.Grant, now float64) (name, text string, err error) {
+	old, ok := g.DialectClaims.(map[int64]any)
 	if !ok {
 		return "", "", fmt.Errorf("token: no claims")
 	}
@@ -360,9 +360,9 @@
 }
 
 // matchForms are the forms of matching, by their key.
-var matchForms = map[int64]token.Form{
+var matchForms = map[int64]token.MatchForm{
 	matchExact: token.Exact, matchPrefix: token.Prefix, 2: token.Suffix, 3: token.Contains, matchRegex: token.Posix,
-	-1: token.Sum256, -2: token.Sum512,
+	-1: token.DigestSHA256, -2: token.DigestSHA512256,
 }
 
 // claimReader converts claims to a grant and keeps the first error.
@@ -372,14 +372,14 @@
 }
 
 // reject records a rejection unless there is an earlier error.
-func (r *claimReader) reject(why token.Why, text string) {
+func (r *claimReader) reject(reason token.RejectionReason, detail string) {
 	if r.err == nil {
-		r.err = token.Reject(why, text)
+		r.err = token.Reject(reason, detail)
 	}
 }
 
 // grant converts the claims to a grant. params are the query parameters that carry the token.
-func (r *claimReader) grant(key *token.Ready, params []string) token.Grant {
+func (r *claimReader) grant(key *token.LoadedKey, params []string) token.Grant {
 	known := []int64{claimReplay, claimVersion, claimNetworkIP, claimURI, claimMethods, claimHeaders, claimRenewal}
 	for n := range r.claims {
 		if n >= firstCATClaim && n <= lastCATClaim && !slices.Contains(known, n) {
@@ -392,20 +392,20 @@
 	g := token.Grant{Key: key.ID, URIs: []token.Pattern{{Form: token.Glob, Text: "*"}}}
 	g.Subject, _ = r.claims[claimSub].(string)
 	iss, _ := r.claims[claimIss].(string)
-	if err := key.Bind(iss, r.parseTexts(claimAud)); err != nil && r.err == nil {
+	if err := key.CheckIssuerAudience(iss, r.parseTexts(claimAud)); err != nil && r.err == nil {
 		r.err = err
 	}
 	if id, present := r.claims[claimCti]; present {
 		b, ok := id.([]byte)
-		if g.ID = string(b); !ok || len(b) == 0 || len(b) > token.IDMost {
+		if g.ID = string(b); !ok || len(b) == 0 || len(b) > token.MaxIDLength {
 			r.reject(token.Malformed, "cti: no id")
 		}
 	}
-	g.Until, g.From, g.Issued = r.parseDate(claimExp), r.parseDate(claimNbf), r.parseDate(claimIat)
+	g.Expires, g.NotBefore, g.Issued = r.parseDate(claimExp), r.parseDate(claimNbf), r.parseDate(claimIat)
 	switch replay, present := r.claims[claimReplay]; {
 	case !present, replay == int64(0), replay == int64(2): // 2 asks for the detection of reuse, not for its rejection
 	case replay == int64(1):
-		g.Uses = 1
+		g.MaxUses = 1
 	default:
 		r.reject(token.BadClaim, "catreplay: unknown")
 	}
@@ -473,7 +473,7 @@
 			r.reject(token.BadClaim, "catnip: no address")
 			return
 		}
-		g.Nets = append(g.Nets, net)
+		g.AllowedPrefixes = append(g.AllowedPrefixes, net)
 	}
 }
 
@@ -534,9 +534,9 @@
 			return
 		}
 		for _, p := range r.parseMatches(m) {
-			p.On, p.Less = uriParts[at], params
-			g.Query = g.Query || p.On == token.OnQuery && p.Form == token.Exact
-			g.Also = append(g.Also, p)
+			p.Part, p.ExcludedParams = uriParts[at], params
+			g.CoversQuery = g.CoversQuery || p.Part == token.OnQuery && p.Form == token.Exact
+			g.RequiredPatterns = append(g.RequiredPatterns, p)
 		}
 	}
 }
@@ -559,7 +559,7 @@
 			return
 		}
 		for _, p := range r.parseMatches(m) {
-			g.Headers = append(g.Headers, token.HeaderTerm{Name: name, Pattern: p})
+			g.Headers = append(g.Headers, token.HeaderMatch{Name: name, Pattern: p})
 		}
 	}
 }
@@ -621,7 +621,7 @@
 		r.reject(token.BadClaim, "catr: expadd missing")
 		return
 	}
-	g.Renewal = token.Renewal{Seconds: int(validity), Before: float64(max(0, number(renewBefore)))}
+	g.Renewal = token.Renewal{Seconds: int(validity), WindowSeconds: float64(max(0, number(renewBefore)))}
 	differs := func(n int64, usual string) bool { s, ok := m[n].(string); return ok && !strings.EqualFold(s, usual) }
 	switch {
 	case renewalType <= 1 && !differs(renewCookie, Param):
--- a/token/cat/cat_test.go
+++ b/token/cat/cat_test.go
@@ -11,14 +11,14 @@
 )
 
 // testKey returns an HS256 key, and the key set that contains it at the time 1500.
-func testKey(t testing.TB) (*token.Ready, token.Keys) {
+func testKey(t testing.TB) (*token.LoadedKey, token.Keys) {
 	k := token.Key{ID: "k", Kind: token.CAT, Alg: "HS256", Secret: base64.StdEncoding.EncodeToString([]byte(strings.Repeat("s", 32))), Issuer: "dala"}
-	m, err := (Dialect{}).Ready(k)
+	m, err := (Dialect{}).LoadKey(k)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &token.Ready{Key: k, Material: m}
-	return r, token.Keys{All: []*token.Ready{r}, Now: 1500}
+	r := &token.LoadedKey{Key: k, Material: m}
+	return r, token.Keys{All: []*token.LoadedKey{r}, Now: 1500}
 }
 
 func request() *token.Request {
@@ -45,15 +45,15 @@
 	}
 	for name, x := range map[string]struct {
 		claims m
-		want   token.Why
+		want   token.RejectionReason
 	}{
 		"plain":                     {withClaims(nil), ""},
 		"no expiry":                 {m{claimIss: "dala"}, token.BadClaim},
 		"text as expiry":            {withClaims(m{claimExp: "soon"}), token.Malformed},
 		"expired":                   {withClaims(m{claimExp: int64(1499)}), token.Expired},
 		"float as expiry":           {withClaims(m{claimExp: 1500.5}), ""},
-		"not yet valid":             {withClaims(m{claimNbf: int64(1501)}), token.TooEarly},
-		"issued in the future":      {withClaims(m{claimIat: int64(1501)}), token.TooEarly},
+		"not yet valid":             {withClaims(m{claimNbf: int64(1501)}), token.NotYetValid},
+		"issued in the future":      {withClaims(m{claimIat: int64(1501)}), token.NotYetValid},
 		"another issuer":            {withClaims(m{claimIss: "x"}), token.BadClaim},
 		"an audience":               {withClaims(m{claimAud: []any{"x"}}), token.BadClaim},
 		"version 1":                 {withClaims(m{claimVersion: int64(1)}), ""},
@@ -95,11 +95,11 @@
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		g, err := (Dialect{}).Open(request(), token.Carried{Text: text}, keys)
+		g, err := (Dialect{}).Open(request(), token.FoundToken{Text: text}, keys)
 		if err == nil {
 			err = g.Check(request(), 1500, 0)
 		}
-		if x.want == "" && err != nil || x.want != "" && (err == nil || token.WhyOf(err) != x.want) {
+		if x.want == "" && err != nil || x.want != "" && (err == nil || token.ReasonOf(err) != x.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -113,15 +113,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := (Dialect{}).Open(request(), token.Carried{Text: text}, keys)
-	if err != nil || g.Renews(1899) || !g.Renews(1900) {
+	g, err := (Dialect{}).Open(request(), token.FoundToken{Text: text}, keys)
+	if err != nil || g.NeedsRenewal(1899) || !g.NeedsRenewal(1900) {
 		t.Fatalf("%+v %v", g, err)
 	}
 	name, next, err := (Dialect{}).Renew(k, &g, 1950)
 	if err != nil || name != Header {
 		t.Fatal(name, err)
 	}
-	if g, err := (Dialect{}).Open(request(), token.Carried{Text: next}, keys); err != nil || g.Until != 2010 || g.ID != "c" {
+	if g, err := (Dialect{}).Open(request(), token.FoundToken{Text: next}, keys); err != nil || g.Expires != 2010 || g.ID != "c" {
 		t.Errorf("%+v %v", g, err)
 	}
 }
@@ -139,7 +139,7 @@
 	f.Add([]byte{0xd1, 0x84, 0x43, 0xa1, 0x01, 0x05, 0xa1, 0x04, 0x41, 'k', 0x41, 0xa0, 0x41, 0x00})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		text := base64URL.EncodeToString(b)
-		if _, err := (Dialect{}).Open(request(), token.Carried{Text: text}, keys); err == nil {
+		if _, err := (Dialect{}).Open(request(), token.FoundToken{Text: text}, keys); err == nil {
 			_, got, _ := decode(text)
 			_, want, _ := decode(good)
 			if string(got.Payload) != string(want.Payload) {
@@ -156,12 +156,12 @@
 	f.Add([]byte{0xa2, 0x04, 0x19, 0x07, 0xd0, 0x19, 0x01, 0x38, 0xa1, 0x03, 0xa1, 0x04, 0x80})
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		msg := message{Protected: []byte{0xa1, 0x01, 0x05}, Unprotected: map[int64]any{headerKeyID: []byte("k")}, Payload: payload}
-		msg.Sum = mac(k.Shared, &msg)
+		msg.Sum = mac(k.SharedSecret, &msg)
 		raw, err := encMode.Marshal(cbor.Tag{Number: tagMac0, Content: msg})
 		if err != nil {
 			t.Fatal(err)
 		}
-		g, err := (Dialect{}).Open(request(), token.Carried{Text: base64URL.EncodeToString(raw)}, keys)
+		g, err := (Dialect{}).Open(request(), token.FoundToken{Text: base64URL.EncodeToString(raw)}, keys)
 		if err == nil {
 			g.Check(request(), 1500, 0)
 		}
--- a/token/cloudcdn/cloudcdn.go
+++ b/token/cloudcdn/cloudcdn.go
@@ -36,8 +36,8 @@
 // Kind returns "cloudcdn".
 func (Dialect) Kind() token.Kind { return token.CloudCDN }
 
-// Ready requires a secret of 16 bytes in base64url. The key's id is the KeyName.
-func (Dialect) Ready(k token.Key) (token.Material, error) {
+// LoadKey requires a secret of 16 bytes in base64url. The key's id is the KeyName.
+func (Dialect) LoadKey(k token.Key) (token.Material, error) {
 	secret, err := base64.URLEncoding.DecodeString(k.Secret)
 	switch {
 	case err != nil:
@@ -49,16 +49,16 @@
 	case !token.Canonical("/" + k.ID):
 		return token.Material{}, fmt.Errorf("id: %q can't be a KeyName", k.ID)
 	}
-	return token.Material{Shared: secret, Signs: true}, nil
+	return token.Material{SharedSecret: secret, CanSign: true}, nil
 }
 
 // Find looks for a signed URL, which has a KeyName parameter, then for the signed cookie.
-func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
+func (Dialect) Find(q *token.Request, _ []*token.LoadedKey) (token.FoundToken, bool) {
 	if q.Query.Get(ParamKey) != "" {
-		return token.Carried{Params: params}, true
+		return token.FoundToken{Params: params}, true
 	}
-	text := q.CookieOf(Cookie)
-	return token.Carried{Text: text, From: token.InCookie}, text != ""
+	text := q.CookieValue(Cookie)
+	return token.FoundToken{Text: text, Source: token.InCookie}, text != ""
 }
 
 func mac(secret []byte, text string) string {
@@ -93,10 +93,10 @@
 }
 
 // Open authenticates a signed URL, a signed prefix or a signed cookie.
-func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
+func (Dialect) Open(q *token.Request, c token.FoundToken, keys token.Keys) (g token.Grant, err error) {
 	var f fields
 	uriBeforeFields := "" // the URI up to the fields, which a signed URL without URLPrefix signs too
-	if c.From == token.InCookie {
+	if c.Source == token.InCookie {
 		if len(c.Text) > maxCookieBytes {
 			return g, token.Reject(token.Malformed, "the cookie is too long")
 		}
@@ -115,14 +115,14 @@
 	if err != nil {
 		return g, err
 	}
-	if f.prefix == "" && c.From == token.InCookie {
+	if f.prefix == "" && c.Source == token.InCookie {
 		return g, token.Reject(token.Malformed, "URLPrefix: missing")
 	}
-	expires, ok := token.Number(f.expires, 40)
+	expires, ok := token.ParseDecimal(f.expires, 40)
 	if !ok {
 		return g, token.Reject(token.Malformed, "Expires: no date")
 	}
-	key, err := keys.Find(f.keyName)
+	key, err := keys.Lookup(f.keyName)
 	if err != nil {
 		return g, err
 	}
@@ -130,13 +130,13 @@
 	if f.prefix == "" {
 		signed = uriBeforeFields + signed
 	}
-	if !token.Same(f.signature, mac(key.Shared, signed)) {
+	if !token.EqualConstantTime(f.signature, mac(key.SharedSecret, signed)) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
-	g = token.Grant{Key: key.ID, ID: token.IDOf(signed), Until: float64(expires)}
+	g = token.Grant{Key: key.ID, ID: token.DerivedID(signed), Expires: float64(expires)}
 	if f.prefix == "" { // the signature covers the URI with its query
-		g.Query = true
-		g.URIs, err = token.Compile(token.Pattern{Form: token.Exact, Text: q.URI(params...), Less: params})
+		g.CoversQuery = true
+		g.URIs, err = token.Compile(token.Pattern{Form: token.Exact, Text: q.URI(params...), ExcludedParams: params})
 		return g, err
 	}
 	prefix, err := base64.URLEncoding.Strict().DecodeString(f.prefix)
@@ -156,28 +156,28 @@
 
 // Issue signs a single URI, or a prefix of URIs. The result is a URL with the fields in its query if the terms have a URI,
 // otherwise the value of the signed cookie.
-func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
-	if t.Address != "" || t.From > 0 {
+func (Dialect) Issue(k *token.LoadedKey, t token.Terms) (out token.Issued, err error) {
+	if t.Address != "" || t.NotBefore > 0 {
 		return out, fmt.Errorf("address and after: not with kind cloudcdn")
 	}
-	u, err := t.Whole(true)
+	u, err := t.AbsoluteURI(true)
 	if err != nil {
 		return out, err
 	}
-	expires := ParamExpires + "=" + strconv.FormatInt(int64(t.Until), 10)
+	expires := ParamExpires + "=" + strconv.FormatInt(int64(t.Expires), 10)
 	keyName := ParamKey + "=" + k.ID
-	if t.Cover == "" {
-		signed := token.Join(u, expires+"&"+keyName)
-		return token.Issued{ID: token.IDOf(signed), URL: signed + "&" + ParamSignature + "=" + mac(k.Shared, signed)}, nil
+	if t.Patterns == "" {
+		signed := token.AppendQuery(u, expires+"&"+keyName)
+		return token.Issued{ID: token.DerivedID(signed), URL: signed + "&" + ParamSignature + "=" + mac(k.SharedSecret, signed)}, nil
 	}
-	if !validPrefix(t.Cover) {
+	if !validPrefix(t.Patterns) {
 		return out, fmt.Errorf("cover: a prefix with scheme and host, without query")
 	}
-	prefix := ParamPrefix + "=" + base64.URLEncoding.EncodeToString([]byte(t.Cover))
+	prefix := ParamPrefix + "=" + base64.URLEncoding.EncodeToString([]byte(t.Patterns))
 	if t.URI == "" {
 		signed := prefix + ":" + expires + ":" + keyName
-		return token.Issued{ID: token.IDOf(signed), Token: signed + ":" + ParamSignature + "=" + mac(k.Shared, signed)}, nil
+		return token.Issued{ID: token.DerivedID(signed), Token: signed + ":" + ParamSignature + "=" + mac(k.SharedSecret, signed)}, nil
 	}
 	signed := prefix + "&" + expires + "&" + keyName
-	return token.Issued{ID: token.IDOf(signed), URL: token.Join(u, signed+"&"+ParamSignature+"="+mac(k.Shared, signed))}, nil
+	return token.Issued{ID: token.DerivedID(signed), URL: token.AppendQuery(u, signed+"&"+ParamSignature+"="+mac(k.SharedSecret, signed))}, nil
 }
--- a/token/cloudfront/cloudfront.go
+++ b/token/cloudfront/cloudfront.go
@@ -48,24 +48,24 @@
 // Kind returns "cloudfront".
 func (Dialect) Kind() token.Kind { return token.CloudFront }
 
-// Ready requires a key pair. The key's id is the Key-Pair-Id.
-func (Dialect) Ready(k token.Key) (token.Material, error) {
+// LoadKey requires a key pair. The key's id is the Key-Pair-Id.
+func (Dialect) LoadKey(k token.Key) (token.Material, error) {
 	switch k.Alg {
 	case "", RS1, RS256:
-		return k.Pair(token.RSA)
+		return k.LoadKeyPair(token.RSA)
 	case ES256:
-		return k.Pair(token.P256)
+		return k.LoadKeyPair(token.P256)
 	}
 	return token.Material{}, fmt.Errorf("alg: %q does not go with kind cloudfront", k.Alg)
 }
 
 // Find looks for a signed URL, then for signed cookies. The text of the token is the Key-Pair-Id.
-func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
+func (Dialect) Find(q *token.Request, _ []*token.LoadedKey) (token.FoundToken, bool) {
 	if id := q.Query.Get(ParamKey); id != "" {
-		return token.Carried{Text: id, Params: params}, true
+		return token.FoundToken{Text: id, Params: params}, true
 	}
-	id := q.CookieOf(CookiePrefix + ParamKey)
-	return token.Carried{Text: id, From: token.InCookie}, id != ""
+	id := q.CookieValue(CookiePrefix + ParamKey)
+	return token.FoundToken{Text: id, Source: token.InCookie}, id != ""
 }
 
 // policy is the signed JSON document.
@@ -102,10 +102,10 @@
 }
 
 // Open authenticates a signed URL or signed cookies.
-func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
+func (Dialect) Open(q *token.Request, c token.FoundToken, keys token.Keys) (g token.Grant, err error) {
 	getField := q.Query.Get
-	if c.From == token.InCookie {
-		getField = func(name string) string { return q.CookieOf(CookiePrefix + name) }
+	if c.Source == token.InCookie {
+		getField = func(name string) string { return q.CookieValue(CookiePrefix + name) }
 	}
 	expires, policyText := getField(ParamExpires), getField(ParamPolicy)
 	if (expires == "") == (policyText == "") || len(policyText) > maxPolicyBytes {
@@ -118,12 +118,12 @@
 			return g, token.Reject(token.Malformed, "Policy: can't be read")
 		}
 	} else {
-		if _, ok := token.Number(expires, 40); !ok || strings.ContainsAny(uri, `"\`) {
+		if _, ok := token.ParseDecimal(expires, 40); !ok || strings.ContainsAny(uri, `"\`) {
 			return g, token.Reject(token.Malformed, "Expires: no date")
 		}
 		signed = []byte(cannedPolicy(uri, expires))
 	}
-	key, err := keys.Find(c.Text)
+	key, err := keys.Lookup(c.Text)
 	if err != nil {
 		return g, err
 	}
@@ -147,7 +147,7 @@
 	return crypto.SHA256, sum[:]
 }
 
-func verify(k *token.Ready, text, sig []byte) bool {
+func verify(k *token.LoadedKey, text, sig []byte) bool {
 	hash, sum := digest(k.Alg, text)
 	switch pub := k.Verifier.(type) {
 	case *rsa.PublicKey:
@@ -173,48 +173,48 @@
 	if s.Condition.DateLessThan == nil {
 		return g, token.Reject(token.BadClaim, "DateLessThan: missing")
 	}
-	g = token.Grant{Key: key, ID: token.IDOf(string(document)), Until: float64(s.Condition.DateLessThan.Time)}
+	g = token.Grant{Key: key, ID: token.DerivedID(string(document)), Expires: float64(s.Condition.DateLessThan.Time)}
 	if s.Condition.DateGreaterThan != nil {
-		g.From = float64(s.Condition.DateGreaterThan.Time)
+		g.NotBefore = float64(s.Condition.DateGreaterThan.Time)
 	}
 	if address := s.Condition.IPAddress; address != nil && address.IP != "0.0.0.0/0" {
-		net, err := token.Net(address.IP)
+		net, err := token.ParsePrefix(address.IP)
 		if err != nil {
 			return g, err
 		}
-		g.Nets = []netip.Prefix{net}
+		g.AllowedPrefixes = []netip.Prefix{net}
 	}
-	resource := token.Pattern{Form: token.Glob, Text: s.Resource, Less: params}
+	resource := token.Pattern{Form: token.Glob, Text: s.Resource, ExcludedParams: params}
 	if s.Resource == "" { // no Resource: all URIs
 		resource.Text = "*"
 	}
 	if isCanned { // a canned policy is for a single URI, even if the URI contains a wildcard
 		resource.Form = token.Exact
 	}
-	g.Query = isCanned || !strings.ContainsAny(resource.Text, "*?")
+	g.CoversQuery = isCanned || !strings.ContainsAny(resource.Text, "*?")
 	g.URIs, err = token.Compile(resource)
 	return g, err
 }
 
 // Issue signs a URL with a canned policy, or with a custom policy if the terms have a pattern, a start or an address. The
 // Token of the result contains the signed cookies, joined as in a Cookie header.
-func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
-	u, err := t.Whole(true)
+func (Dialect) Issue(k *token.LoadedKey, t token.Terms) (out token.Issued, err error) {
+	u, err := t.AbsoluteURI(true)
 	if err != nil {
 		return out, err
 	}
-	uri, expires := u.String(), strconv.FormatInt(int64(t.Until), 10)
+	uri, expires := u.String(), strconv.FormatInt(int64(t.Expires), 10)
 	if strings.ContainsAny(uri, `"\`) {
 		return out, fmt.Errorf("uri: can't stand in a policy")
 	}
 	signed, policyParam := cannedPolicy(uri, expires), token.Pair{Name: ParamExpires, Value: expires}
-	if t.Cover != "" || t.From > 0 || t.Address != "" {
-		s := statement{Resource: t.Cover, Condition: condition{DateLessThan: &epochTime{int64(t.Until)}}}
+	if t.Patterns != "" || t.NotBefore > 0 || t.Address != "" {
+		s := statement{Resource: t.Patterns, Condition: condition{DateLessThan: &epochTime{int64(t.Expires)}}}
 		if s.Resource == "" {
 			s.Resource = uri
 		}
-		if t.From > 0 {
-			s.Condition.DateGreaterThan = &epochTime{int64(t.From)}
+		if t.NotBefore > 0 {
+			s.Condition.DateGreaterThan = &epochTime{int64(t.NotBefore)}
 		}
 		if t.Address != "" {
 			s.Condition.IPAddress = &sourceIP{t.Address}
@@ -234,7 +234,7 @@
 		return out, fmt.Errorf("token: %w", err)
 	}
 	parts := token.Query{policyParam, {Name: ParamSignature, Value: urlEncoding.EncodeToString(sig)}, {Name: ParamKey, Value: k.ID}}
-	out.ID = token.IDOf(signed)
+	out.ID = token.DerivedID(signed)
 	for i, p := range parts {
 		if i > 0 {
 			out.Token += "; "
@@ -244,6 +244,6 @@
 	if t.URI == "" {
 		return out, nil
 	}
-	out.URL = token.Join(u, parts.String())
+	out.URL = token.AppendQuery(u, parts.String())
 	return out, nil
 }
--- a/token/edgeauth/edgeauth.go
+++ b/token/edgeauth/edgeauth.go
@@ -30,8 +30,8 @@
 // Kind returns "edgeauth".
 func (Dialect) Kind() token.Kind { return token.EdgeAuth }
 
-// Ready requires a secret of at least 16 bytes in hexadecimal.
-func (Dialect) Ready(k token.Key) (token.Material, error) {
+// LoadKey requires a secret of at least 16 bytes in hexadecimal.
+func (Dialect) LoadKey(k token.Key) (token.Material, error) {
 	secret, err := hex.DecodeString(k.Secret)
 	switch {
 	case err != nil:
@@ -45,7 +45,7 @@
 	case strings.ContainsAny(k.Salt, "~"):
 		return token.Material{}, fmt.Errorf("salt: no ~ in it")
 	}
-	return token.Material{Shared: secret, Signs: true}, nil
+	return token.Material{SharedSecret: secret, CanSign: true}, nil
 }
 
 // paramName returns the name of the parameter, header or cookie for tokens of a key.
@@ -58,7 +58,7 @@
 
 // Find searches for a token under the names that the keys set, beginning with the default name. For each name it searches
 // the query, the headers and the cookies.
-func (Dialect) Find(q *token.Request, keys []*token.Ready) (token.Carried, bool) {
+func (Dialect) Find(q *token.Request, keys []*token.LoadedKey) (token.FoundToken, bool) {
 	if c, ok := findNamed(q, DefaultParam); ok {
 		return c, true
 	}
@@ -69,17 +69,17 @@
 			}
 		}
 	}
-	return token.Carried{}, false
+	return token.FoundToken{}, false
 }
 
 // findNamed returns the token with a name.
-func findNamed(q *token.Request, name string) (token.Carried, bool) {
-	c := token.Carried{Text: q.Query.Get(name), Name: name}
+func findNamed(q *token.Request, name string) (token.FoundToken, bool) {
+	c := token.FoundToken{Text: q.Query.Get(name), Name: name}
 	if c.Text == "" {
-		c.Text, c.From = q.HeaderOf(name), token.InHeader
+		c.Text, c.Source = q.HeaderValue(name), token.InHeader
 	}
 	if c.Text == "" {
-		c.Text, c.From = q.CookieOf(name), token.InCookie
+		c.Text, c.Source = q.CookieValue(name), token.InCookie
 	}
 	if c.Text == "" {
 		return c, false
@@ -127,20 +127,20 @@
 }
 
 // computeMAC returns the HMAC of the fields and of what is not in the token: the path, if the token has no acl, and the salt.
-func computeMAC(k *token.Ready, signed, path string) string {
+func computeMAC(k *token.LoadedKey, signed, path string) string {
 	if path != "" {
 		signed += "~url=" + path
 	}
 	if k.Salt != "" {
 		signed += "~salt=" + k.Salt
 	}
-	m := hmac.New(sha256.New, k.Shared)
+	m := hmac.New(sha256.New, k.SharedSecret)
 	m.Write([]byte(signed))
 	return hex.EncodeToString(m.Sum(nil))
 }
 
 // Open authenticates a token. Tokens do not name their key, so it tries each valid key whose parameter name matches.
-func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
+func (Dialect) Open(q *token.Request, c token.FoundToken, keys token.Keys) (g token.Grant, err error) {
 	f, signed, mac, err := parseToken(c.Text)
 	if err != nil {
 		return g, err
@@ -149,12 +149,12 @@
 	if f[fieldACL] == "" {
 		path = q.Path
 	}
-	rejection := token.Reject(token.BadKey, "no key for this parameter")
+	rejection := token.Reject(token.UnknownKey, "no key for this parameter")
 	for _, k := range keys.InForce() {
 		if paramName(k.Key) != c.Params[0] {
 			continue
 		}
-		if token.Same(mac, computeMAC(k, signed, path)) {
+		if token.EqualConstantTime(mac, computeMAC(k, signed, path)) {
 			return f.grant(k.ID, signed, path)
 		}
 		rejection = token.Reject(token.BadSignature, "the signature is wrong")
@@ -164,12 +164,12 @@
 
 // grant converts the fields of an authentic token to a grant. path is "" if the token has an acl.
 func (f *fields) grant(key, signed, path string) (g token.Grant, err error) {
-	g = token.Grant{Key: key, ID: token.IDOf(signed + "~" + path), Subject: f[fieldID]}
-	if g.Until, err = parseDate(f[fieldExpiry]); err != nil {
+	g = token.Grant{Key: key, ID: token.DerivedID(signed + "~" + path), Subject: f[fieldID]}
+	if g.Expires, err = parseDate(f[fieldExpiry]); err != nil {
 		return g, err
 	}
 	if f[fieldStart] != "" {
-		if g.From, err = parseDate(f[fieldStart]); err != nil {
+		if g.NotBefore, err = parseDate(f[fieldStart]); err != nil {
 			return g, err
 		}
 	}
@@ -178,10 +178,10 @@
 		if err != nil {
 			return g, token.Reject(token.Malformed, "ip: no address")
 		}
-		g.Nets = []netip.Prefix{netip.PrefixFrom(addr, addr.BitLen())}
+		g.AllowedPrefixes = []netip.Prefix{netip.PrefixFrom(addr, addr.BitLen())}
 	}
 	if path != "" {
-		g.URIs = []token.Pattern{{Form: token.Exact, Text: path, On: token.OnPath}}
+		g.URIs = []token.Pattern{{Form: token.Exact, Text: path, Part: token.OnPath}}
 		return g, nil
 	}
 	acls := strings.Split(f[fieldACL], "!")
@@ -189,7 +189,7 @@
 		return g, token.Reject(token.Malformed, "acl: too many")
 	}
 	for _, a := range acls {
-		g.URIs = append(g.URIs, token.Pattern{Form: token.Glob, Text: a, On: token.OnPath})
+		g.URIs = append(g.URIs, token.Pattern{Form: token.Glob, Text: a, Part: token.OnPath})
 	}
 	g.URIs, err = token.Compile(g.URIs...)
 	return g, err
@@ -197,7 +197,7 @@
 
 // parseDate parses a date in Unix seconds.
 func parseDate(text string) (float64, error) {
-	n, ok := token.Number(text, 40)
+	n, ok := token.ParseDecimal(text, 40)
 	if !ok || n == 0 {
 		return 0, token.Reject(token.Malformed, "a date that is no number")
 	}
@@ -205,16 +205,16 @@
 }
 
 // Issue signs a token for a single path, or for all paths that an acl matches.
-func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
+func (Dialect) Issue(k *token.LoadedKey, t token.Terms) (out token.Issued, err error) {
 	u, err := url.Parse(t.URI)
 	if err != nil {
 		return out, fmt.Errorf("uri: can't be read")
 	}
-	f := fields{fieldIP: t.Address, fieldExpiry: strconv.FormatUint(uint64(t.Until), 10), fieldACL: t.Cover, fieldData: t.Data}
-	if t.From > 0 {
-		f[fieldStart] = strconv.FormatUint(uint64(t.From), 10)
+	f := fields{fieldIP: t.Address, fieldExpiry: strconv.FormatUint(uint64(t.Expires), 10), fieldACL: t.Patterns, fieldData: t.Data}
+	if t.NotBefore > 0 {
+		f[fieldStart] = strconv.FormatUint(uint64(t.NotBefore), 10)
 	}
-	if t.Single {
+	if t.SingleUse {
 		f[fieldID] = t.ID
 	}
 	var parts []string
@@ -234,10 +234,10 @@
 		path = u.Path
 	}
 	out.Token = signed + "~hmac=" + computeMAC(k, signed, path)
-	out.ID = token.IDOf(signed + "~" + path)
+	out.ID = token.DerivedID(signed + "~" + path)
 	if t.URI == "" {
 		return out, nil
 	}
-	out.URL = token.Join(u, paramName(k.Key)+"="+url.QueryEscape(out.Token))
+	out.URL = token.AppendQuery(u, paramName(k.Key)+"="+url.QueryEscape(out.Token))
 	return out, nil
 }
--- a/token/grant.go
+++ b/token/grant.go
@@ -12,42 +12,42 @@
 
 // Grant is what an authentic token allows, whatever its dialect.
 type Grant struct {
-	Key     string // id of the key
-	Kind    Kind
-	ID      string         // id that the token carries, otherwise a digest of the signed text; "": none
-	Subject string         // party that the token was issued to, if it states one
-	URIs    []Pattern      // at least one must match
-	Also    []Pattern      // all must match
-	Headers []HeaderTerm   // all must match
-	Query   bool           // the token covers the query; if false, the query is ignored
-	Methods []string       // allowed methods; empty: any
-	Nets    []netip.Prefix // allowed client addresses; empty: any
-	From    float64        // start of validity, in Unix seconds; 0: none
-	Issued  float64        // time of issue, in Unix seconds; 0: unknown
-	Until   float64        // end of validity, in Unix seconds; 0: none, so Check rejects the grant
-	Uses    int            // 1: the token can be used once, also for reads; 0: unlimited
-	Renewal Renewal
-	Vary    string // name of the request header that carried the token; "": the URL carried it
-	Native  any    // claims in the dialect's own type, kept for renewal
+	Key              string // id of the key
+	Kind             Kind
+	ID               string         // id that the token carries, otherwise a digest of the signed text; "": none
+	Subject          string         // party that the token was issued to, if it states one
+	URIs             []Pattern      // at least one must match
+	RequiredPatterns []Pattern      // all must match
+	Headers          []HeaderMatch  // all must match
+	CoversQuery      bool           // the token covers the query; if false, the query is ignored
+	Methods          []string       // allowed methods; empty: any
+	AllowedPrefixes  []netip.Prefix // allowed client addresses; empty: any
+	NotBefore        float64        // start of validity, in Unix seconds; 0: none
+	Issued           float64        // time of issue, in Unix seconds; 0: unknown
+	Expires          float64        // end of validity, in Unix seconds; 0: none, so Check rejects the grant
+	MaxUses          int            // 1: the token can be used once, also for reads; 0: unlimited
+	Renewal          Renewal
+	VaryHeader       string // name of the request header that carried the token; "": the URL carried it
+	DialectClaims    any    // claims in the dialect's own type, kept for renewal
 }
 
 // Renewal is the way in which a token is renewed.
 type Renewal struct {
-	Seconds int     // lifetime of the renewed token; 0: no renewal
-	Cookie  bool    // send the renewed token in a cookie
-	Header  bool    // send the renewed token in a response header
-	Depth   int     // number of leading path segments in the Path attribute of the cookie
-	Before  float64 // renew only during the last Before seconds of the validity; 0: always
+	Seconds         int     // lifetime of the renewed token; 0: no renewal
+	Cookie          bool    // send the renewed token in a cookie
+	Header          bool    // send the renewed token in a response header
+	CookiePathDepth int     // number of leading path segments in the Path attribute of the cookie
+	WindowSeconds   float64 // renew only during the last WindowSeconds of the validity; 0: always
 }
 
-// HeaderTerm is a pattern that the value of a request header must match.
-type HeaderTerm struct {
+// HeaderMatch is a pattern that the value of a request header must match.
+type HeaderMatch struct {
 	Name    string
 	Pattern Pattern
 }
 
-// Use returns the name of the token for claims and revocations, which is unique across keys.
-func (g Grant) Use() string { return g.Key + "/" + g.ID }
+// UseKey returns the name of the token for claims and revocations, which is unique across keys.
+func (g Grant) UseKey() string { return g.Key + "/" + g.ID }
 
 // maxDate is the maximum absolute value of dates, in Unix seconds.
 const maxDate = 1e12
@@ -55,20 +55,20 @@
 // Check returns an error unless a grant allows a request at now, in Unix seconds. leeway is the clock skew to tolerate, in
 // seconds.
 func (g *Grant) Check(q *Request, now, leeway float64) error {
-	for _, v := range []float64{g.From, g.Issued, g.Until} {
+	for _, v := range []float64{g.NotBefore, g.Issued, g.Expires} {
 		if math.IsNaN(v) || math.Abs(v) > maxDate {
 			return Reject(Malformed, "a date out of range")
 		}
 	}
 	switch {
-	case g.Until == 0: // a token without an expiry would stay valid forever
+	case g.Expires == 0: // a token without an expiry would stay valid forever
 		return Reject(BadClaim, "the end of its validity is missing")
-	case now > g.Until+leeway:
+	case now > g.Expires+leeway:
 		return Reject(Expired, "expired")
-	case g.From != 0 && now < g.From-leeway:
-		return Reject(TooEarly, "not valid yet")
+	case g.NotBefore != 0 && now < g.NotBefore-leeway:
+		return Reject(NotYetValid, "not valid yet")
 	case g.Issued != 0 && now < g.Issued-leeway:
-		return Reject(TooEarly, "issued in the future")
+		return Reject(NotYetValid, "issued in the future")
 	case !g.coversURI(q):
 		return Reject(WrongURI, "the URI is another")
 	case !g.allowsMethod(q.Method):
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// coversURI reports whether the URI of a request matches one of the patterns in URIs and all of those in Also.
+// coversURI reports whether the URI of a request matches one of the patterns in URIs and all of those in RequiredPatterns.
 func (g *Grant) coversURI(q *Request) bool {
 	for i := range g.URIs {
 		if g.URIs[i].matches(q) {
@@ -91,10 +91,10 @@
 	return false
 }
 
-// matchesAll reports whether the URI of a request matches all patterns in Also.
+// matchesAll reports whether the URI of a request matches all patterns in RequiredPatterns.
 func (g *Grant) matchesAll(q *Request) bool {
-	for i := range g.Also {
-		if !g.Also[i].matches(q) {
+	for i := range g.RequiredPatterns {
+		if !g.RequiredPatterns[i].matches(q) {
 			return false
 		}
 	}
@@ -104,17 +104,17 @@
 // matchesHeaders reports whether the headers of a request match all header patterns.
 func (g *Grant) matchesHeaders(q *Request) bool {
 	for i := range g.Headers {
-		if h := &g.Headers[i]; !h.Pattern.matchesText(q.HeaderOf(h.Name)) {
+		if h := &g.Headers[i]; !h.Pattern.matchesText(q.HeaderValue(h.Name)) {
 			return false
 		}
 	}
 	return true
 }
 
-// Renews reports whether the token is to be renewed at now, in Unix seconds.
-func (g *Grant) Renews(now float64) bool {
+// NeedsRenewal reports whether the token is to be renewed at now, in Unix seconds.
+func (g *Grant) NeedsRenewal(now float64) bool {
 	r := &g.Renewal
-	return r.Seconds > 0 && (r.Cookie || r.Header) && (r.Before == 0 || now >= g.Until-r.Before)
+	return r.Seconds > 0 && (r.Cookie || r.Header) && (r.WindowSeconds == 0 || now >= g.Expires-r.WindowSeconds)
 }
 
 // allowsMethod reports whether a method is allowed. A grant for GET includes HEAD.
@@ -129,16 +129,16 @@
 
 // allowsAddress reports whether a client address is allowed.
 func (g *Grant) allowsAddress(addr netip.Addr) bool {
-	for _, n := range g.Nets {
+	for _, n := range g.AllowedPrefixes {
 		if n.Contains(addr.Unmap()) {
 			return true
 		}
 	}
-	return len(g.Nets) == 0
+	return len(g.AllowedPrefixes) == 0
 }
 
-// Net parses an address or a prefix. An address gives the prefix that contains only this address.
-func Net(text string) (netip.Prefix, error) {
+// ParsePrefix parses an address or a prefix. An address gives the prefix that contains only this address.
+func ParsePrefix(text string) (netip.Prefix, error) {
 	if a, err := netip.ParseAddr(text); err == nil && a.Zone() == "" {
 		return netip.PrefixFrom(a, a.BitLen()), nil
 	}
@@ -149,41 +149,41 @@
 	return p, nil
 }
 
-// Why is the reason code of a rejection.
-type Why string
+// RejectionReason is the reason code of a rejection.
+type RejectionReason string
 
 // The reason codes. Missing asks the client for a token and Malformed for a well-formed request. All others mean that the
 // request is forbidden.
 const (
-	Missing      Why = "missing"
-	Malformed    Why = "malformed"
-	BadKey       Why = "unknown_key"
-	BadSignature Why = "bad_signature"
-	BadClaim     Why = "bad_claim"
-	Expired      Why = "expired"
-	TooEarly     Why = "not_yet_valid"
-	WrongURI     Why = "wrong_uri"
-	WrongMethod  Why = "wrong_method"
-	WrongAddress Why = "wrong_address"
+	Missing      RejectionReason = "missing"
+	Malformed    RejectionReason = "malformed"
+	UnknownKey   RejectionReason = "unknown_key"
+	BadSignature RejectionReason = "bad_signature"
+	BadClaim     RejectionReason = "bad_claim"
+	Expired      RejectionReason = "expired"
+	NotYetValid  RejectionReason = "not_yet_valid"
+	WrongURI     RejectionReason = "wrong_uri"
+	WrongMethod  RejectionReason = "wrong_method"
+	WrongAddress RejectionReason = "wrong_address"
 )
 
 // Rejection is the error for a token that is not accepted.
 type Rejection struct {
-	Why  Why
-	Text string
+	Reason RejectionReason
+	Detail string
 }
 
 // Error returns the reason as text.
-func (r *Rejection) Error() string { return "token: " + r.Text }
+func (r *Rejection) Error() string { return "token: " + r.Detail }
 
 // Reject returns a rejection.
-func Reject(why Why, text string) error { return &Rejection{why, text} }
+func Reject(reason RejectionReason, detail string) error { return &Rejection{reason, detail} }
 
-// WhyOf returns the reason code of an error, Malformed if it is not a rejection.
-func WhyOf(err error) Why {
+// ReasonOf returns the reason code of an error, Malformed if it is not a rejection.
+func ReasonOf(err error) RejectionReason {
 	var r *Rejection
 	if errors.As(err, &r) {
-		return r.Why
+		return r.Reason
 	}
 	return Malformed
 }
@@ -198,16 +198,16 @@
 	Query Query // parsed form of RawQuery, set by Ring.Verify
 }
 
-// CookieOf returns the value of a cookie.
-func (q *Request) CookieOf(name string) string {
+// CookieValue returns the value of a cookie.
+func (q *Request) CookieValue(name string) string {
 	if q.Cookie == nil {
 		return ""
 	}
 	return q.Cookie(name)
 }
 
-// HeaderOf returns the value of a header.
-func (q *Request) HeaderOf(name string) string {
+// HeaderValue returns the value of a header.
+func (q *Request) HeaderValue(name string) string {
 	if q.Header == nil {
 		return ""
 	}
--- a/token/hmacurl/hmacurl.go
+++ b/token/hmacurl/hmacurl.go
@@ -31,18 +31,18 @@
 // Kind returns "hmac".
 func (Dialect) Kind() token.Kind { return token.HMAC }
 
-// Ready requires a secret of at least 32 bytes in base64.
-func (Dialect) Ready(k token.Key) (token.Material, error) {
+// LoadKey requires a secret of at least 32 bytes in base64.
+func (Dialect) LoadKey(k token.Key) (token.Material, error) {
 	if k.Alg != "" && k.Alg != "HS256" {
 		return token.Material{}, fmt.Errorf("alg: %q does not go with kind hmac", k.Alg)
 	}
-	secret, err := k.Base64()
-	return token.Material{Shared: secret, Signs: true}, err
+	secret, err := k.DecodeSecret()
+	return token.Material{SharedSecret: secret, CanSign: true}, err
 }
 
 // Find returns the signature parameter, which every signed URL has.
-func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
-	return token.Carried{Text: q.Query.Get(ParamSignature), Params: params}, q.Query.Get(ParamSignature) != ""
+func (Dialect) Find(q *token.Request, _ []*token.LoadedKey) (token.FoundToken, bool) {
+	return token.FoundToken{Text: q.Query.Get(ParamSignature), Params: params}, q.Query.Get(ParamSignature) != ""
 }
 
 // signingInput returns the text that the signature covers: path, expiry, key id and nonce, then all other parameters sorted
@@ -60,29 +60,29 @@
 }
 
 // Open authenticates a signed URL.
-func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
+func (Dialect) Open(q *token.Request, c token.FoundToken, keys token.Keys) (g token.Grant, err error) {
 	if q.RawQuery != q.Query.String() { // the signature covers the decoded parameters, so only one encoding of them may be accepted
 		return g, token.Reject(token.Malformed, "the query is not in canonical form")
 	}
 	expires, nonce := q.Query.Get(ParamExpires), q.Query.Get(ParamNonce)
-	expiry, ok := token.Number(expires, 40)
-	if !ok || nonce == "" || len(nonce) > token.IDMost {
+	expiry, ok := token.ParseDecimal(expires, 40)
+	if !ok || nonce == "" || len(nonce) > token.MaxIDLength {
 		return g, token.Reject(token.Malformed, "the signed URL lacks a field or can't be read")
 	}
-	key, err := keys.Find(q.Query.Get(ParamKey))
+	key, err := keys.Lookup(q.Query.Get(ParamKey))
 	if err != nil {
 		return g, err
 	}
-	if !token.Same(c.Text, mac(key.Shared, signingInput(q.Path, expires, key.ID, nonce, q.Query.Without(params...)))) {
+	if !token.EqualConstantTime(c.Text, mac(key.SharedSecret, signingInput(q.Path, expires, key.ID, nonce, q.Query.Without(params...)))) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
 	return token.Grant{
-		Key: key.ID, ID: nonce, Until: float64(expiry), Query: true, URIs: []token.Pattern{{Form: token.Exact, Text: q.Path, On: token.OnPath}},
+		Key: key.ID, ID: nonce, Expires: float64(expiry), CoversQuery: true, URIs: []token.Pattern{{Form: token.Exact, Text: q.Path, Part: token.OnPath}},
 	}, nil
 }
 
 // Issue signs a path and its parameters. The URL has a scheme and a host only if the URI of the terms has them.
-func (Dialect) Issue(key *token.Ready, t token.Terms) (out token.Issued, err error) {
+func (Dialect) Issue(key *token.LoadedKey, t token.Terms) (out token.Issued, err error) {
 	u, err := url.Parse(t.URI)
 	if err != nil {
 		return out, fmt.Errorf("uri: can't be read")
@@ -91,13 +91,13 @@
 	switch {
 	case err != nil:
 		return out, fmt.Errorf("uri: %w", err)
-	case t.ID == "" || len(t.ID) > token.IDMost:
-		return out, fmt.Errorf("nonce: 1 to %d characters", token.IDMost)
-	case !(t.Until > 0 && t.Until < 1<<40):
+	case t.ID == "" || len(t.ID) > token.MaxIDLength:
+		return out, fmt.Errorf("nonce: 1 to %d characters", token.MaxIDLength)
+	case !(t.Expires > 0 && t.Expires < 1<<40):
 		return out, fmt.Errorf("expires: out of range")
 	}
-	expires := strconv.FormatUint(uint64(t.Until), 10)
-	sum := mac(key.Shared, signingInput(u.Path, expires, key.ID, t.ID, rest))
+	expires := strconv.FormatUint(uint64(t.Expires), 10)
+	sum := mac(key.SharedSecret, signingInput(u.Path, expires, key.ID, t.ID, rest))
 	u.RawQuery = append(rest, token.Pair{Name: ParamExpires, Value: expires}, token.Pair{Name: ParamKey, Value: key.ID},
 		token.Pair{Name: ParamNonce, Value: t.ID}, token.Pair{Name: ParamSignature, Value: sum}).String()
 	return token.Issued{ID: t.ID, URL: u.String()}, nil
--- a/token/jws/jws.go
+++ b/token/jws/jws.go
@@ -69,8 +69,8 @@
 // algs are the algorithms that the header of a package may state. The algorithm of the key is checked later.
 var algs = []jose.SignatureAlgorithm{jose.HS256, jose.ES256, jose.EdDSA, jose.RS256}
 
-// families gives the type of key pair for each asymmetric algorithm.
-var families = map[string]token.Family{"ES256": token.P256, "EdDSA": token.Ed25519, "RS256": token.RSA}
+// keyTypes gives the type of key pair for each asymmetric algorithm.
+var keyTypes = map[string]token.KeyType{"ES256": token.P256, "EdDSA": token.Ed25519, "RS256": token.RSA}
 
 // Dialect implements token.Dialect and token.Renewer.
 type Dialect struct{}
@@ -78,14 +78,14 @@
 // Kind returns "jws".
 func (Dialect) Kind() token.Kind { return token.JWS }
 
-// Ready requires a secret of at least 32 bytes for HS256, and a key pair for ES256, EdDSA and RS256.
-func (Dialect) Ready(k token.Key) (token.Material, error) {
-	m, err := k.Choice(families)
+// LoadKey requires a secret of at least 32 bytes for HS256, and a key pair for ES256, EdDSA and RS256.
+func (Dialect) LoadKey(k token.Key) (token.Material, error) {
+	m, err := k.LoadByAlgorithm(keyTypes)
 	if err != nil || k.IPSecret == "" {
 		return m, err
 	}
-	m.Sealing, err = base64.StdEncoding.DecodeString(k.IPSecret)
-	if err != nil || addressCiphers[len(m.Sealing)] == "" {
+	m.AddressKey, err = base64.StdEncoding.DecodeString(k.IPSecret)
+	if err != nil || addressCiphers[len(m.AddressKey)] == "" {
 		return m, fmt.Errorf("ip_secret: no base64 of 16 or 32 bytes")
 	}
 	return m, nil
@@ -95,11 +95,11 @@
 var addressCiphers = map[int]jose.ContentEncryption{16: jose.A128GCM, 32: jose.A256GCM}
 
 // encryptAddress encrypts a client address or prefix for cdniip: a JWE in compact serialization (RFC 9246, 2.1.9).
-func encryptAddress(k *token.Ready, address string) (string, error) {
-	if k.Sealing == nil {
+func encryptAddress(k *token.LoadedKey, address string) (string, error) {
+	if k.AddressKey == nil {
 		return "", fmt.Errorf("address: the key has no ip_secret")
 	}
-	e, err := jose.NewEncrypter(addressCiphers[len(k.Sealing)], jose.Recipient{Algorithm: jose.DIRECT, Key: k.Sealing, KeyID: k.ID}, nil)
+	e, err := jose.NewEncrypter(addressCiphers[len(k.AddressKey)], jose.Recipient{Algorithm: jose.DIRECT, Key: k.AddressKey, KeyID: k.ID}, nil)
 	if err != nil {
 		return "", fmt.Errorf("token: %w", err)
 	}
@@ -112,15 +112,15 @@
 
 // decryptAddress decrypts cdniip and returns the prefix that the client address must match. An address may be in brackets,
 // and a prefix may have bits set beyond its length, as in the example of the specification.
-func decryptAddress(k *token.Ready, text string) (net netip.Prefix, err error) {
-	if k.Sealing == nil {
+func decryptAddress(k *token.LoadedKey, text string) (net netip.Prefix, err error) {
+	if k.AddressKey == nil {
 		return net, token.Reject(token.BadClaim, "cdniip: the key has no ip_secret")
 	}
-	encrypted, err := jose.ParseEncryptedCompact(text, []jose.KeyAlgorithm{jose.DIRECT}, []jose.ContentEncryption{addressCiphers[len(k.Sealing)]})
+	encrypted, err := jose.ParseEncryptedCompact(text, []jose.KeyAlgorithm{jose.DIRECT}, []jose.ContentEncryption{addressCiphers[len(k.AddressKey)]})
 	if err != nil {
 		return net, token.Reject(token.Malformed, "cdniip: no JWE in compact form")
 	}
-	plain, err := encrypted.Decrypt(k.Sealing)
+	plain, err := encrypted.Decrypt(k.AddressKey)
 	if err != nil {
 		return net, token.Reject(token.BadSignature, "cdniip: can't be opened")
 	}
@@ -136,30 +136,30 @@
 }
 
 // Find returns the package in the query, otherwise the one in the cookie.
-func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
-	c := token.Carried{Text: q.Query.Get(Param), Params: []string{Param}}
+func (Dialect) Find(q *token.Request, _ []*token.LoadedKey) (token.FoundToken, bool) {
+	c := token.FoundToken{Text: q.Query.Get(Param), Params: []string{Param}}
 	if c.Text == "" {
-		c.Text, c.From = q.CookieOf(Param), token.InCookie
+		c.Text, c.Source = q.CookieValue(Param), token.InCookie
 	}
 	return c, c.Text != ""
 }
 
 // Open authenticates a package.
-func (Dialect) Open(_ *token.Request, carried token.Carried, keys token.Keys) (g token.Grant, err error) {
-	if len(carried.Text) > maxPackageBytes {
+func (Dialect) Open(_ *token.Request, found token.FoundToken, keys token.Keys) (g token.Grant, err error) {
+	if len(found.Text) > maxPackageBytes {
 		return g, token.Reject(token.Malformed, "the package is too long")
 	}
-	sig, err := jose.ParseSignedCompact(carried.Text, algs)
+	sig, err := jose.ParseSignedCompact(found.Text, algs)
 	if err != nil {
 		return g, token.Reject(token.Malformed, "no JWS in compact form")
 	}
-	for part := range strings.SplitSeq(carried.Text, ".") { // strict: lenient decoders ignore unused trailing bits
+	for part := range strings.SplitSeq(found.Text, ".") { // strict: lenient decoders ignore unused trailing bits
 		if _, err := base64.RawURLEncoding.Strict().DecodeString(part); err != nil {
 			return g, token.Reject(token.Malformed, "no JWS in compact form")
 		}
 	}
 	header := sig.Signatures[0].Protected
-	key, err := keys.Find(header.KeyID)
+	key, err := keys.Lookup(header.KeyID)
 	if err != nil {
 		return g, err
 	}
@@ -167,8 +167,8 @@
 		return g, token.Reject(token.BadSignature, "the algorithm is not the key's")
 	}
 	var verificationKey any = key.Verifier
-	if key.Shared != nil {
-		verificationKey = key.Shared
+	if key.SharedSecret != nil {
+		verificationKey = key.SharedSecret
 	}
 	payload, err := sig.Verify(verificationKey)
 	if err != nil {
@@ -185,22 +185,22 @@
 		return g, err
 	}
 	net, err := decryptAddress(key, c.ClientIP)
-	g.Nets = []netip.Prefix{net}
+	g.AllowedPrefixes = []netip.Prefix{net}
 	return g, err
 }
 
 // check validates the claims that are specific to packages. Grant.Check checks the dates and the URI.
-func (c *Claims) check(key *token.Ready, payload []byte) error {
+func (c *Claims) check(key *token.LoadedKey, payload []byte) error {
 	if err := c.checkCritical(payload); err != nil {
 		return err
 	}
-	if err := key.Bind(c.Issuer, c.Audience); err != nil {
+	if err := key.CheckIssuerAudience(c.Issuer, c.Audience); err != nil {
 		return err
 	}
 	switch {
 	case c.Version != nil && *c.Version != 1:
 		return token.Reject(token.BadClaim, "cdniv: unknown version")
-	case len(c.ID) > token.IDMost:
+	case len(c.ID) > token.MaxIDLength:
 		return token.Reject(token.Malformed, "jti: too long")
 	case c.Expires == nil || *c.Expires == 0:
 		return token.Reject(token.BadClaim, "exp: missing")
@@ -240,24 +240,24 @@
 	if err != nil {
 		return g, err
 	}
-	g = token.Grant{Key: key, ID: c.ID, Subject: c.Subject, Until: *c.Expires, URIs: uris, Query: true, Native: *c}
+	g = token.Grant{Key: key, ID: c.ID, Subject: c.Subject, Expires: *c.Expires, URIs: uris, CoversQuery: true, DialectClaims: *c}
 	if c.NotBefore != nil {
-		g.From = *c.NotBefore
+		g.NotBefore = *c.NotBefore
 	}
 	if c.IssuedAt != nil {
 		g.Issued = *c.IssuedAt
 	}
 	if c.Renew > 0 && c.Transport > 0 {
-		g.Renewal = token.Renewal{Seconds: c.Renew, Cookie: true, Depth: c.Depth}
+		g.Renewal = token.Renewal{Seconds: c.Renew, Cookie: true, CookiePathDepth: c.Depth}
 	}
 	return g, nil
 }
 
 // parseContainer parses cdniuc, which is matched against the URI without the package and otherwise as sent.
 func parseContainer(text string) ([]token.Pattern, error) {
-	p := token.Pattern{Less: []string{Param}}
+	p := token.Pattern{ExcludedParams: []string{Param}}
 	if hash, ok := strings.CutPrefix(text, "hash:"); ok {
-		p.Form, p.Text = token.Digest, hash
+		p.Form, p.Text = token.DigestRFC6920, hash
 	} else if expr, ok := strings.CutPrefix(text, "regex:"); ok {
 		p.Form, p.Text = token.Posix, expr
 	} else {
@@ -267,15 +267,15 @@
 }
 
 // HashContainer returns a container (cdniuc) that matches exactly one URI.
-func HashContainer(uri string) string { return "hash:" + token.DigestOf(uri) }
+func HashContainer(uri string) string { return "hash:" + token.RFC6920Digest(uri) }
 
 // Issue signs a package for a single URI, or for all URIs that match a POSIX regular expression.
-func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
-	u, err := t.Whole(false)
+func (Dialect) Issue(k *token.LoadedKey, t token.Terms) (out token.Issued, err error) {
+	u, err := t.AbsoluteURI(false)
 	if err != nil {
 		return out, err
 	}
-	c := Claims{Expires: &t.Until, Container: HashContainer(u.String())}
+	c := Claims{Expires: &t.Expires, Container: HashContainer(u.String())}
 	if t.Address != "" {
 		if c.ClientIP, err = encryptAddress(k, t.Address); err != nil {
 			return out, err
@@ -285,13 +285,13 @@
 		issued := float64(int64(t.Now))
 		c.IssuedAt = &issued
 	}
-	if t.From > 0 {
-		c.NotBefore = &t.From
+	if t.NotBefore > 0 {
+		c.NotBefore = &t.NotBefore
 	}
-	if t.Cover != "" {
-		c.Container = "regex:" + t.Cover
+	if t.Patterns != "" {
+		c.Container = "regex:" + t.Patterns
 	}
-	if t.Single {
+	if t.SingleUse {
 		c.ID = t.ID
 	}
 	if t.Renew > 0 {
@@ -301,12 +301,12 @@
 		return out, err
 	}
 	out.ID = c.ID
-	out.URL = token.Join(u, Param+"="+out.Token)
+	out.URL = token.AppendQuery(u, Param+"="+out.Token)
 	return out, nil
 }
 
 // Sign signs claims. Missing iss and aud claims are taken from the key.
-func Sign(key *token.Ready, c Claims) (string, error) {
+func Sign(key *token.LoadedKey, c Claims) (string, error) {
 	if c.Issuer == "" {
 		c.Issuer = key.Issuer
 	}
@@ -324,8 +324,8 @@
 		return "", fmt.Errorf("cdniuc: %.60q is no container", c.Container)
 	}
 	var signingKey any = key.Signer
-	if key.Shared != nil {
-		signingKey = key.Shared
+	if key.SharedSecret != nil {
+		signingKey = key.SharedSecret
 	}
 	opts := (&jose.SignerOptions{}).WithHeader("kid", key.ID).WithType("JWT")
 	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(key.Alg), Key: signingKey}, opts)
@@ -344,8 +344,8 @@
 }
 
 // Renew returns the next package for one with signed token renewal: the same claims, with the validity starting now.
-func (Dialect) Renew(k *token.Ready, g *token.Grant, now float64) (cookie, text string, err error) {
-	c, ok := g.Native.(Claims)
+func (Dialect) Renew(k *token.LoadedKey, g *token.Grant, now float64) (cookie, text string, err error) {
+	c, ok := g.DialectClaims.(Claims)
 	if !ok {
 		return "", "", fmt.Errorf("token: no package")
 	}
--- a/token/key.go
+++ b/token/key.go
@@ -50,11 +50,11 @@
 // minSecretBytes is the minimum size of shared secrets for dialects whose specification sets no other size.
 const minSecretBytes = 32
 
-// IDMost is the maximum length of a token id, in bytes.
-const IDMost = 128
+// MaxIDLength is the maximum length of a token id, in bytes.
+const MaxIDLength = 128
 
-// Base64 decodes the secret of a key from standard base64.
-func (k Key) Base64() ([]byte, error) {
+// DecodeSecret decodes the secret of a key from standard base64.
+func (k Key) DecodeSecret() ([]byte, error) {
 	secret, err := base64.StdEncoding.DecodeString(k.Secret)
 	if err != nil {
 		return nil, fmt.Errorf("secret: no base64")
@@ -65,23 +65,23 @@
 	return secret, nil
 }
 
-// Choice loads the key material for the algorithm named by alg: a shared secret for HS256, otherwise a key pair of the
-// type that families gives for the algorithm.
-func (k Key) Choice(families map[string]Family) (Material, error) {
+// LoadByAlgorithm loads the key material for the algorithm named by alg: a shared secret for HS256, otherwise a key pair of the
+// type that keyTypes gives for the algorithm.
+func (k Key) LoadByAlgorithm(keyTypes map[string]KeyType) (Material, error) {
 	if k.Alg == "HS256" {
-		secret, err := k.Base64()
-		return Material{Shared: secret, Signs: true}, err
+		secret, err := k.DecodeSecret()
+		return Material{SharedSecret: secret, CanSign: true}, err
 	}
-	family, ok := families[k.Alg]
+	keyType, ok := keyTypes[k.Alg]
 	if !ok {
 		return Material{}, fmt.Errorf("alg: %q does not go with kind %s", k.Alg, k.Kind)
 	}
-	return k.Pair(family)
+	return k.LoadKeyPair(keyType)
 }
 
-// Bind checks the issuer and the audience of a token against those of its key. A key without an issuer accepts any issuer;
-// a key without an audience accepts only tokens that have no audience.
-func (k Key) Bind(issuer string, audience []string) error {
+// CheckIssuerAudience checks the issuer and the audience of a token against those of its key. A key without an issuer accepts
+// any issuer; a key without an audience accepts only tokens that have no audience.
+func (k Key) CheckIssuerAudience(issuer string, audience []string) error {
 	switch {
 	case k.Issuer != "" && issuer != k.Issuer:
 		return Reject(BadClaim, "iss: not the key's issuer")
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// Pair loads the private or public key of a key. family is the type of key pair that the algorithm requires.
-func (k Key) Pair(family Family) (Material, error) {
+// LoadKeyPair loads the private or public key of a key. keyType is the type of key pair that the algorithm requires.
+func (k Key) LoadKeyPair(keyType KeyType) (Material, error) {
 	var m Material
 	if k.Private != "" {
 		block, _ := pem.Decode([]byte(k.Private))
@@ -104,10 +104,10 @@
 			return m, fmt.Errorf("private: no PKCS #8 key")
 		}
 		s, ok := key.(crypto.Signer)
-		if !ok || !family.accepts(s.Public()) {
+		if !ok || !keyType.accepts(s.Public()) {
 			return m, fmt.Errorf("private: no key for %s", k.Alg)
 		}
-		m.Signer, m.Verifier, m.Signs = s, s.Public(), true
+		m.Signer, m.Verifier, m.CanSign = s, s.Public(), true
 	}
 	if k.Public != "" {
 		block, _ := pem.Decode([]byte(k.Public))
@@ -115,7 +115,7 @@
 			return m, fmt.Errorf("public: no PEM")
 		}
 		key, err := x509.ParsePKIXPublicKey(block.Bytes)
-		if err != nil || !family.accepts(key) {
+		if err != nil || !keyType.accepts(key) {
 			return m, fmt.Errorf("public: no key for %s", k.Alg)
 		}
 		m.Verifier = key
@@ -126,18 +126,18 @@
 	return m, nil
 }
 
-// Family is a type of key pair.
-type Family uint8
+// KeyType is a type of key pair.
+type KeyType uint8
 
 // The types of key pairs. RSA keys must have at least 2048 bits.
 const (
-	RSA Family = iota
+	RSA KeyType = iota
 	P256
 	Ed25519
 )
 
 // accepts reports whether a public key has this type.
-func (f Family) accepts(key any) bool {
+func (f KeyType) accepts(key any) bool {
 	switch key := key.(type) {
 	case *ecdsa.PublicKey:
 		return f == P256 && key.Curve == elliptic.P256()
@@ -151,47 +151,47 @@
 
 // Material is the decoded form of a key's secret or PEM blocks.
 type Material struct {
-	Shared   []byte // shared secret; nil for a key pair
-	Verifier crypto.PublicKey
-	Signer   crypto.Signer // nil: there is no private key
-	Signs    bool          // the key can issue tokens
-	Sealing  []byte        // jws: key that encrypts client addresses; nil: tokens with an address are rejected
+	SharedSecret []byte // shared secret; nil for a key pair
+	Verifier     crypto.PublicKey
+	Signer       crypto.Signer // nil: there is no private key
+	CanSign      bool          // the key can issue tokens
+	AddressKey   []byte        // jws: key that encrypts client addresses; nil: tokens with an address are rejected
 }
 
-// Ready is a validated key with its decoded material.
-type Ready struct {
+// LoadedKey is a validated key with its decoded material.
+type LoadedKey struct {
 	Key
 	Material
 }
 
 // inForce reports whether a key may verify tokens at now.
-func (k *Ready) inForce(now, leeway float64) bool {
+func (k *LoadedKey) inForce(now, leeway float64) bool {
 	return now >= k.NotBefore-leeway && (k.NotAfter == 0 || now <= k.NotAfter+leeway)
 }
 
 // Keys are the keys of a dialect and the time at which their validity is checked.
 type Keys struct {
-	All    []*Ready
+	All    []*LoadedKey
 	Now    float64 // Unix seconds
 	Leeway float64 // seconds of clock skew to tolerate
 }
 
-// Find returns the key with an id, provided that it is valid at k.Now.
-func (k Keys) Find(id string) (*Ready, error) {
+// Lookup returns the key with an id, provided that it is valid at k.Now.
+func (k Keys) Lookup(id string) (*LoadedKey, error) {
 	for _, r := range k.All {
 		if r.ID != id {
 			continue
 		}
 		if !r.inForce(k.Now, k.Leeway) {
-			return nil, Reject(BadKey, "the key is not in force")
+			return nil, Reject(UnknownKey, "the key is not in force")
 		}
 		return r, nil
 	}
-	return nil, Reject(BadKey, "unknown key")
+	return nil, Reject(UnknownKey, "unknown key")
 }
 
 // InForce returns the keys that are valid at k.Now.
-func (k Keys) InForce() (out []*Ready) {
+func (k Keys) InForce() (out []*LoadedKey) {
 	for _, r := range k.All {
 		if r.inForce(k.Now, k.Leeway) {
 			out = append(out, r)
--- a/token/pattern.go
+++ b/token/pattern.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// Form is the way in which a pattern is matched.
-type Form uint8
+// MatchForm is the way in which a pattern is matched.
+type MatchForm uint8
 
 // The forms of matching.
 const (
-	Exact    Form = iota
-	Prefix        // literal prefix
-	Glob          // * matches any characters, ? exactly one
-	Posix         // POSIX extended regular expression that must match the entire text
-	Digest        // SHA-256 in the segment form of RFC 6920
-	Suffix        // literal suffix
-	Contains      // literal substring
-	Sum256        // SHA-256, as raw bytes
-	Sum512        // SHA-512/256, as raw bytes
+	Exact           MatchForm = iota
+	Prefix                    // literal prefix
+	Glob                      // * matches any characters, ? exactly one
+	Posix                     // POSIX extended regular expression that must match the entire text
+	DigestRFC6920             // SHA-256 in the segment form of RFC 6920
+	Suffix                    // literal suffix
+	Contains                  // literal substring
+	DigestSHA256              // SHA-256, as raw bytes
+	DigestSHA512256           // SHA-512/256, as raw bytes
 )
 
 // Part is the URI component that a pattern is matched against.
@@ -44,11 +44,11 @@
 
 // Pattern matches a URI component or the value of a header.
 type Pattern struct {
-	Form Form
-	Text string
-	On   Part
-	Less []string // query parameters that carry the token, which are removed from URI and query before matching
-	expr *regexp.Regexp
+	Form           MatchForm
+	Text           string
+	Part           Part
+	ExcludedParams []string // query parameters that carry the token, which are removed from URI and query before matching
+	expr           *regexp.Regexp
 }
 
 // Limits on the patterns of a token.
@@ -85,7 +85,7 @@
 	return ps, nil
 }
 
-func (p *Pattern) matches(q *Request) bool { return p.matchesText(q.part(p.On, p.Less)) }
+func (p *Pattern) matches(q *Request) bool { return p.matchesText(q.part(p.Part, p.ExcludedParams)) }
 
 // part returns a component of a request's URI.
 func (q *Request) part(component Part, excluded []string) string {
@@ -129,12 +129,12 @@
 		return strings.HasSuffix(text, p.Text)
 	case Contains:
 		return strings.Contains(text, p.Text)
-	case Sum256:
+	case DigestSHA256:
 		sum := sha256.Sum256([]byte(text))
-		return Same(p.Text, string(sum[:]))
-	case Sum512:
+		return EqualConstantTime(p.Text, string(sum[:]))
+	case DigestSHA512256:
 		sum := sha512.Sum512_256([]byte(text))
-		return Same(p.Text, string(sum[:]))
+		return EqualConstantTime(p.Text, string(sum[:]))
 	case Exact:
 		return text == p.Text
 	case Prefix:
@@ -144,14 +144,14 @@
 	case Posix:
 		location := p.expr.FindStringIndex(text)
 		return location != nil && location[0] == 0 && location[1] == len(text)
-	case Digest:
-		return Same(p.Text, DigestOf(text))
+	case DigestRFC6920:
+		return EqualConstantTime(p.Text, RFC6920Digest(text))
 	}
 	return false
 }
 
-// DigestOf returns the SHA-256 digest of a URI in the segment form of RFC 6920.
-func DigestOf(uri string) string {
+// RFC6920Digest returns the SHA-256 digest of a URI in the segment form of RFC 6920.
+func RFC6920Digest(uri string) string {
 	sum := sha256.Sum256([]byte(uri))
 	return "sha-256;" + base64.RawURLEncoding.EncodeToString(sum[:])
 }
--- a/token/presign/presign.go
+++ b/token/presign/presign.go
@@ -39,8 +39,8 @@
 // Kind returns "presign".
 func (Dialect) Kind() token.Kind { return token.Presign }
 
-// Ready uses the text of the secret as it is. The key's id is the access key id.
-func (Dialect) Ready(k token.Key) (token.Material, error) {
+// LoadKey uses the text of the secret as it is. The key's id is the access key id.
+func (Dialect) LoadKey(k token.Key) (token.Material, error) {
 	switch {
 	case len(k.Secret) < 16:
 		return token.Material{}, fmt.Errorf("secret: %d characters, 16 at least", len(k.Secret))
@@ -53,23 +53,23 @@
 	case strings.Contains(k.ID, "/"):
 		return token.Material{}, fmt.Errorf("id: no slash in an access key")
 	}
-	return token.Material{Shared: []byte(k.Secret), Signs: true}, nil
+	return token.Material{SharedSecret: []byte(k.Secret), CanSign: true}, nil
 }
 
 // Find returns the signature of a presigned URL.
-func (Dialect) Find(q *token.Request, _ []*token.Ready) (token.Carried, bool) {
+func (Dialect) Find(q *token.Request, _ []*token.LoadedKey) (token.FoundToken, bool) {
 	text := q.Query.Get(ParamSignature)
-	return token.Carried{Text: text, Params: params}, text != ""
+	return token.FoundToken{Text: text, Params: params}, text != ""
 }
 
 // Open authenticates a presigned URL.
-func (Dialect) Open(q *token.Request, c token.Carried, keys token.Keys) (g token.Grant, err error) {
+func (Dialect) Open(q *token.Request, c token.FoundToken, keys token.Keys) (g token.Grant, err error) {
 	date, validity, err := parseTerms(q)
 	if err != nil {
 		return g, err
 	}
 	id, scope, _ := strings.Cut(q.Query.Get(ParamCredential), "/")
-	key, err := keys.Find(id)
+	key, err := keys.Lookup(id)
 	if err != nil {
 		return g, err
 	}
@@ -83,13 +83,13 @@
 	}
 	canonical := sigv4.Canonical(q.Method, q.Path, canonicalQuery(q.Query.Without(ParamSignature)), headers, q.Query.Get(ParamHeaders),
 		sigv4.UnsignedPayload)
-	if !token.Same(c.Text, sigv4.Sign(string(key.Shared), stamp, key.Region, key.Service, canonical)) {
+	if !token.EqualConstantTime(c.Text, sigv4.Sign(string(key.SharedSecret), stamp, key.Region, key.Service, canonical)) {
 		return g, token.Reject(token.BadSignature, "the signature is wrong")
 	}
 	issuedAt := float64(date.Unix())
 	return token.Grant{
-		Key: key.ID, ID: token.IDOf(stamp + "\n" + canonical), Issued: issuedAt, Until: issuedAt + float64(validity), Query: true,
-		Methods: []string{q.Method}, URIs: []token.Pattern{{Form: token.Exact, Text: q.Path, On: token.OnPath}},
+		Key: key.ID, ID: token.DerivedID(stamp + "\n" + canonical), Issued: issuedAt, Expires: issuedAt + float64(validity), CoversQuery: true,
+		Methods: []string{q.Method}, URIs: []token.Pattern{{Form: token.Exact, Text: q.Path, Part: token.OnPath}},
 	}, nil
 }
 
@@ -118,7 +118,7 @@
 	if date, err = time.Parse(sigv4.TimeFormat, q.Query.Get(ParamDate)); err != nil {
 		return date, 0, malformed("X-Amz-Date: no date")
 	}
-	validity, ok := token.Number(q.Query.Get(ParamExpires), 32)
+	validity, ok := token.ParseDecimal(q.Query.Get(ParamExpires), 32)
 	if !ok || validity == 0 || validity > maxValiditySeconds {
 		return date, 0, malformed("X-Amz-Expires: 1 second to 7 days")
 	}
@@ -136,7 +136,7 @@
 	for i, n := range names {
 		value := strings.ToLower(q.Host)
 		if n != "host" {
-			value = strings.Join(strings.Fields(q.HeaderOf(n)), " ")
+			value = strings.Join(strings.Fields(q.HeaderValue(n)), " ")
 		}
 		if n == "" || n != strings.ToLower(n) || i > 0 && names[i-1] == n {
 			return "", token.Reject(token.Malformed, "X-Amz-SignedHeaders: can't be read")
@@ -160,14 +160,14 @@
 }
 
 // Issue signs a single URI for a single method, with host as the only signed header.
-func (Dialect) Issue(k *token.Ready, t token.Terms) (out token.Issued, err error) {
-	u, err := t.Whole(false)
+func (Dialect) Issue(k *token.LoadedKey, t token.Terms) (out token.Issued, err error) {
+	u, err := t.AbsoluteURI(false)
 	switch {
 	case err != nil:
 		return out, err
-	case t.Cover != "" || t.Address != "":
+	case t.Patterns != "" || t.Address != "":
 		return out, fmt.Errorf("cover and address: not with kind presign")
-	case t.From > 0:
+	case t.NotBefore > 0:
 		return out, fmt.Errorf("after: not with kind presign")
 	}
 	uriParams, err := token.ParseQuery(u.RawQuery)
@@ -175,7 +175,7 @@
 		return out, fmt.Errorf("uri: %w", err)
 	}
 	issuedAt := time.Unix(int64(t.Now), 0).UTC()
-	validity := int64(t.Until) - issuedAt.Unix()
+	validity := int64(t.Expires) - issuedAt.Unix()
 	if validity < 1 || validity > maxValiditySeconds {
 		return out, fmt.Errorf("seconds: 7 days at most with kind presign")
 	}
@@ -190,7 +190,7 @@
 		token.Pair{Name: ParamExpires, Value: strconv.FormatInt(validity, 10)},
 		token.Pair{Name: ParamHeaders, Value: "host"})
 	canonical := sigv4.Canonical(method, u.Path, canonicalQuery(q), "host:"+u.Host+"\n", "host", sigv4.UnsignedPayload)
-	sum := sigv4.Sign(string(k.Shared), stamp, k.Region, k.Service, canonical)
+	sum := sigv4.Sign(string(k.SharedSecret), stamp, k.Region, k.Service, canonical)
 	u.RawQuery = canonicalQuery(q) + "&" + ParamSignature + "=" + sum
-	return token.Issued{ID: token.IDOf(stamp + "\n" + canonical), URL: u.String()}, nil
+	return token.Issued{ID: token.DerivedID(stamp + "\n" + canonical), URL: u.String()}, nil
 }
--- a/token/query.go
+++ b/token/query.go
@@ -106,19 +106,19 @@
 	return true
 }
 
-// Number parses an unsigned number of at most the given number of bits. It accepts only the canonical spelling: decimal
+// ParseDecimal parses an unsigned number of at most the given number of bits. It accepts only the canonical spelling: decimal
 // digits without a sign or leading zeros.
-func Number(text string, bits int) (n uint64, ok bool) {
+func ParseDecimal(text string, bits int) (n uint64, ok bool) {
 	n, err := strconv.ParseUint(text, 10, bits)
 	return n, err == nil && strconv.FormatUint(n, 10) == text
 }
 
-// Same reports whether two strings are equal, in a time that depends only on their lengths.
-func Same(a, b string) bool { return hmac.Equal([]byte(a), []byte(b)) }
+// EqualConstantTime reports whether two strings are equal, in a time that depends only on their lengths.
+func EqualConstantTime(a, b string) bool { return hmac.Equal([]byte(a), []byte(b)) }
 
-// IDOf derives the id of a token that carries none from the signed text, so that a token has one id even if its signature
+// DerivedID derives the id of a token that carries none from the signed text, so that a token has one id even if its signature
 // can be written in two ways.
-func IDOf(signed string) string {
+func DerivedID(signed string) string {
 	sum := sha256.Sum256([]byte(signed))
 	return base64.RawURLEncoding.EncodeToString(sum[:18])
 }
--- a/token/ring/dialects_test.go
+++ b/token/ring/dialects_test.go
@@ -26,8 +26,8 @@
 
 // sample is a key of a dialect, with a pattern for tokens of that dialect.
 type sample struct {
-	key   token.Key
-	cover string // pattern that covers class firmware; "": the dialect has no patterns
+	key      token.Key
+	patterns string // pattern that covers class firmware; "": the dialect has no patterns
 }
 
 // samples returns a key of each dialect and algorithm.
@@ -95,17 +95,17 @@
 	r := newRing(t, list)
 	for _, s := range list {
 		t.Run(string(s.key.Kind)+" "+s.key.Alg, func(t *testing.T) {
-			got, err := r.Issue(s.key.ID, token.Terms{URI: someURI, Until: endsAt, Now: issuedAt, ID: "n", Single: true})
+			got, err := r.Issue(s.key.ID, token.Terms{URI: someURI, Expires: endsAt, Now: issuedAt, ID: "n", SingleUse: true})
 			if err != nil {
 				t.Fatal(err)
 			}
 			q := requestTo(t, got.URL)
 			g, _, err := r.Verify(q, 1500, 0)
-			if err != nil || g.Key != s.key.ID || g.Kind != s.key.Kind || g.ID == "" || g.ID != got.ID || g.Until != endsAt {
+			if err != nil || g.Key != s.key.ID || g.Kind != s.key.Kind || g.ID == "" || g.ID != got.ID || g.Expires != endsAt {
 				t.Fatalf("%+v %v", g, err)
 			}
-			for now, want := range map[float64]token.Why{2010: "", 2011: token.Expired} {
-				if _, _, err := r.Verify(q, now, 10); err != nil && token.WhyOf(err) != want || err == nil && want != "" {
+			for now, want := range map[float64]token.RejectionReason{2010: "", 2011: token.Expired} {
+				if _, _, err := r.Verify(q, now, 10); err != nil && token.ReasonOf(err) != want || err == nil && want != "" {
 					t.Errorf("at %v: %v", now, err)
 				}
 			}
@@ -129,17 +129,17 @@
 				}
 			}
 			t.Logf("%d changes rejected", changed)
-			if s.cover == "" {
+			if s.patterns == "" {
 				return
 			}
-			covering, err := r.Issue(s.key.ID, token.Terms{URI: someURI, Cover: s.cover, Until: endsAt, Now: issuedAt})
+			withPatterns, err := r.Issue(s.key.ID, token.Terms{URI: someURI, Patterns: s.patterns, Expires: endsAt, Now: issuedAt})
 			if err != nil {
 				t.Fatal(err)
 			}
 			for path, ok := range map[string]bool{"/v1/firmware/0000000000000001/0": true, "/v1/ride-end/0000000000000001/0": false} {
-				q := requestTo(t, covering.URL)
+				q := requestTo(t, withPatterns.URL)
 				q.Path = path
-				if _, _, err := r.Verify(q, 1500, 0); (err == nil) != ok || err != nil && token.WhyOf(err) != token.WrongURI {
+				if _, _, err := r.Verify(q, 1500, 0); (err == nil) != ok || err != nil && token.ReasonOf(err) != token.WrongURI {
 					t.Errorf("%s: %v", path, err)
 				}
 			}
@@ -147,15 +147,15 @@
 	}
 	for i, a := range list { // requests with tokens of two dialects
 		for _, b := range list[i+1:] {
-			x, err1 := r.Issue(a.key.ID, token.Terms{URI: someURI, Until: endsAt, Now: issuedAt, ID: "n"})
-			y, err2 := r.Issue(b.key.ID, token.Terms{URI: someURI, Until: endsAt, Now: issuedAt, ID: "n"})
+			x, err1 := r.Issue(a.key.ID, token.Terms{URI: someURI, Expires: endsAt, Now: issuedAt, ID: "n"})
+			y, err2 := r.Issue(b.key.ID, token.Terms{URI: someURI, Expires: endsAt, Now: issuedAt, ID: "n"})
 			if err1 != nil || err2 != nil {
 				t.Fatal(err1, err2)
 			}
 			if a.key.Kind == b.key.Kind {
 				continue
 			}
-			if _, _, err := r.Verify(requestTo(t, x.URL+"&"+requestTo(t, y.URL).RawQuery), 1500, 0); token.WhyOf(err) != token.Malformed {
+			if _, _, err := r.Verify(requestTo(t, x.URL+"&"+requestTo(t, y.URL).RawQuery), 1500, 0); token.ReasonOf(err) != token.Malformed {
 				t.Errorf("%s and %s: %v", a.key.Kind, b.key.Kind, err)
 			}
 		}
@@ -166,7 +166,7 @@
 // that it is accepted in a header and in a cookie, and that malformed tokens are rejected.
 func TestEdgeAuthRestrictions(t *testing.T) {
 	r := newRing(t, samples(t))
-	got, err := r.Issue("e", token.Terms{URI: someURI, Address: "192.0.2.7", From: 1200, Until: endsAt, Data: "d", Single: true, ID: "s"})
+	got, err := r.Issue("e", token.Terms{URI: someURI, Address: "192.0.2.7", NotBefore: 1200, Expires: endsAt, Data: "d", SingleUse: true, ID: "s"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,11 +174,11 @@
 	if g, rest, err := r.Verify(q, 1300, 0); err != nil || g.Subject != "s" || rest != nil {
 		t.Errorf("%+v %v %v", g, rest, err)
 	}
-	if _, _, err := r.Verify(q, 1199, 0); token.WhyOf(err) != token.TooEarly {
+	if _, _, err := r.Verify(q, 1199, 0); token.ReasonOf(err) != token.NotYetValid {
 		t.Error(err)
 	}
 	q.Addr = netip.MustParseAddr("192.0.2.8")
-	if _, _, err := r.Verify(q, 1300, 0); token.WhyOf(err) != token.WrongAddress {
+	if _, _, err := r.Verify(q, 1300, 0); token.ReasonOf(err) != token.WrongAddress {
 		t.Error(err)
 	}
 	header := requestTo(t, someURI)
@@ -211,8 +211,8 @@
 	if _, _, err := r.Verify(q, at+86400, 0); err != nil {
 		t.Error(err)
 	}
-	for now, want := range map[float64]token.Why{at + 86401: token.Expired, at - 1: token.TooEarly} {
-		if _, _, err := r.Verify(q, now, 0); token.WhyOf(err) != want {
+	for now, want := range map[float64]token.RejectionReason{at + 86401: token.Expired, at - 1: token.NotYetValid} {
+		if _, _, err := r.Verify(q, now, 0); token.ReasonOf(err) != want {
 			t.Errorf("at %v: %v", now, err)
 		}
 	}
@@ -256,7 +256,7 @@
 		t.Error("cookies:", err)
 	}
 	c.Path = "/v1/a/b/1"
-	if _, _, err := r.Verify(c, 1767290400, 0); token.WhyOf(err) != token.BadSignature {
+	if _, _, err := r.Verify(c, 1767290400, 0); token.ReasonOf(err) != token.BadSignature {
 		t.Error("cookies for another path:", err)
 	}
 }
@@ -266,7 +266,7 @@
 func TestCloudFrontPolicies(t *testing.T) {
 	list := samples(t)
 	r := newRing(t, list)
-	got, err := r.Issue("K1", token.Terms{URI: someURI, Address: "192.0.2.0/24", From: 1200, Until: endsAt})
+	got, err := r.Issue("K1", token.Terms{URI: someURI, Address: "192.0.2.0/24", NotBefore: 1200, Expires: endsAt})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -274,15 +274,15 @@
 	if _, _, err := r.Verify(q, 1300, 0); err != nil {
 		t.Error(err)
 	}
-	if _, _, err := r.Verify(q, 1100, 0); token.WhyOf(err) != token.TooEarly {
+	if _, _, err := r.Verify(q, 1100, 0); token.ReasonOf(err) != token.NotYetValid {
 		t.Error(err)
 	}
 	q.Addr = netip.MustParseAddr("192.0.3.7")
-	if _, _, err := r.Verify(q, 1300, 0); token.WhyOf(err) != token.WrongAddress {
+	if _, _, err := r.Verify(q, 1300, 0); token.ReasonOf(err) != token.WrongAddress {
 		t.Error(err)
 	}
 	key := r.byID["K1"]
-	for policy, want := range map[string]token.Why{
+	for policy, want := range map[string]token.RejectionReason{
 		`{"Statement":[{"Resource":"*","Condition":{"DateLessThan":{"AWS:EpochTime":2000}}}]}`:                                  "",
 		`{"Statement":[{"Resource":"*","Condition":{"DateGreaterThan":{"AWS:EpochTime":1000}}}]}`:                               token.BadClaim,
 		`{"Statement":[{"Resource":"*","Condition":{"DateLessThan":{"AWS:EpochTime":2000},"New":{"x":1}}}]}`:                    token.Malformed,
@@ -297,7 +297,7 @@
 			t.Fatal(err)
 		}
 		q := requestTo(t, someURI+"?Policy="+cloudFrontBase64([]byte(policy))+"&Signature="+cloudFrontBase64(sig)+"&Key-Pair-Id=K1")
-		if _, _, err := r.Verify(q, 1500, 0); want == "" && err != nil || want != "" && (err == nil || token.WhyOf(err) != want) {
+		if _, _, err := r.Verify(q, 1500, 0); want == "" && err != nil || want != "" && (err == nil || token.ReasonOf(err) != want) {
 			t.Errorf("%s: %v", policy, err)
 		}
 	}
@@ -307,7 +307,7 @@
 // that a signed URL is rejected with changed or appended parameters.
 func TestCloudCDN(t *testing.T) {
 	r := newRing(t, samples(t))
-	got, err := r.Issue("c", token.Terms{Cover: "https://cdn.example/v1/firmware/", Until: endsAt})
+	got, err := r.Issue("c", token.Terms{Patterns: "https://cdn.example/v1/firmware/", Expires: endsAt})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -324,7 +324,7 @@
 			t.Errorf("changed at %d: %s accepted", i, other)
 		}
 	}
-	one, err := r.Issue("c", token.Terms{URI: someURI + "?kb=5", Until: endsAt})
+	one, err := r.Issue("c", token.Terms{URI: someURI + "?kb=5", Expires: endsAt})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -367,7 +367,7 @@
 	list := samples(b)
 	r := newRing(b, list)
 	for _, s := range list {
-		got, err := r.Issue(s.key.ID, token.Terms{URI: someURI, Until: endsAt, Now: issuedAt, ID: "n", Single: true})
+		got, err := r.Issue(s.key.ID, token.Terms{URI: someURI, Expires: endsAt, Now: issuedAt, ID: "n", SingleUse: true})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/token/ring/ring.go
+++ b/token/ring/ring.go
@@ -38,8 +38,8 @@
 
 // Ring is a set of validated keys.
 type Ring struct {
-	keys map[token.Kind][]*token.Ready
-	byID map[string]*token.Ready
+	keys map[token.Kind][]*token.LoadedKey
+	byID map[string]*token.LoadedKey
 }
 
 // errNoSigner is the error for issuing a token with an unknown key or one that can only verify.
@@ -47,7 +47,7 @@
 
 // New validates keys and returns a ring of them. Errors name the key and the field.
 func New(keys []token.Key) (*Ring, error) {
-	r := &Ring{keys: map[token.Kind][]*token.Ready{}, byID: map[string]*token.Ready{}}
+	r := &Ring{keys: map[token.Kind][]*token.LoadedKey{}, byID: map[string]*token.LoadedKey{}}
 	for i, k := range keys {
 		fieldPrefix := fmt.Sprintf("key[%d].", i)
 		d := dialectOf(k.Kind)
@@ -59,13 +59,13 @@
 		case d == nil:
 			return nil, fmt.Errorf("%skind: %q is none of %v", fieldPrefix, k.Kind, Kinds())
 		}
-		m, err := d.Ready(k)
+		m, err := d.LoadKey(k)
 		if err != nil {
 			return nil, fmt.Errorf("%s%w", fieldPrefix, err)
 		}
-		ready := &token.Ready{Key: k, Material: m}
-		r.byID[k.ID] = ready
-		r.keys[k.Kind] = append(r.keys[k.Kind], ready)
+		loaded := &token.LoadedKey{Key: k, Material: m}
+		r.byID[k.ID] = loaded
+		r.keys[k.Kind] = append(r.keys[k.Kind], loaded)
 	}
 	return r, nil
 }
@@ -82,7 +82,7 @@
 	}
 	var (
 		dialect token.Dialect
-		carried token.Carried
+		found   token.FoundToken
 	)
 	for _, d := range dialects {
 		c, ok := d.Find(&q, r.keys[d.Kind()])
@@ -92,33 +92,33 @@
 		if dialect != nil {
 			return g, nil, token.Reject(token.Malformed, "two tokens")
 		}
-		dialect, carried = d, c
+		dialect, found = d, c
 	}
 	if dialect == nil {
 		return g, nil, token.Reject(token.Missing, "no token")
 	}
-	if g, err = dialect.Open(&q, carried, token.Keys{All: r.keys[dialect.Kind()], Now: now, Leeway: leeway}); err != nil {
+	if g, err = dialect.Open(&q, found, token.Keys{All: r.keys[dialect.Kind()], Now: now, Leeway: leeway}); err != nil {
 		return g, nil, err
 	}
 	g.Kind = dialect.Kind()
-	switch carried.From {
+	switch found.Source {
 	case token.InHeader:
-		g.Vary = carried.Name
+		g.VaryHeader = found.Name
 	case token.InCookie:
-		g.Vary = "Cookie"
+		g.VaryHeader = "Cookie"
 	}
-	if err = g.Check(&q, now, leeway); err == nil && g.Query {
-		rest = q.Query.Without(carried.Params...)
+	if err = g.Check(&q, now, leeway); err == nil && g.CoversQuery {
+		rest = q.Query.Without(found.Params...)
 	}
 	return g, rest, err
 }
 
-// Signer returns the id of the newest key of a kind that can sign at now, in Unix seconds. During a key rotation the old key
-// continues to verify tokens until its not_after.
-func (r *Ring) Signer(kind token.Kind, now float64) (string, error) {
-	var newest *token.Ready
+// SigningKeyID returns the id of the newest key of a kind that can sign at now, in Unix seconds. During a key rotation the old
+// key continues to verify tokens until its not_after.
+func (r *Ring) SigningKeyID(kind token.Kind, now float64) (string, error) {
+	var newest *token.LoadedKey
 	for _, k := range r.keys[kind] {
-		if k.Signs && now >= k.NotBefore && (k.NotAfter == 0 || now <= k.NotAfter) && (newest == nil || k.NotBefore >= newest.NotBefore) {
+		if k.CanSign && now >= k.NotBefore && (k.NotAfter == 0 || now <= k.NotAfter) && (newest == nil || k.NotBefore >= newest.NotBefore) {
 			newest = k
 		}
 	}
@@ -131,38 +131,38 @@
 // Issue issues a token for terms with the key of an id.
 func (r *Ring) Issue(id string, t token.Terms) (token.Issued, error) {
 	k := r.byID[id]
-	if k == nil || !k.Signs {
+	if k == nil || !k.CanSign {
 		return token.Issued{}, errNoSigner
 	}
 	u, err := url.Parse(t.URI)
-	if t.URI == "" && t.Cover != "" { // a token for several URIs, issued without a URL
+	if t.URI == "" && t.Patterns != "" { // a token for several URIs, issued without a URL
 		u = &url.URL{Path: "/v1"}
 	}
 	if err != nil || !token.Canonical(u.Path) || u.RawPath != "" || u.Fragment != "" {
 		return token.Issued{}, fmt.Errorf("uri: not in canonical form")
 	}
 	if t.Address != "" {
-		if _, err := token.Net(t.Address); err != nil {
+		if _, err := token.ParsePrefix(t.Address); err != nil {
 			return token.Issued{}, fmt.Errorf("address: %w", err)
 		}
 	}
 	return dialectOf(k.Kind).Issue(k, t)
 }
 
-// Package signs the claims of a URI Signing package unchanged, with a key of kind jws.
-func (r *Ring) Package(id string, c jws.Claims) (string, error) {
+// SignClaims signs the claims of a URI Signing package unchanged, with a key of kind jws.
+func (r *Ring) SignClaims(id string, c jws.Claims) (string, error) {
 	k := r.byID[id]
-	if k == nil || k.Kind != token.JWS || !k.Signs {
+	if k == nil || k.Kind != token.JWS || !k.CanSign {
 		return "", errNoSigner
 	}
 	return jws.Sign(k, c)
 }
 
-// Renewed returns the token that succeeds the token of a grant, and the name of the cookie or header to send it in.
-func (r *Ring) Renewed(g *token.Grant, now float64) (cookie, text string, err error) {
+// Renew returns the token that succeeds the token of a grant, and the name of the cookie or header to send it in.
+func (r *Ring) Renew(g *token.Grant, now float64) (cookie, text string, err error) {
 	k := r.byID[g.Key]
 	d, ok := dialectOf(g.Kind).(token.Renewer)
-	if k == nil || k.Kind != g.Kind || !k.Signs || !ok {
+	if k == nil || k.Kind != g.Kind || !k.CanSign || !ok {
 		return "", "", errNoSigner
 	}
 	return d.Renew(k, g, now)
--- a/token/ring/ring_test.go
+++ b/token/ring/ring_test.go
@@ -59,17 +59,17 @@
 	}
 	exp := 1000.0
 	for _, k := range keys {
-		p, err := signers.Package(k.ID, jws.Claims{Expires: &exp, Container: jws.HashContainer(uri), ID: "j"})
+		p, err := signers.SignClaims(k.ID, jws.Claims{Expires: &exp, Container: jws.HashContainer(uri), ID: "j"})
 		if err != nil {
 			t.Fatal(k.ID, err)
 		}
-		if g, _, err := verifiers.Verify(request(p), 999, 0); err != nil || g.Use() != k.ID+"/j" {
+		if g, _, err := verifiers.Verify(request(p), 999, 0); err != nil || g.UseKey() != k.ID+"/j" {
 			t.Errorf("%s: %+v %v", k.Alg, g, err)
 		}
 	}
 	attacker, _ := New([]token.Key{{ID: "d", Kind: token.JWS, Alg: "HS256", Secret: base64.StdEncoding.EncodeToString([]byte(publicPEM(t, &rs.PublicKey)))}})
-	p, _ := attacker.Package("d", jws.Claims{Expires: &exp, Container: jws.HashContainer(uri)})
-	if _, _, err := verifiers.Verify(request(p), 999, 0); token.WhyOf(err) != token.BadSignature {
+	p, _ := attacker.SignClaims("d", jws.Claims{Expires: &exp, Container: jws.HashContainer(uri)})
+	if _, _, err := verifiers.Verify(request(p), 999, 0); token.ReasonOf(err) != token.BadSignature {
 		t.Errorf("an HS256 token under an RS256 key: %v", err)
 	}
 }
@@ -84,16 +84,16 @@
 		t.Fatal(err)
 	}
 	for now, want := range map[float64]string{400: "old", 600: "new", 2000: "new"} {
-		if id, _ := r.Signer(token.HMAC, now); id != want {
+		if id, _ := r.SigningKeyID(token.HMAC, now); id != want {
 			t.Errorf("at %v: key %q signs", now, id)
 		}
 	}
-	u, _ := r.Issue("old", token.Terms{URI: "/v1/a/b/0?kb=4.5&group=7", Until: 5000, ID: "n"})
+	u, _ := r.Issue("old", token.Terms{URI: "/v1/a/b/0?kb=4.5&group=7", Expires: 5000, ID: "n"})
 	path, q, _ := strings.Cut(u.URL, "?")
 	if _, rest, err := r.Verify(token.Request{Path: path, RawQuery: q}, 1009, 10); err != nil || rest.Get("group") != "7" {
 		t.Error("not_after within the leeway:", err)
 	}
-	if _, _, err := r.Verify(token.Request{Path: path, RawQuery: q}, 1011, 10); token.WhyOf(err) != token.BadKey {
+	if _, _, err := r.Verify(token.Request{Path: path, RawQuery: q}, 1011, 10); token.ReasonOf(err) != token.UnknownKey {
 		t.Error("after not_after and the leeway:", err)
 	}
 	for _, forged := range []string{
@@ -101,7 +101,7 @@
 		strings.Replace(q, "nonce=n", "nonce=m", 1), strings.Replace(q, "expires=5000", "expires=6000", 1),
 		strings.Replace(q, "keyid=old", "keyid=new", 1),
 	} {
-		if _, _, err := r.Verify(token.Request{Path: path, RawQuery: forged}, 900, 10); token.WhyOf(err) != token.BadSignature {
+		if _, _, err := r.Verify(token.Request{Path: path, RawQuery: forged}, 900, 10); token.ReasonOf(err) != token.BadSignature {
 			t.Errorf("%s: %v", forged, err)
 		}
 	}
@@ -111,7 +111,7 @@
 func TestRenewal(t *testing.T) {
 	r, _ := New([]token.Key{{ID: "k", Kind: token.JWS, Alg: "HS256", Secret: secret}})
 	exp := 100.0
-	p, err := r.Package("k", jws.Claims{Expires: &exp, Container: "regex:https://cdn\\.example/.*", Transport: 1, Renew: 60, ID: "j"})
+	p, err := r.SignClaims("k", jws.Claims{Expires: &exp, Container: "regex:https://cdn\\.example/.*", Transport: 1, Renew: 60, ID: "j"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,13 +119,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, next, err := r.Renewed(&g, 90)
+	_, next, err := r.Renew(&g, 90)
 	if err != nil {
 		t.Fatal(err)
 	}
 	q := request("")
 	q.RawQuery, q.Cookie = "", singleValue(jws.Param, next)
-	if g, _, err := r.Verify(q, 149, 0); err != nil || g.Until != 150 || g.ID != "j" {
+	if g, _, err := r.Verify(q, 149, 0); err != nil || g.Expires != 150 || g.ID != "j" {
 		t.Errorf("%+v %v", g, err)
 	}
 }
@@ -133,7 +133,7 @@
 // FuzzVerify checks that no path and query verify except for those of the signed URL.
 func FuzzVerify(f *testing.F) {
 	r, _ := New([]token.Key{{ID: "k", Kind: token.HMAC, Secret: secret}, {ID: "p", Kind: token.JWS, Alg: "HS256", Secret: secret}})
-	u, _ := r.Issue("k", token.Terms{URI: "/v1/a/b/0", Until: 100, ID: "n"})
+	u, _ := r.Issue("k", token.Terms{URI: "/v1/a/b/0", Expires: 100, ID: "n"})
 	_, good, _ := strings.Cut(u.URL, "?")
 	f.Add("/v1/a/b/0", good)
 	f.Add("/v1/a/b/0", jws.Param+"=a.b.c")
@@ -158,21 +158,21 @@
 	}
 	for _, x := range []struct {
 		bound, from string
-		want        token.Why
+		want        token.RejectionReason
 	}{
 		{"192.0.2.7", "192.0.2.7", ""}, {"192.0.2.7", "192.0.2.8", token.WrongAddress}, {"192.0.2.0/24", "192.0.2.8", ""},
 		{"2001:db8::/32", "2001:db8::9", ""}, {"2001:db8::/32", "2001:db9::9", token.WrongAddress},
 	} {
-		got, err := r.Issue("k", token.Terms{URI: uri, Until: 1000, Address: x.bound})
+		got, err := r.Issue("k", token.Terms{URI: uri, Expires: 1000, Address: x.bound})
 		if err != nil {
 			t.Fatal(err)
 		}
 		q := request(got.Token)
 		q.Addr = netip.MustParseAddr(x.from)
-		if _, _, err := r.Verify(q, 999, 0); x.want == "" && err != nil || x.want != "" && token.WhyOf(err) != x.want {
+		if _, _, err := r.Verify(q, 999, 0); x.want == "" && err != nil || x.want != "" && token.ReasonOf(err) != x.want {
 			t.Errorf("%s from %s: %v", x.bound, x.from, err)
 		}
-		if _, err := r.Issue("no-ip-secret", token.Terms{URI: uri, Until: 1000, Address: x.bound}); err == nil {
+		if _, err := r.Issue("no-ip-secret", token.Terms{URI: uri, Expires: 1000, Address: x.bound}); err == nil {
 			t.Error("address encrypted by a key without ip_secret")
 		}
 	}
@@ -180,7 +180,7 @@
 	for name, x := range map[string]struct {
 		key    string
 		claims jws.Claims
-		want   token.Why
+		want   token.RejectionReason
 	}{
 		"address, key without ip_secret": {"no-ip-secret", jws.Claims{ClientIP: "x.y"}, token.BadClaim},
 		"address, malformed":             {"k", jws.Claims{ClientIP: "x.y"}, token.Malformed},
@@ -194,26 +194,26 @@
 		"version":                        {"k", jws.Claims{Version: &one}, ""},
 	} {
 		x.claims.Expires, x.claims.Container = &exp, jws.HashContainer(uri)
-		p, err := r.Package(x.key, x.claims)
+		p, err := r.SignClaims(x.key, x.claims)
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		if _, _, err := r.Verify(request(p), 999, 0); x.want == "" && err != nil || x.want != "" && token.WhyOf(err) != x.want {
+		if _, _, err := r.Verify(request(p), 999, 0); x.want == "" && err != nil || x.want != "" && token.ReasonOf(err) != x.want {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	next, err := r.Package("k", jws.Claims{Expires: &exp, Container: jws.HashContainer(uri), Transport: 1, Renew: 60, Depth: 2, ID: "j", Critical: []string{"exp"}})
+	next, err := r.SignClaims("k", jws.Claims{Expires: &exp, Container: jws.HashContainer(uri), Transport: 1, Renew: 60, Depth: 2, ID: "j", Critical: []string{"exp"}})
 	for now := 990.0; now < 1200; now += 50 { // each package is renewed before it expires
 		if err != nil {
 			t.Fatal(err)
 		}
 		g, _, bad := r.Verify(request(next), now, 0)
-		if bad != nil || g.ID != "j" || g.Renewal.Depth != 2 {
+		if bad != nil || g.ID != "j" || g.Renewal.CookiePathDepth != 2 {
 			t.Fatalf("at %v: %+v %v", now, g, bad)
 		}
-		if _, _, bad = r.Verify(request(next), g.Until+1, 0); token.WhyOf(bad) != token.Expired {
-			t.Errorf("after %v: %v", g.Until, bad)
+		if _, _, bad = r.Verify(request(next), g.Expires+1, 0); token.ReasonOf(bad) != token.Expired {
+			t.Errorf("after %v: %v", g.Expires, bad)
 		}
-		_, next, err = r.Renewed(&g, now)
+		_, next, err = r.Renew(&g, now)
 	}
 }
