--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -15,12 +15,12 @@
 }
 
 func TestPlannedLoad(t *testing.T) {
-	checkNear(t, "requests of a gateway", Planned.Mean(Planned.Gateways).RequestsPerSecond, 853, 0.001)
-	checkNear(t, "bytes of a gateway", Planned.Mean(Planned.Gateways).BytesPerSecond, 0.662e9, 0.001)
-	checkNear(t, "requests of an endpoint", Planned.Mean(Planned.Stores).RequestsPerSecond, 5179, 0.001)
+	checkNear(t, "requests of a gateway", Planned.MeanLoad(Planned.Gateways).RequestsPerSecond, 853, 0.001)
+	checkNear(t, "bytes of a gateway", Planned.MeanLoad(Planned.Gateways).BytesPerSecond, 0.662e9, 0.001)
+	checkNear(t, "requests of an endpoint", Planned.MeanLoad(Planned.Endpoints).RequestsPerSecond, 5179, 0.001)
 	checkNear(t, "bytes of a response", Planned.BytesPerRequest(), 775862, 0.001)
-	checkNear(t, "requests of the busiest gateway", Planned.Mean(Planned.Gateways).Times(Unevenness).RequestsPerSecond, 3412, 0.001)
-	checkNear(t, "concurrent transfers", Load{RequestsPerSecond: 100}.InHand(3.4e6, 3.4e6), 100, 1e-9)
+	checkNear(t, "requests of the busiest gateway", Planned.MeanLoad(Planned.Gateways).Scaled(PeakToMeanRatio).RequestsPerSecond, 3412, 0.001)
+	checkNear(t, "concurrent transfers", Load{RequestsPerSecond: 100}.ConcurrentTransfers(3.4e6, 3.4e6), 100, 1e-9)
 }
 
 func TestFit(t *testing.T) {
@@ -35,11 +35,11 @@
 	}
 }
 
-func TestBend(t *testing.T) {
-	if at, bends := Bend([]Point{{4, 80}, {1, 10}, {2, 20}, {3, 30}}, 0.1); !bends || at != 4 {
+func TestFirstBend(t *testing.T) {
+	if at, bends := FirstBend([]Point{{4, 80}, {1, 10}, {2, 20}, {3, 30}}, 0.1); !bends || at != 4 {
 		t.Errorf("bend at %v, %v", at, bends)
 	}
-	if at, bends := Bend([]Point{{1, 10}, {2, 20}, {3, 31}}, 0.1); bends {
+	if at, bends := FirstBend([]Point{{1, 10}, {2, 20}, {3, 31}}, 0.1); bends {
 		t.Errorf("bend of a straight line at %v", at)
 	}
 }
@@ -48,15 +48,15 @@
 // as the sum over all sets of failed voters.
 func TestMajorityLossOfIndependentVoters(t *testing.T) {
 	f := Failures{Machine: Failure{PerYear: 10, Repair: 24 * time.Hour}}
-	var places []Place
+	var locations []Location
 	for i := range 5 {
-		places = append(places, Place{Region: i})
+		locations = append(locations, Location{Region: i})
 	}
-	got, err := f.MajorityLoss(places)
+	got, err := f.MajorityLoss(locations)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkNear(t, "unavailability", got.Unavailability, AtLeast(3, 5, f.Machine.Unavailability()), 1e-9)
+	checkNear(t, "unavailability", got.Unavailability, ProbabilityAtLeast(3, 5, f.Machine.Unavailability()), 1e-9)
 	p := f.Machine.Unavailability()
 	checkNear(t, "frequency", got.PerYear, 5*f.Machine.Frequency()*6*p*p*(1-p)*(1-p), 1e-9) // one fails while two of the other four are down
 }
@@ -64,30 +64,30 @@
 // Voters that share a unit are down together, so the group has no majority for at least as long as the unit is down.
 func TestMajorityLossOfSharedUnits(t *testing.T) {
 	f := Failures{Zone: Failure{PerYear: 2, Repair: 3 * time.Hour}, Rack: Failure{PerYear: 1, Repair: time.Hour}}
-	one, err := f.MajorityLoss([]Place{{1, 1, 1}, {1, 1, 2}, {1, 1, 3}})
+	one, err := f.MajorityLoss([]Location{{1, 1, 1}, {1, 1, 2}, {1, 1, 3}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkNear(t, "one zone", one.Unavailability, f.Zone.Unavailability(), 0.001)
-	checkNear(t, "one zone, mean outage", one.Mean().Hours(), 3, 0.01)
-	checkNear(t, "one zone, outage per year", one.PerYearTime().Hours(), 6, 0.01)
-	same, err := f.MajorityLoss([]Place{{1, 1, 1}, {1, 2, 1}, {1, 3, 1}})
+	checkNear(t, "one zone, mean outage", one.MeanDuration().Hours(), 3, 0.01)
+	checkNear(t, "one zone, outage per year", one.TimePerYear().Hours(), 6, 0.01)
+	same, err := f.MajorityLoss([]Location{{1, 1, 1}, {1, 2, 1}, {1, 3, 1}})
 	if err != nil || same.Unavailability > one.Unavailability/100 {
 		t.Errorf("rack 1 of each of three zones is counted as a single rack: %+v, %v", same, err)
 	}
 }
 
 func TestMajorityLossVoterCount(t *testing.T) {
-	if _, err := (Failures{}).MajorityLoss(nil); !errors.Is(err, ErrVoters) {
+	if _, err := (Failures{}).MajorityLoss(nil); !errors.Is(err, ErrVoterCount) {
 		t.Error(err)
 	}
-	if out, err := (Failures{}).MajorityLoss([]Place{{}}); err != nil || out.Unavailability != 0 || out.Mean() != 0 {
+	if out, err := (Failures{}).MajorityLoss([]Location{{}}); err != nil || out.Unavailability != 0 || out.MeanDuration() != 0 {
 		t.Errorf("%+v, %v", out, err)
 	}
 }
 
 func TestAtLeast(t *testing.T) {
-	checkNear(t, "any", AtLeast(0, 5, 0.3), 1, 1e-12)
-	checkNear(t, "three of five", AtLeast(3, 5, 0.5), 0.5, 1e-12)
-	checkNear(t, "all", AtLeast(5, 5, 0.1), 1e-5, 1e-9)
+	checkNear(t, "any", ProbabilityAtLeast(0, 5, 0.3), 1, 1e-12)
+	checkNear(t, "three of five", ProbabilityAtLeast(3, 5, 0.5), 0.5, 1e-12)
+	checkNear(t, "all", ProbabilityAtLeast(5, 5, 0.1), 1e-5, 1e-9)
 }
--- a/capacity/failures_test.go
+++ b/capacity/failures_test.go
@@ -40,15 +40,15 @@
 
 // placements are the locations of groups of five voters, and of a group of three.
 var placements = []struct {
-	name   string
-	places []Place
+	name      string
+	locations []Location
 }{
-	{"5 in one rack", []Place{{}, {}, {}, {}, {}}},
-	{"5 in one zone, a rack each", []Place{{Rack: 1}, {Rack: 2}, {Rack: 3}, {Rack: 4}, {Rack: 5}}},
-	{"5 in one region, zones 2-2-1", []Place{{0, 1, 1}, {0, 1, 2}, {0, 2, 1}, {0, 2, 2}, {0, 3, 1}}},
-	{"5 in three regions 2-2-1, a zone each", []Place{{1, 1, 1}, {1, 2, 1}, {2, 1, 1}, {2, 2, 1}, {3, 1, 1}}},
-	{"5 in five regions", []Place{{Region: 1}, {Region: 2}, {Region: 3}, {Region: 4}, {Region: 5}}},
-	{"3 in three regions", []Place{{Region: 1}, {Region: 2}, {Region: 3}}},
+	{"5 in one rack", []Location{{}, {}, {}, {}, {}}},
+	{"5 in one zone, a rack each", []Location{{Rack: 1}, {Rack: 2}, {Rack: 3}, {Rack: 4}, {Rack: 5}}},
+	{"5 in one region, zones 2-2-1", []Location{{0, 1, 1}, {0, 1, 2}, {0, 2, 1}, {0, 2, 2}, {0, 3, 1}}},
+	{"5 in three regions 2-2-1, a zone each", []Location{{1, 1, 1}, {1, 2, 1}, {2, 1, 1}, {2, 2, 1}, {3, 1, 1}}},
+	{"5 in five regions", []Location{{Region: 1}, {Region: 2}, {Region: 3}, {Region: 4}, {Region: 5}}},
+	{"3 in three regions", []Location{{Region: 1}, {Region: 2}, {Region: 3}}},
 }
 
 // TestPlacements prints the table of docs/CAPACITY.md (with -v) and checks its rule: if voters share fewer kinds of units, the
@@ -59,13 +59,13 @@
 		t.Logf("%s: machine %v, rack %v, zone %v, region %v", r.name, r.machine, r.rack, r.zone, r.region)
 		var outages []Outage
 		for _, p := range placements {
-			out, err := f.MajorityLoss(p.places)
+			out, err := f.MajorityLoss(p.locations)
 			if err != nil {
 				t.Fatal(err)
 			}
 			outages = append(outages, out)
 			t.Logf("| %s | %.2g | %.2g | %v | %v |", p.name, out.Unavailability, out.PerYear,
-				out.Mean().Round(time.Second), out.PerYearTime().Round(time.Millisecond))
+				out.MeanDuration().Round(time.Second), out.TimePerYear().Round(time.Millisecond))
 		}
 		for i := 1; i < 5; i++ {
 			if outages[i].Unavailability > outages[i-1].Unavailability {
@@ -73,6 +73,6 @@
 			}
 		}
 		machine := f.Machine.Unavailability()
-		t.Logf("probability that 3 or more of 5 independent machines are down: %.2g; unavailability of a machine: %.2g", AtLeast(3, 5, machine), machine)
+		t.Logf("probability that 3 or more of 5 independent machines are down: %.2g; unavailability of a machine: %.2g", ProbabilityAtLeast(3, 5, machine), machine)
 	}
 }
--- a/capacity/gateway_test.go
+++ b/capacity/gateway_test.go
@@ -29,7 +29,7 @@
 )
 
 // endpointCounts are lengths of the list of endpoints: the current one, two in between, and the planned one.
-var endpointCounts = []int{35, 100, 300, capacity.Planned.Stores}
+var endpointCounts = []int{35, 100, 300, capacity.Planned.Endpoints}
 
 // ports replaces the frontend and the endpoints. It records the attempts sent; the benchmarks deliver their results.
 type ports struct {
@@ -115,7 +115,7 @@
 
 // requestGap returns the mean time between the requests of a gateway at the planned peak, in ms.
 func requestGap() float64 {
-	return 1000 / capacity.Planned.Mean(capacity.Planned.Gateways).RequestsPerSecond
+	return 1000 / capacity.Planned.MeanLoad(capacity.Planned.Gateways).RequestsPerSecond
 }
 
 // BenchmarkRequest measures the decisions on one request, without sockets, by the length of the list of endpoints. Objects are
@@ -184,7 +184,7 @@
 	for _, group := range []bool{false, true} {
 		b.Run(fmt.Sprintf("group=%v", group), func(b *testing.B) {
 			g := newGateway(b, settings(121, 3400), zerolog.Nop())
-			g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: endpointList(capacity.Planned.Stores)})
+			g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: endpointList(capacity.Planned.Endpoints)})
 			object := uint64(1)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/capacity/line.go
+++ b/capacity/line.go
@@ -41,9 +41,9 @@
 	return math.Abs(p.Y-l.At(p.X)) / max(math.Abs(p.Y), math.SmallestNonzeroFloat64)
 }
 
-// Bend returns the X of the first point at which the line fitted through all points before it has a relative error above the
+// FirstBend returns the X of the first point at which the line fitted through all points before it has a relative error above the
 // tolerance. At least three points are needed.
-func Bend(points []Point, tolerance float64) (at float64, bends bool) {
+func FirstBend(points []Point, tolerance float64) (at float64, bends bool) {
 	sorted := slices.SortedFunc(slices.Values(points), func(a, b Point) int { return cmp.Compare(a.X, b.X) })
 	for i := 2; i < len(sorted); i++ {
 		if l, _ := Fit(sorted[:i]); l.relativeError(sorted[i]) > tolerance {
--- a/capacity/quorum.go
+++ b/capacity/quorum.go
@@ -27,15 +27,15 @@
 // Failures holds the failures of every kind of unit that a voter depends on. Units fail independently of each other.
 type Failures struct{ Machine, Rack, Zone, Region Failure }
 
-// Place is the location of a voter. Rack numbers are local to a zone, and zone numbers to a region: rack 1 of zone 1 is not
+// Location is the location of a voter. Rack numbers are local to a zone, and zone numbers to a region: rack 1 of zone 1 is not
 // rack 1 of zone 2.
-type Place struct{ Region, Zone, Rack int }
+type Location struct{ Region, Zone, Rack int }
 
 // MaxVoters bounds the voters of one group.
 const MaxVoters = 16
 
-// ErrVoters is returned for a group without voters or with more than MaxVoters.
-var ErrVoters = errors.New("capacity: a group must have 1 to 16 voters")
+// ErrVoterCount is returned for a group without voters or with more than MaxVoters.
+var ErrVoterCount = errors.New("capacity: a group must have 1 to 16 voters")
 
 // Outage describes how often and for how long a group has no majority.
 type Outage struct {
@@ -43,28 +43,28 @@
 	PerYear        float64 // number of outages per year
 }
 
-// Mean returns the mean duration of an outage.
-func (o Outage) Mean() time.Duration {
+// MeanDuration returns the mean duration of an outage.
+func (o Outage) MeanDuration() time.Duration {
 	if o.PerYear == 0 {
 		return 0
 	}
 	return time.Duration(o.Unavailability / o.PerYear * float64(year))
 }
 
-// PerYearTime returns the time without a majority per year.
-func (o Outage) PerYearTime() time.Duration { return time.Duration(o.Unavailability * float64(year)) }
+// TimePerYear returns the time without a majority per year.
+func (o Outage) TimePerYear() time.Duration { return time.Duration(o.Unavailability * float64(year)) }
 
-// MajorityLoss returns the outages of a group that has one voter at each place.
-func (f Failures) MajorityLoss(places []Place) (Outage, error) {
-	if len(places) == 0 || len(places) > MaxVoters {
-		return Outage{}, ErrVoters
+// MajorityLoss returns the outages of a group that has one voter at each location.
+func (f Failures) MajorityLoss(locations []Location) (Outage, error) {
+	if len(locations) == 0 || len(locations) > MaxVoters {
+		return Outage{}, ErrVoterCount
 	}
-	units := f.units(places)
-	outage := Outage{Unavailability: majorityLossProbability(units, len(places), -1, 0)}
+	units := f.units(locations)
+	outage := Outage{Unavailability: majorityLossProbability(units, len(locations), -1, 0)}
 	for i, u := range units {
 		// The rate of outages caused by a unit is its failure frequency multiplied by the probability that the majority
 		// depends on this unit (Birnbaum's importance).
-		importance := majorityLossProbability(units, len(places), i, 1) - majorityLossProbability(units, len(places), i, 0)
+		importance := majorityLossProbability(units, len(locations), i, 1) - majorityLossProbability(units, len(locations), i, 0)
 		outage.PerYear += u.failure.Frequency() * importance
 	}
 	return outage, nil
@@ -76,19 +76,19 @@
 	voters  uint32
 }
 
-// units returns the units that voters at these places depend on.
-func (f Failures) units(places []Place) (units []unit) {
-	racks, zones, regions := map[Place]uint32{}, map[Place]uint32{}, map[Place]uint32{}
-	for i, p := range places {
+// units returns the units that voters at these locations depend on.
+func (f Failures) units(locations []Location) (units []unit) {
+	racks, zones, regions := map[Location]uint32{}, map[Location]uint32{}, map[Location]uint32{}
+	for i, p := range locations {
 		voter := uint32(1) << i
 		units = append(units, unit{f.Machine, voter})
 		racks[p] |= voter
-		zones[Place{Region: p.Region, Zone: p.Zone}] |= voter
-		regions[Place{Region: p.Region}] |= voter
+		zones[Location{Region: p.Region, Zone: p.Zone}] |= voter
+		regions[Location{Region: p.Region}] |= voter
 	}
 	for _, kind := range []struct {
 		failure Failure
-		shared  map[Place]uint32
+		shared  map[Location]uint32
 	}{{f.Rack, racks}, {f.Zone, zones}, {f.Region, regions}} {
 		for _, voters := range kind.shared {
 			units = append(units, unit{kind.failure, voters})
@@ -122,9 +122,9 @@
 	return loss
 }
 
-// AtLeast returns the probability that at least k of n independent units are down, each with probability p (binomial
+// ProbabilityAtLeast returns the probability that at least k of n independent units are down, each with probability p (binomial
 // distribution).
-func AtLeast(k, n int, p float64) (probability float64) {
+func ProbabilityAtLeast(k, n int, p float64) (probability float64) {
 	for i := k; i <= n; i++ {
 		probability += choose(n, i) * math.Pow(p, float64(i)) * math.Pow(1-p, float64(n-i))
 	}
