--- a/internal/hollow/endpoints.go
+++ b/internal/hollow/endpoints.go
@@ -7,16 +7,16 @@
 	"turnfork.dev/turnfork/core"
 )
 
-// ConfigStores is the configuration name under which the test rig distributes changes of the endpoint list.
-const ConfigStores = "stores"
+// ConfigEndpoints is the configuration name under which the test rig distributes changes of the endpoint list.
+const ConfigEndpoints = "stores"
 
-// StoreChange is the value of ConfigStores: the endpoints whose entries change.
-type StoreChange struct {
-	Stores []StoreEntry `json:"stores"`
+// EndpointChange is the value of ConfigEndpoints: the endpoints whose entries change.
+type EndpointChange struct {
+	Endpoints []EndpointEntry `json:"stores"`
 }
 
-// StoreEntry describes one endpoint in a StoreChange.
-type StoreEntry struct {
+// EndpointEntry describes one endpoint in an EndpointChange.
+type EndpointEntry struct {
 	ID     uint32  `json:"id"`
 	Addr   string  `json:"addr"`
 	Zone   int     `json:"zone"`
@@ -26,13 +26,13 @@
 
 // updateEndpoints posts a change of the endpoint list to the core. Invalid values are logged and ignored.
 func (g *Gateway) updateEndpoints(value []byte) {
-	var change StoreChange
+	var change EndpointChange
 	if err := json.Unmarshal(value, &change); err != nil {
 		g.log.Error().Err(err).Msg("invalid JSON in endpoint list change; change ignored")
 		return
 	}
 	event := core.EndpointList{}
-	for _, entry := range change.Stores {
+	for _, entry := range change.Endpoints {
 		event.Endpoints = append(event.Endpoints, core.Endpoint{Addr: entry.Addr, Info: control.Endpoint{
 			ID: control.EndpointID(entry.ID), Zone: entry.Zone, Kind: entry.Kind, Weight: entry.Weight, State: control.Ready,
 		}})
--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -25,10 +25,10 @@
 
 // Observer is notified when purges and configuration take effect at a gateway. Its methods must not block for long.
 type Observer interface {
-	// PurgeInForce reports that the core has handled a purge.
-	PurgeInForce(object uint64, group uint16, at time.Time)
-	// ConfigInForce reports that a configuration value has been applied.
-	ConfigInForce(name string, value []byte, at time.Time)
+	// PurgeApplied reports that the core has handled a purge.
+	PurgeApplied(object uint64, group uint16, at time.Time)
+	// ConfigApplied reports that a configuration value has been applied.
+	ConfigApplied(name string, value []byte, at time.Time)
 }
 
 // Options configure a hollow gateway.
@@ -127,13 +127,13 @@
 
 // applyConfig applies a configuration value in the same way as the signed frontend of a production gateway.
 func (g *Gateway) applyConfig(name string, value json.RawMessage) {
-	if name == ConfigStores {
+	if name == ConfigEndpoints {
 		g.updateEndpoints(value)
 	} else {
 		g.frontend.ApplyConfig(name, value)
 	}
 	if g.observer != nil {
-		g.observer.ConfigInForce(name, value, time.Now())
+		g.observer.ConfigApplied(name, value, time.Now())
 	}
 }
 
@@ -147,7 +147,7 @@
 	}
 	g.core.Post(event)
 	if isPurge && g.observer != nil {
-		g.callWhenProcessed(func(at time.Time) { g.observer.PurgeInForce(purge.Object, purge.Group, at) })
+		g.callWhenProcessed(func(at time.Time) { g.observer.PurgeApplied(purge.Object, purge.Group, at) })
 	}
 }
 
--- a/internal/hollow/gateway_test.go
+++ b/internal/hollow/gateway_test.go
@@ -20,13 +20,13 @@
 	configs []string
 }
 
-func (r *recorder) PurgeInForce(object uint64, _ uint16, _ time.Time) {
+func (r *recorder) PurgeApplied(object uint64, _ uint16, _ time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.purges = append(r.purges, object)
 }
 
-func (r *recorder) ConfigInForce(name string, _ []byte, _ time.Time) {
+func (r *recorder) ConfigApplied(name string, _ []byte, _ time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.configs = append(r.configs, name)
@@ -34,7 +34,7 @@
 
 func newGateway(t testing.TB, observer Observer) *Gateway {
 	t.Helper()
-	operator, err := config.ParseOperator(OperatorText(DefaultStores), t.TempDir())
+	operator, err := config.ParseOperator(OperatorText(DefaultEndpoints), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,9 +81,9 @@
 	var recorded recorder
 	g := newGateway(t, &recorded)
 	g.plane.Configured(signed.ConfigPolicy, []byte(`{"leeway_ms":1000,"token_seconds":600}`))
-	g.plane.Configured(ConfigStores, []byte(`{"stores":[{"id":3,"addr":"127.0.0.1:9","zone":1,"kind":0,"weight":5}]}`))
+	g.plane.Configured(ConfigEndpoints, []byte(`{"stores":[{"id":3,"addr":"127.0.0.1:9","zone":1,"kind":0,"weight":5}]}`))
 	g.plane.Configured("withdrawn", nil)
-	if len(recorded.configs) != 2 || recorded.configs[0] != signed.ConfigPolicy || recorded.configs[1] != ConfigStores {
+	if len(recorded.configs) != 2 || recorded.configs[0] != signed.ConfigPolicy || recorded.configs[1] != ConfigEndpoints {
 		t.Errorf("configuration reported: %v", recorded.configs)
 	}
 	if g.Subscriber() != nil {
--- a/internal/hollow/operator.go
+++ b/internal/hollow/operator.go
@@ -8,8 +8,8 @@
 	"turnfork.dev/turnfork/replica"
 )
 
-// DefaultStores is the number of endpoints that a gateway of the full deployment is configured with.
-const DefaultStores = 560
+// DefaultEndpoints is the number of endpoints that a gateway of the full deployment is configured with.
+const DefaultEndpoints = 560
 
 // parentInterval is the distance between parents in the endpoint list. The last endpoint is the origin.
 const parentInterval = 20
@@ -77,9 +77,9 @@
 	return text.String()
 }
 
-// OperatorOf returns a copy of an operator configuration with another gateway name and other voters. The remaining parsed
+// DeriveOperator returns a copy of an operator configuration with another gateway name and other voters. The remaining parsed
 // settings are shared between both.
-func OperatorOf(operator *config.Operator, name string, voters []replica.Member) *config.Operator {
+func DeriveOperator(operator *config.Operator, name string, voters []replica.Member) *config.Operator {
 	derived := *operator
 	derived.Replica.ID, derived.Replica.Members = name, voters
 	return &derived
--- a/scale/full_gateway_test.go
+++ b/scale/full_gateway_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	text := fmt.Sprintf("console = \"127.0.0.1:0\"\noperator_secret = %q\n", fullGatewaySecret) +
-		hollow.OperatorText(hollow.DefaultStores) + hollow.SubscriptionText(name, voters)
+		hollow.OperatorText(hollow.DefaultEndpoints) + hollow.SubscriptionText(name, voters)
 	file := filepath.Join(dir, "operator.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
--- a/scale/gateway_worker.go
+++ b/scale/gateway_worker.go
@@ -112,7 +112,7 @@
 func (w *gatewayWorker) openGateway(index int, running *runningGateway) error {
 	running.history.started(time.Now())
 	gateway, err := hollow.New(hollow.Options{
-		Operator: hollow.OperatorOf(w.operator, running.spec.Name, running.spec.Voters), Seed: w.setup.Seed + uint64(index),
+		Operator: hollow.DeriveOperator(w.operator, running.spec.Name, running.spec.Voters), Seed: w.setup.Seed + uint64(index),
 		Clock: w.clock, Log: zerolog.Nop(), Observer: gatewayObserver{w.recorder, index},
 	})
 	if err != nil {
--- a/scale/histogram.go
+++ b/scale/histogram.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Distribution summarizes a histogram, in milliseconds.
-type Distribution struct {
+// LatencySummary summarizes a histogram, in milliseconds.
+type LatencySummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P99   float64 `json:"p99_ms"`
@@ -34,9 +34,9 @@
 	Max   float64 `json:"max_ms"`
 }
 
-func summarize(histogram *hdrhistogram.Histogram) Distribution {
+func summarize(histogram *hdrhistogram.Histogram) LatencySummary {
 	quantile := func(percent float64) float64 { return float64(histogram.ValueAtQuantile(percent)) / 1000 }
-	return Distribution{
+	return LatencySummary{
 		Count: histogram.TotalCount(), P50: quantile(50), P99: quantile(99), P999: quantile(99.9),
 		Max: float64(histogram.Max()) / 1000,
 	}
--- a/scale/hollow_match_test.go
+++ b/scale/hollow_match_test.go
@@ -97,7 +97,7 @@
 	}
 	t.Cleanup(p.hollow.Stop)
 	setup := gatewaysSetup{
-		Gateways: []gatewaySpec{{Name: "gateway-h", Voters: p.hollowVoters.members}}, Endpoints: hollow.DefaultStores, Seed: 1,
+		Gateways: []gatewaySpec{{Name: "gateway-h", Voters: p.hollowVoters.members}}, Endpoints: hollow.DefaultEndpoints, Seed: 1,
 		Dir: t.TempDir(), Identity: identity,
 	}
 	if err := p.hollow.Call(ctx, methodStart, setup, nil); err != nil {
@@ -202,7 +202,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	cluster, err := startCluster(ctx, clusterOptions{
-		topology: Topology{Gateways: 2, Sites: 1}, voters: 3, endpoints: hollow.DefaultStores, seed: 1, dir: t.TempDir(), log: testLog{t},
+		topology: Topology{Gateways: 2, Sites: 1}, voters: 3, endpoints: hollow.DefaultEndpoints, seed: 1, dir: t.TempDir(), log: testLog{t},
 	}, newProgress(testLog{t}))
 	if err != nil {
 		t.Fatal(err)
--- a/scale/load.go
+++ b/scale/load.go
@@ -18,11 +18,11 @@
 
 // Load describes the operations that a run proposes.
 type Load struct {
-	Purges        float64       `json:"purges_per_s"`
-	ChangesPerDay float64       `json:"changes_per_day"`
-	Burst         int           `json:"burst"` // configuration changes within one second, in the middle of the run
-	Revocations   float64       `json:"revocations_per_s"`
-	StoreInterval time.Duration `json:"store_interval"` // between changes of the endpoint list; 0: none
+	Purges               float64       `json:"purges_per_s"`
+	ChangesPerDay        float64       `json:"changes_per_day"`
+	Burst                int           `json:"burst"` // configuration changes within one second, in the middle of the run
+	Revocations          float64       `json:"revocations_per_s"`
+	EndpointListInterval time.Duration `json:"store_interval"` // between changes of the endpoint list; 0: none
 }
 
 const (
@@ -72,8 +72,8 @@
 		operation.At = duration/2 + time.Duration(i)*burstDuration/time.Duration(l.Burst)
 		all = append(all, operation)
 	}
-	if l.StoreInterval > 0 {
-		for at := l.StoreInterval / 2; at < duration; at += l.StoreInterval {
+	if l.EndpointListInterval > 0 {
+		for at := l.EndpointListInterval / 2; at < duration; at += l.EndpointListInterval {
 			operation := g.endpointChange()
 			operation.At = at
 			all = append(all, operation)
@@ -164,14 +164,14 @@
 }
 
 func (g *generator) endpointChange() Operation {
-	var change hollow.StoreChange
+	var change hollow.EndpointChange
 	for range endpointsPerChange {
 		g.serial++
-		change.Stores = append(change.Stores, hollow.StoreEntry{
-			ID: uint32(1 + g.random.IntN(hollow.DefaultStores/2)), Addr: "127.0.0.1:9", Zone: 1, Weight: 1 + float64(g.serial)/1000,
+		change.Endpoints = append(change.Endpoints, hollow.EndpointEntry{
+			ID: uint32(1 + g.random.IntN(hollow.DefaultEndpoints/2)), Addr: "127.0.0.1:9", Zone: 1, Weight: 1 + float64(g.serial)/1000,
 		})
 	}
-	return newPut(hollow.ConfigStores, change)
+	return newPut(hollow.ConfigEndpoints, change)
 }
 
 func (g *generator) revocation() Operation {
--- a/scale/load_test.go
+++ b/scale/load_test.go
@@ -13,7 +13,7 @@
 	"turnfork.dev/turnfork/token/ring"
 )
 
-var fullLoad = Load{Purges: 46, ChangesPerDay: 8100, Burst: 100, Revocations: 0.5, StoreInterval: 20 * time.Second}
+var fullLoad = Load{Purges: 46, ChangesPerDay: 8100, Burst: 100, Revocations: 0.5, EndpointListInterval: 20 * time.Second}
 
 // The same seed generates the same operations and another seed different ones, in chronological order. Each operation that
 // is observed at gateways has a unique key.
@@ -73,14 +73,14 @@
 			if err := json.Unmarshal(operation.Value, &policy); err != nil || policy.TokenSeconds <= 0 || policy.LeewayMs > 300000 {
 				t.Errorf("%+v, %v", policy, err)
 			}
-		case hollow.ConfigStores:
-			var change hollow.StoreChange
-			if err := json.Unmarshal(operation.Value, &change); err != nil || len(change.Stores) == 0 {
+		case hollow.ConfigEndpoints:
+			var change hollow.EndpointChange
+			if err := json.Unmarshal(operation.Value, &change); err != nil || len(change.Endpoints) == 0 {
 				t.Errorf("%+v, %v", change, err)
 			}
 		}
 	}
-	for _, name := range []string{signed.ConfigKeys, signed.ConfigPolicy, hollow.ConfigStores} {
+	for _, name := range []string{signed.ConfigKeys, signed.ConfigPolicy, hollow.ConfigEndpoints} {
 		if !seen[name] {
 			t.Errorf("no change of %s was generated", name)
 		}
--- a/scale/process.go
+++ b/scale/process.go
@@ -16,8 +16,8 @@
 // processStopTimeout limits the graceful shutdown of a child. After it the child is killed.
 const processStopTimeout = 10 * time.Second
 
-// ErrProcessEnded is returned by a call whose child process has exited.
-var ErrProcessEnded = errors.New("scale: child process has exited")
+// ErrProcessExited is returned by a call whose child process has exited.
+var ErrProcessExited = errors.New("scale: child process has exited")
 
 // Process is a child process of the rig.
 type Process struct {
@@ -78,7 +78,7 @@
 			caller <- resp // doesn't block: the channel is buffered and gets one response
 		}
 	}
-	p.command.Wait() // the exit status is not needed: pending calls fail with ErrProcessEnded
+	p.command.Wait() // the exit status is not needed: pending calls fail with ErrProcessExited
 	close(p.exited)
 }
 
@@ -103,13 +103,13 @@
 		p.mu.Unlock()
 	}()
 	if err := p.write(request{ID: id, Method: method, Body: content}); err != nil {
-		return fmt.Errorf("scale: %s: %w", method, errors.Join(ErrProcessEnded, err))
+		return fmt.Errorf("scale: %s: %w", method, errors.Join(ErrProcessExited, err))
 	}
 	select {
 	case resp := <-reply:
 		return decodeResponse(method, resp, result)
 	case <-p.exited:
-		return fmt.Errorf("scale: %s: %w", method, ErrProcessEnded)
+		return fmt.Errorf("scale: %s: %w", method, ErrProcessExited)
 	case <-ctx.Done():
 		return fmt.Errorf("scale: %s: %w", method, ctx.Err())
 	}
--- a/scale/protocol.go
+++ b/scale/protocol.go
@@ -128,13 +128,13 @@
 
 // Results are the measurements of the gateways of one process.
 type Results struct {
-	Latencies map[string]*Latencies  `json:"latencies"` // by class of change
-	Everyone  map[uint64]ChangeReach `json:"everyone"`  // by the change's key
-	Staleness *hdrhistogram.Snapshot `json:"staleness"` // ages of the states known to be complete, in microseconds
-	CatchUp   *hdrhistogram.Snapshot `json:"catch_up"`  // from a gateway's start to its first lease, in microseconds
-	Violation []Violation            `json:"violation,omitempty"`
-	Violated  int                    `json:"violated"` // number of violations, including those not listed
-	Claims    int                    `json:"claims"`   // number of checks of a claim against a change
+	Latencies      map[string]*Latencies  `json:"latencies"` // by class of change
+	Reach          map[uint64]ChangeReach `json:"everyone"`  // by the change's key
+	Staleness      *hdrhistogram.Snapshot `json:"staleness"` // ages of the states known to be complete, in microseconds
+	CatchUp        *hdrhistogram.Snapshot `json:"catch_up"`  // from a gateway's start to its first lease, in microseconds
+	Violations     []Violation            `json:"violation,omitempty"`
+	ViolationCount int                    `json:"violated"` // number of violations, including those not listed
+	CheckedClaims  int                    `json:"claims"`   // number of checks of a claim against a change
 }
 
 // Latencies are the times from a change's acknowledgement until it is in force at each gateway, in microseconds.
--- a/scale/recorder.go
+++ b/scale/recorder.go
@@ -55,12 +55,12 @@
 	gateway  int
 }
 
-// PurgeInForce records when the purge of an object, or of a group of objects, came into force at the gateway.
-func (o gatewayObserver) PurgeInForce(object uint64, group uint16, at time.Time) {
+// PurgeApplied records when the purge of an object, or of a group of objects, came into force at the gateway.
+func (o gatewayObserver) PurgeApplied(object uint64, group uint16, at time.Time) {
 	o.recorder.record(PurgeKey(object, group), o.gateway, at)
 }
 
-// ConfigInForce records when a value of the configuration came into force at the gateway.
-func (o gatewayObserver) ConfigInForce(name string, value []byte, at time.Time) {
+// ConfigApplied records when a value of the configuration came into force at the gateway.
+func (o gatewayObserver) ConfigApplied(name string, value []byte, at time.Time) {
 	o.recorder.record(ConfigKey(name, value), o.gateway, at)
 }
--- a/scale/report.go
+++ b/scale/report.go
@@ -12,29 +12,29 @@
 
 // Limits that the operators require of the deployment.
 const (
-	PurgeLimit       = 7 * time.Second
-	ChangeLimit      = 12 * time.Second
-	CPULimitPercent  = 2.9 // of a core, for a gateway's control plane
-	MemoryLimitBytes = 256 << 20
-	TrafficLimit     = 10_000 // bytes per second of a gateway, both directions together
+	MaxPurgeLatency                 = 7 * time.Second
+	MaxChangeLatency                = 12 * time.Second
+	MaxGatewayCPUPercent            = 2.9 // of a core, for a gateway's control plane
+	MaxGatewayMemoryBytes           = 256 << 20
+	MaxGatewayTrafficBytesPerSecond = 10_000 // bytes per second of a gateway, both directions together
 )
 
 // Report is the outcome of a run.
 type Report struct {
-	Mode     string  `json:"mode"`
-	Scenario string  `json:"scenario"`
-	Gateways int     `json:"gateways"`
-	Sites    int     `json:"sites"`
-	Voters   int     `json:"voters"`
-	Stores   int     `json:"stores"`
-	Seed     uint64  `json:"seed"`
-	Seconds  float64 `json:"seconds"`
-	Load     Load    `json:"load"`
-	Machine  Machine `json:"machine"`
+	Mode      string  `json:"mode"`
+	Scenario  string  `json:"scenario"`
+	Gateways  int     `json:"gateways"`
+	Sites     int     `json:"sites"`
+	Voters    int     `json:"voters"`
+	Endpoints int     `json:"stores"`
+	Seed      uint64  `json:"seed"`
+	Seconds   float64 `json:"seconds"`
+	Load      Load    `json:"load"`
+	Machine   Machine `json:"machine"`
 
 	Classes   map[string]ClassReport `json:"classes"` // by class of change
-	Staleness Distribution           `json:"staleness"`
-	CatchUp   Distribution           `json:"catch_up"` // from a gateway's start to its first lease
+	Staleness LatencySummary         `json:"staleness"`
+	CatchUp   LatencySummary         `json:"catch_up"` // from a gateway's start to its first lease
 	Proposed  int                    `json:"proposed"`
 	Acked     int                    `json:"acknowledged"`
 	Failed    int                    `json:"failed"` // not acknowledged before the proposer's timeout
@@ -44,29 +44,29 @@
 	Usage   map[Role]Usage `json:"usage"`
 	Traffic TrafficReport  `json:"traffic"`
 
-	Convergence Convergence `json:"convergence"`
-	Claims      int         `json:"freshness_claims"`
-	Violated    int         `json:"freshness_violated"`
-	Violations  []Violation `json:"violations,omitempty"`
-	Restarts    int         `json:"restarts"`
-	Checks      []Check     `json:"checks"`
+	Convergence    Convergence `json:"convergence"`
+	CheckedClaims  int         `json:"freshness_claims"`
+	ViolationCount int         `json:"freshness_violated"`
+	Violations     []Violation `json:"violations,omitempty"`
+	Restarts       int         `json:"restarts"`
+	Checks         []Check     `json:"checks"`
 }
 
 // Machine describes the machine of a run.
 type Machine struct {
-	Cores  int    `json:"cores"`
-	Go     string `json:"go"`
-	Loaded string `json:"load_before"` // /proc/loadavg at the start of the run
+	Cores       int    `json:"cores"`
+	Go          string `json:"go"`
+	LoadAverage string `json:"load_before"` // /proc/loadavg at the start of the run
 }
 
 // ClassReport summarizes the latencies of one class of changes.
 type ClassReport struct {
-	Changes      int          `json:"changes"`
-	Fresh        Distribution `json:"fresh"`      // from acknowledged to in force, at gateways that were fresh throughout
-	Everywhere   Distribution `json:"everywhere"` // the slowest of these for each change
-	Stale        Distribution `json:"stale"`      // at gateways that knew that they were stale, or were down, for a part of the time
-	MissingFresh int          `json:"missing_fresh"`
-	MissingStale int          `json:"missing_stale"`
+	Changes      int            `json:"changes"`
+	Fresh        LatencySummary `json:"fresh"`      // from acknowledged to in force, at gateways that were fresh throughout
+	Everywhere   LatencySummary `json:"everywhere"` // the slowest of these for each change
+	Stale        LatencySummary `json:"stale"`      // at gateways that knew that they were stale, or were down, for a part of the time
+	MissingFresh int            `json:"missing_fresh"`
+	MissingStale int            `json:"missing_stale"`
 }
 
 // GatewayUsage is the mean and peak resource usage per gateway.
@@ -78,10 +78,10 @@
 
 // Convergence describes the states of the gateways after the load, which should all be equal.
 type Convergence struct {
-	Gateways  int     `json:"gateways"`  // number of fresh gateways
-	Positions int     `json:"positions"` // number of different positions, including the voters' last position
-	Digests   int     `json:"digests"`
-	Seconds   float64 `json:"seconds"` // from the end of the load until convergence or its timeout
+	FreshGateways int     `json:"gateways"`  // number of fresh gateways
+	Positions     int     `json:"positions"` // number of different positions, including the voters' last position
+	Digests       int     `json:"digests"`
+	Seconds       float64 `json:"seconds"` // from the end of the load until convergence or its timeout
 }
 
 // Check compares a figure with its limit.
@@ -112,18 +112,18 @@
 	for _, class := range r.Classes {
 		missing += class.MissingFresh
 	}
-	atMost("purge everywhere, ms", r.Classes[ClassPurge].Everywhere.Max, milliseconds(PurgeLimit))
-	atMost("change everywhere, ms", r.Classes[ClassChange].Everywhere.Max, milliseconds(ChangeLimit))
-	atMost("change of a burst everywhere, ms", r.Classes[ClassBurst].Everywhere.Max, milliseconds(ChangeLimit))
+	atMost("purge everywhere, ms", r.Classes[ClassPurge].Everywhere.Max, milliseconds(MaxPurgeLatency))
+	atMost("change everywhere, ms", r.Classes[ClassChange].Everywhere.Max, milliseconds(MaxChangeLatency))
+	atMost("change of a burst everywhere, ms", r.Classes[ClassBurst].Everywhere.Max, milliseconds(MaxChangeLatency))
 	atMost("changes missing at fresh gateways", float64(missing), 0)
 	atMost("changes given up by their proposer", float64(r.Failed), 0)
-	atMost("processor time of a gateway, % of a core", r.Gateway.CPUMean, CPULimitPercent)
-	atMost("memory of a gateway, bytes", r.Gateway.RSSBytes, MemoryLimitBytes)
-	atMost("traffic of a gateway, bytes a second", r.Traffic.GatewayBytesIn+r.Traffic.GatewayBytesOut, TrafficLimit)
+	atMost("processor time of a gateway, % of a core", r.Gateway.CPUMean, MaxGatewayCPUPercent)
+	atMost("memory of a gateway, bytes", r.Gateway.RSSBytes, MaxGatewayMemoryBytes)
+	atMost("traffic of a gateway, bytes a second", r.Traffic.GatewayBytesIn+r.Traffic.GatewayBytesOut, MaxGatewayTrafficBytesPerSecond)
 	atMost("positions at the end", float64(r.Convergence.Positions), 1)
 	atMost("digests at the end", float64(r.Convergence.Digests), 1)
-	atMost("false claims of freshness", float64(r.Violated), 0)
-	atMost("gateways that are not fresh at the end", float64(r.Gateways-r.Convergence.Gateways), 0)
+	atMost("false claims of freshness", float64(r.ViolationCount), 0)
+	atMost("gateways that are not fresh at the end", float64(r.Gateways-r.Convergence.FreshGateways), 0)
 }
 
 // WriteFile writes the report as JSON.
--- a/scale/report_test.go
+++ b/scale/report_test.go
@@ -16,9 +16,9 @@
 		Mode: ModeWatch, Scenario: ScenarioQuiet, Gateways: gateways,
 		Usage: map[Role]Usage{RoleVoters: {CPUHighestMean: 10 + float64(gateways)/100}},
 		Classes: map[string]ClassReport{
-			ClassPurge: {Changes: 1, Fresh: Distribution{Count: int64(gateways)}, Everywhere: Distribution{Count: 1, P99: 300, Max: 400}},
+			ClassPurge: {Changes: 1, Fresh: LatencySummary{Count: int64(gateways)}, Everywhere: LatencySummary{Count: 1, P99: 300, Max: 400}},
 		},
-		Convergence: Convergence{Gateways: gateways, Positions: 1, Digests: 1},
+		Convergence: Convergence{FreshGateways: gateways, Positions: 1, Digests: 1},
 	}
 }
 
@@ -91,18 +91,18 @@
 		t.Errorf("%+v", good.Checks)
 	}
 	for name, breakLimit := range map[string]func(*Report){
-		"late purge":     func(r *Report) { r.Classes[ClassPurge] = ClassReport{Everywhere: Distribution{Max: 7001}} },
-		"late change":    func(r *Report) { r.Classes[ClassChange] = ClassReport{Everywhere: Distribution{Max: 12001}} },
-		"late burst":     func(r *Report) { r.Classes[ClassBurst] = ClassReport{Everywhere: Distribution{Max: 12001}} },
+		"late purge":     func(r *Report) { r.Classes[ClassPurge] = ClassReport{Everywhere: LatencySummary{Max: 7001}} },
+		"late change":    func(r *Report) { r.Classes[ClassChange] = ClassReport{Everywhere: LatencySummary{Max: 12001}} },
+		"late burst":     func(r *Report) { r.Classes[ClassBurst] = ClassReport{Everywhere: LatencySummary{Max: 12001}} },
 		"missing change": func(r *Report) { r.Classes[ClassChange] = ClassReport{MissingFresh: 1} },
 		"given up":       func(r *Report) { r.Failed = 1 },
 		"processor":      func(r *Report) { r.Gateway.CPUMean = 3 },
-		"memory":         func(r *Report) { r.Gateway.RSSBytes = MemoryLimitBytes + 1 },
+		"memory":         func(r *Report) { r.Gateway.RSSBytes = MaxGatewayMemoryBytes + 1 },
 		"traffic":        func(r *Report) { r.Traffic.GatewayBytesIn, r.Traffic.GatewayBytesOut = 9000, 1001 },
 		"positions":      func(r *Report) { r.Convergence.Positions = 2 },
 		"digests":        func(r *Report) { r.Convergence.Digests = 2 },
-		"false claim":    func(r *Report) { r.Violated = 1 },
-		"lost gateway":   func(r *Report) { r.Convergence.Gateways = 99 },
+		"false claim":    func(r *Report) { r.ViolationCount = 1 },
+		"lost gateway":   func(r *Report) { r.Convergence.FreshGateways = 99 },
 	} {
 		report := newTestReport(100)
 		breakLimit(report)
--- a/scale/results.go
+++ b/scale/results.go
@@ -32,7 +32,7 @@
 // results compares the acknowledged changes with the times at which they came into force at the gateways. The changes are
 // in the order of their acknowledgements.
 func (w *gatewayWorker) results(acked []AckedChange) Results {
-	out := Results{Latencies: map[string]*Latencies{}, Everyone: map[uint64]ChangeReach{}}
+	out := Results{Latencies: map[string]*Latencies{}, Reach: map[uint64]ChangeReach{}}
 	tallies := map[string]*latencyTally{}
 	later := laterValues{}
 	for _, change := range slices.Backward(acked) {
@@ -42,7 +42,7 @@
 			tallies[change.class()] = tally
 		}
 		times := later.fillSuperseded(change, w.recorder.inForceTimes(change.Key))
-		out.Everyone[change.Key] = tally.add(change, w.gateways, times)
+		out.Reach[change.Key] = tally.add(change, w.gateways, times)
 		w.checkClaims(&out, change, times)
 	}
 	for class, tally := range tallies {
@@ -81,7 +81,7 @@
 		if !claimed {
 			continue
 		}
-		out.Claims++
+		out.CheckedClaims++
 		inForceAt := times[index]
 		if !inForceAt.IsZero() && !inForceAt.After(claim.at) {
 			continue
@@ -89,9 +89,9 @@
 		if inForceAt.IsZero() && change.At.Before(running.history.incarnationStart()) {
 			continue // the claiming incarnation has ended, and the current one received the change in a snapshot, without an event
 		}
-		out.Violated++
-		if len(out.Violation) < maxViolations {
-			out.Violation = append(out.Violation, Violation{
+		out.ViolationCount++
+		if len(out.Violations) < maxViolations {
+			out.Violations = append(out.Violations, Violation{
 				Gateway: running.spec.Name, Key: change.Key, Acked: change.At, CompleteAt: claim.completeAt,
 				ClaimedAt: claim.at, InForceAt: inForceAt,
 			})
--- a/scale/results_test.go
+++ b/scale/results_test.go
@@ -51,7 +51,7 @@
 	if d := summarize(fresh); d.Max < 499 || d.Max > 501 {
 		t.Errorf("the slowest fresh gateway took %v ms, want 500", d.Max)
 	}
-	if reach := got.Everyone[2]; reach.Missing != 1 || reach.Slowest != 250*time.Millisecond {
+	if reach := got.Reach[2]; reach.Missing != 1 || reach.Slowest != 250*time.Millisecond {
 		t.Errorf("the second purge reached %+v", reach)
 	}
 }
@@ -60,11 +60,11 @@
 func TestFalseFreshnessClaimsAreDetected(t *testing.T) {
 	begin := time.Now()
 	for _, c := range []struct {
-		name      string
-		inForceAt float64 // 0: never
-		claimedAt float64
-		complete  float64
-		violated  int
+		name       string
+		inForceAt  float64 // 0: never
+		claimedAt  float64
+		complete   float64
+		violations int
 	}{
 		{"in force before the claim", 5.5, 6, 5.8, 0},
 		{"in force at the claim", 6, 6, 5.8, 0},
@@ -78,8 +78,8 @@
 			w.recorder.record(1, 0, timeAfter(begin, c.inForceAt))
 		}
 		w.gateways[0].history.addClaim(timeAfter(begin, c.claimedAt), timeAfter(begin, c.complete))
-		if got := w.results([]AckedChange{purgeAt(1, timeAfter(begin, 5))}); got.Violated != c.violated {
-			t.Errorf("%s: %d violations: %+v", c.name, got.Violated, got.Violation)
+		if got := w.results([]AckedChange{purgeAt(1, timeAfter(begin, 5))}); got.ViolationCount != c.violations {
+			t.Errorf("%s: %d violations: %+v", c.name, got.ViolationCount, got.Violations)
 		}
 	}
 }
@@ -95,8 +95,8 @@
 	history.observeLease(true, timeAfter(begin, 8))
 	history.addClaim(timeAfter(begin, 8), timeAfter(begin, 7.9))
 	got := w.results([]AckedChange{purgeAt(1, timeAfter(begin, 5)), purgeAt(2, timeAfter(begin, 7.5))})
-	if got.Violated != 1 || got.Violation[0].Key != 2 {
-		t.Errorf("%d violations: %+v", got.Violated, got.Violation)
+	if got.ViolationCount != 1 || got.Violations[0].Key != 2 {
+		t.Errorf("%d violations: %+v", got.ViolationCount, got.Violations)
 	}
 }
 
@@ -116,7 +116,7 @@
 	if changes.MissingFresh != 1 || changes.MissingStale != 1 { // the last change, at both gateways
 		t.Errorf("%d and %d are missing", changes.MissingFresh, changes.MissingStale)
 	}
-	if slowest := got.Everyone[11].Slowest; slowest != 3*time.Second {
+	if slowest := got.Reach[11].Slowest; slowest != 3*time.Second {
 		t.Errorf("the superseded value counts as in force after %v, want 3s", slowest)
 	}
 }
--- a/scale/run.go
+++ b/scale/run.go
@@ -27,7 +27,7 @@
 	Gateways       int
 	Sites          int
 	Voters         int
-	Stores         int
+	Endpoints      int
 	Duration       time.Duration
 	Seed           uint64
 	Load           Load
@@ -50,7 +50,7 @@
 	if _, known := scenarios[o.Scenario]; !known {
 		return fmt.Errorf("%w %q, must be one of %v", ErrUnknownScenario, o.Scenario, Scenarios())
 	}
-	if o.Gateways < 1 || o.Sites < 1 || o.Voters < 1 || o.Stores < 1 || o.Duration <= 0 {
+	if o.Gateways < 1 || o.Sites < 1 || o.Voters < 1 || o.Endpoints < 1 || o.Duration <= 0 {
 		return errors.New("scale: gateways, sites, voters, stores and the duration must be positive")
 	}
 	o.Sites = min(o.Sites, o.Gateways)
@@ -71,7 +71,7 @@
 	progress := newProgress(options.Progress)
 	report := newReport(options)
 	cluster, err := startCluster(ctx, clusterOptions{
-		topology: Topology{Gateways: options.Gateways, Sites: options.Sites}, voters: options.Voters, endpoints: options.Stores,
+		topology: Topology{Gateways: options.Gateways, Sites: options.Sites}, voters: options.Voters, endpoints: options.Endpoints,
 		seed: options.Seed, relay: needsRelay(options.Scenario), dir: dir, log: options.Progress,
 	}, progress)
 	if err != nil {
@@ -98,7 +98,7 @@
 func newReport(options Options) *Report {
 	return &Report{
 		Mode: ModeWatch, Scenario: options.Scenario, Gateways: options.Gateways, Sites: options.Sites, Voters: options.Voters,
-		Stores: options.Stores, Seed: options.Seed, Load: options.Load, Classes: map[string]ClassReport{},
+		Endpoints: options.Endpoints, Seed: options.Seed, Load: options.Load, Classes: map[string]ClassReport{},
 		Usage: map[Role]Usage{}, Machine: thisMachine(),
 	}
 }
@@ -108,7 +108,7 @@
 	if err != nil {
 		load = []byte("unknown")
 	}
-	return Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), Loaded: strings.TrimSpace(string(load))}
+	return Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), LoadAverage: strings.TrimSpace(string(load))}
 }
 
 // runLoad proposes the load while the scenario runs, and samples the resource usage of the processes.
@@ -191,7 +191,7 @@
 			}
 		}
 		report.Convergence = Convergence{
-			Gateways: fresh, Positions: len(positions), Digests: len(digests), Seconds: time.Since(begin).Seconds(),
+			FreshGateways: fresh, Positions: len(positions), Digests: len(digests), Seconds: time.Since(begin).Seconds(),
 		}
 		progress.print("%d gateways are fresh, at %d positions with %d digests", fresh, len(positions), len(digests))
 		if fresh == report.Gateways && len(positions) == 1 {
@@ -225,9 +225,9 @@
 	for _, result := range results {
 		mergeSnapshot(staleness, result.Staleness)
 		mergeSnapshot(catchUp, result.CatchUp)
-		r.Claims += result.Claims
-		r.Violated += result.Violated
-		r.Violations = append(r.Violations, result.Violation...)
+		r.CheckedClaims += result.CheckedClaims
+		r.ViolationCount += result.ViolationCount
+		r.Violations = append(r.Violations, result.Violations...)
 	}
 	r.Violations = r.Violations[:min(len(r.Violations), maxViolations)]
 	r.Staleness, r.CatchUp = summarize(staleness), summarize(catchUp)
@@ -263,7 +263,7 @@
 func recordEverywhere(into *hdrhistogram.Histogram, change AckedChange, results []Results) {
 	slowest := time.Duration(0)
 	for _, result := range results {
-		slowest = max(slowest, result.Everyone[change.Key].Slowest)
+		slowest = max(slowest, result.Reach[change.Key].Slowest)
 	}
 	recordDuration(into, slowest)
 }
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -85,8 +85,8 @@
 	defer cancel()
 	const gateways, duration = 100, 6 * time.Second
 	report, err := Run(ctx, Options{
-		Gateways: gateways, Sites: 20, Voters: FullVoters, Stores: 560, Duration: duration, Seed: 1, Scenario: "voter-death",
-		Load: Load{Purges: 46, ChangesPerDay: 86400, Burst: 20, Revocations: 1, StoreInterval: 4 * time.Second},
+		Gateways: gateways, Sites: 20, Voters: FullVoters, Endpoints: 560, Duration: duration, Seed: 1, Scenario: "voter-death",
+		Load: Load{Purges: 46, ChangesPerDay: 86400, Burst: 20, Revocations: 1, EndpointListInterval: 4 * time.Second},
 		// On average one gateway restarts per second, in addition to the tenth of the scenario.
 		RestartsPerDay: 86400 * FullGateways / gateways, Progress: testLog{t},
 	})
@@ -108,9 +108,9 @@
 	if reached := purges.Fresh.Count + purges.Stale.Count + int64(purges.MissingStale); reached != int64(purges.Changes*gateways) {
 		t.Errorf("%d purges at %d gateways make %d observations", purges.Changes, gateways, reached)
 	}
-	if report.Traffic.Reconnects == 0 || report.Restarts == 0 || report.Retried == 0 || report.Claims == 0 {
+	if report.Traffic.Reconnects == 0 || report.Restarts == 0 || report.Retried == 0 || report.CheckedClaims == 0 {
 		t.Errorf("the faults had no visible effect: %d reconnects, %d restarts, %d attempts retried, %d claims checked",
-			report.Traffic.Reconnects, report.Restarts, report.Retried, report.Claims)
+			report.Traffic.Reconnects, report.Restarts, report.Retried, report.CheckedClaims)
 	}
 }
 
@@ -125,7 +125,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 			defer cancel()
 			report, err := Run(ctx, Options{
-				Gateways: gateways, Sites: 4, Voters: FullVoters, Stores: 35, Duration: duration, Seed: 2, Scenario: scenario,
+				Gateways: gateways, Sites: 4, Voters: FullVoters, Endpoints: 35, Duration: duration, Seed: 2, Scenario: scenario,
 				Load: Load{Purges: 46, ChangesPerDay: 86400, Burst: 10, Revocations: 1}, Progress: testLog{t},
 			})
 			if err != nil {
@@ -136,8 +136,8 @@
 					t.Errorf("%s: %v, limit %v", check.Name, check.Value, check.Limit)
 				}
 			}
-			if len(report.Violations) > 0 || report.Claims == 0 {
-				t.Errorf("%d claims checked, violations: %+v", report.Claims, report.Violations)
+			if len(report.Violations) > 0 || report.CheckedClaims == 0 {
+				t.Errorf("%d claims checked, violations: %+v", report.CheckedClaims, report.Violations)
 			}
 		})
 	}
@@ -191,7 +191,7 @@
 
 // An unknown scenario is rejected, with its name in the error.
 func TestUnknownScenario(t *testing.T) {
-	if _, err := Run(t.Context(), Options{Gateways: 1, Sites: 1, Voters: 1, Stores: 1, Duration: 1, Scenario: "flood"}); err == nil ||
+	if _, err := Run(t.Context(), Options{Gateways: 1, Sites: 1, Voters: 1, Endpoints: 1, Duration: 1, Scenario: "flood"}); err == nil ||
 		!strings.Contains(fmt.Sprint(err), "flood") {
 		t.Error(err)
 	}
--- a/scale/voter_worker.go
+++ b/scale/voter_worker.go
@@ -155,7 +155,7 @@
 
 // results returns the times from acknowledged to in force at the members of this process.
 func (w *voterWorker) results(acked []AckedChange) Results {
-	out := Results{Latencies: map[string]*Latencies{}, Everyone: map[uint64]ChangeReach{}}
+	out := Results{Latencies: map[string]*Latencies{}, Reach: map[uint64]ChangeReach{}}
 	tally := newLatencyTally()
 	for _, change := range acked {
 		var reach ChangeReach
@@ -169,7 +169,7 @@
 			recordDuration(tally.fresh, latency)
 			reach.Slowest = max(reach.Slowest, latency)
 		}
-		out.Everyone[change.Key] = reach
+		out.Reach[change.Key] = reach
 	}
 	out.Latencies[ClassChange] = tally.export()
 	return out
--- a/scale/voters.go
+++ b/scale/voters.go
@@ -47,21 +47,21 @@
 
 // VotersRun is the outcome of the run with one number of members.
 type VotersRun struct {
-	Members       int          `json:"members"`
-	Processes     int          `json:"processes"`
-	Seconds       float64      `json:"seconds"`
-	ElectedMS     float64      `json:"elected_ms"` // from the start to the first leader
-	Leaders       int          `json:"leaders"`    // observed changes of the leader, including the first leader
-	Acked         int          `json:"acknowledged"`
-	Failed        int          `json:"failed"`
-	PutsPerSecond float64      `json:"puts_per_s"`
-	Acknowledge   Distribution `json:"acknowledge"` // from proposed to acknowledged
-	InForce       Distribution `json:"in_force"`    // from acknowledged to in force at each member
-	Everywhere    Distribution `json:"everywhere"`
-	Missing       int          `json:"missing"`
-	MemberCPU     float64      `json:"member_cpu_percent"` // of a core, on average
-	MemberRSS     float64      `json:"member_rss_bytes"`
-	Stopped       string       `json:"stopped,omitempty"` // why the run failed; no further clusters are measured then
+	Members       int            `json:"members"`
+	Processes     int            `json:"processes"`
+	Seconds       float64        `json:"seconds"`
+	ElectedMS     float64        `json:"elected_ms"` // from the start to the first leader
+	Leaders       int            `json:"leaders"`    // observed changes of the leader, including the first leader
+	Acked         int            `json:"acknowledged"`
+	Failed        int            `json:"failed"`
+	PutsPerSecond float64        `json:"puts_per_s"`
+	Acknowledge   LatencySummary `json:"acknowledge"` // from proposed to acknowledged
+	InForce       LatencySummary `json:"in_force"`    // from acknowledged to in force at each member
+	Everywhere    LatencySummary `json:"everywhere"`
+	Missing       int            `json:"missing"`
+	MemberCPU     float64        `json:"member_cpu_percent"` // of a core, on average
+	MemberRSS     float64        `json:"member_rss_bytes"`
+	Stopped       string         `json:"stopped,omitempty"` // why the run failed; no further clusters are measured then
 }
 
 // RunVoters measures clusters in which all members vote, in the order of options.Counts, until one fails.
