--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -23,8 +23,8 @@
 
 // instance is a running decision module with the names of its load report values.
 type instance struct {
-	module *control.Controller
-	loads  simproto.Loads
+	module     *control.Controller
+	fieldOrder simproto.LoadFields
 }
 
 func run(in io.Reader, out io.Writer) error {
@@ -35,11 +35,11 @@
 		reply   simproto.Reply
 		actions []control.Action
 	)
-	loads := func(i uint32) simproto.Loads { return instances[i].loads }
+	fieldOrder := func(i uint32) simproto.LoadFields { return instances[i].fieldOrder }
 	handle := func(now time.Duration, rec simproto.Record) error {
 		switch {
 		case rec.Start != nil:
-			settings, order, err := simproto.Settings(rec.Start.Env)
+			settings, order, err := simproto.Settings(rec.Start.Settings)
 			if err != nil {
 				return fmt.Errorf("instance %d: %w", rec.Instance, err)
 			}
@@ -71,7 +71,7 @@
 			return err
 		}
 		reply.Reset()
-		if err := simproto.Decode(frame, loads, handle); err != nil {
+		if err := simproto.Decode(frame, fieldOrder, handle); err != nil {
 			return err
 		}
 		if _, err := w.Write(reply.Bytes()); err != nil {
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -9,8 +9,8 @@
 
 // Start is the event that starts an instance.
 type Start struct {
-	Seed uint64
-	Env  []byte // the settings as JSON, valid until the frame's buffer is reused
+	Seed     uint64
+	Settings []byte // the settings as JSON, valid until the frame's buffer is reused
 }
 
 // Record is one event for one instance. At most one of Start, Stop and Event is set: none for records that the decision
@@ -22,13 +22,13 @@
 	Event    control.Event
 }
 
-// Loads lists the names of the load report values of an instance, in the order in which they are sent.
-type Loads []string
+// LoadFields lists the names of the load report values of an instance, in the order in which they are sent.
+type LoadFields []string
 
 // Decode reads the records of a frame's content and calls fn for each with the frame's clock. Load report values are assigned
-// to fields in the order that loads returns for the record's instance.
-func Decode(frame []byte, loads func(uint32) Loads, fn func(now time.Duration, r Record) error) error {
-	d := &decoder{reader: reader{frame: frame}, loads: loads}
+// to fields in the order that fieldOrder returns for the record's instance.
+func Decode(frame []byte, fieldOrder func(uint32) LoadFields, fn func(now time.Duration, r Record) error) error {
+	d := &decoder{reader: reader{frame: frame}, fieldOrder: fieldOrder}
 	count := int(d.u32())
 	now := d.seconds()
 	if count < 0 || count > (len(frame)-headerBytes)/minRecordBytes {
@@ -51,7 +51,7 @@
 type decoder struct {
 	reader
 	recordNumber int
-	loads        func(instance uint32) Loads
+	fieldOrder   func(instance uint32) LoadFields
 }
 
 // end checks that no bytes are left, and returns the first problem with its position.
@@ -62,7 +62,7 @@
 	if d.problem == "" {
 		return nil
 	}
-	return &Error{Record: d.recordNumber, Offset: d.offset + lengthBytes, What: d.problem}
+	return &Error{Record: d.recordNumber, Offset: d.offset + lengthBytes, Problem: d.problem}
 }
 
 func (d *decoder) record() Record {
@@ -84,7 +84,7 @@
 func (d *decoder) start() *Start {
 	seed := d.u64()
 	size := int(d.u32())
-	return &Start{Seed: seed, Env: d.take(size)}
+	return &Start{Seed: seed, Settings: d.take(size)}
 }
 
 // skipPeerMessage skips a message of another instance, which the decision module does not use.
@@ -224,7 +224,7 @@
 // loadReport reads the values of a load report in the order that the instance's settings define. It returns nil if there are
 // none; values that are not reported are -1.
 func (d *decoder) loadReport(instance uint32) *control.LoadReport {
-	order := d.loads(instance)
+	order := d.fieldOrder(instance)
 	count := int(d.u8())
 	if count == 0 {
 		return nil
--- a/internal/simproto/deployments_test.go
+++ b/internal/simproto/deployments_test.go
@@ -68,7 +68,7 @@
 			wantIdempotency: control.IdempotentByKey,
 		},
 	} {
-		s, loads, err := Settings([]byte(f.json()))
+		s, fields, err := Settings([]byte(f.json()))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -87,7 +87,7 @@
 			"cache bypass":    s.CanBypassCaches == f.bypassesCaches,
 			"freshness":       c.FreshFor == seconds(f.freshFor),
 			"weights":         s.WeightsKnown == f.wantWeightsKnown,
-			"report fields":   slices.Equal(loads, f.reportFields),
+			"report fields":   slices.Equal(fields, f.reportFields),
 			"gateways":        slices.Equal(s.GatewaysByZone, f.gatewaysByZone),
 			"hubs":            slices.Equal(s.HubOfZone, f.hubOfZone),
 			"links":           slices.Equal(s.LinkKBps, f.linkKBps),
--- a/internal/simproto/doc.go
+++ b/internal/simproto/doc.go
@@ -52,7 +52,7 @@
 //	family-info.class-fresh (by class)         Class.FreshFor
 //	family-info.stale-for, .aged-worth         Class.MaxStaleness, Class.StaleValue
 //	family-info.goes-through (by class)        Class.Write
-//	report.fields                              [Loads]
+//	report.fields                              [LoadFields]
 //
 // Values of a load report, with fields of [control.LoadReport]:
 //
--- a/internal/simproto/frame.go
+++ b/internal/simproto/frame.go
@@ -18,14 +18,14 @@
 
 // Error reports where a frame is malformed.
 type Error struct {
-	Record int    // number of the record in its frame
-	Offset int    // in bytes from the start of the frame's length
-	What   string // the problem
+	Record  int    // number of the record in its frame
+	Offset  int    // in bytes from the start of the frame's length
+	Problem string // the problem
 }
 
 // Error returns the number of the record, the offset in bytes within the frame, and the problem.
 func (e *Error) Error() string {
-	return fmt.Sprintf("wire: record %d, byte %d of the frame: %s", e.Record, e.Offset, e.What)
+	return fmt.Sprintf("wire: record %d, byte %d of the frame: %s", e.Record, e.Offset, e.Problem)
 }
 
 // ReadFrame reads the content of one frame. It returns io.EOF if the input ends between two frames. buf is reused if it is
@@ -41,7 +41,7 @@
 		end := min(size, start+readStepBytes)
 		buf = grow(buf, end)
 		if _, err := io.ReadFull(r, buf[start:]); err != nil {
-			return nil, &Error{Offset: start + lengthBytes, What: fmt.Sprintf("input truncated inside a frame of %d bytes", size)}
+			return nil, &Error{Offset: start + lengthBytes, Problem: fmt.Sprintf("input truncated inside a frame of %d bytes", size)}
 		}
 	}
 	return buf, nil
@@ -51,14 +51,14 @@
 	var length [lengthBytes]byte
 	_, err := io.ReadFull(r, length[:])
 	if errors.Is(err, io.ErrUnexpectedEOF) {
-		return 0, &Error{What: "input truncated inside a frame's length"}
+		return 0, &Error{Problem: "input truncated inside a frame's length"}
 	}
 	if err != nil {
 		return 0, err
 	}
 	size := int(binary.BigEndian.Uint32(length[:]))
 	if size < headerBytes || size > MaxFrame {
-		return 0, &Error{What: fmt.Sprintf("invalid frame length %d", size)}
+		return 0, &Error{Problem: fmt.Sprintf("invalid frame length %d", size)}
 	}
 	return size, nil
 }
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -100,7 +100,7 @@
 
 // Settings parses the settings of an instance. It also returns the names of its load report values, in their order. Unknown
 // keys are ignored.
-func Settings(text []byte) (control.Settings, Loads, error) {
+func Settings(text []byte) (control.Settings, LoadFields, error) {
 	var file settingsFile
 	if err := json.Unmarshal(text, &file); err != nil {
 		return control.Settings{}, nil, fmt.Errorf("wire: settings: %w", err)
@@ -109,7 +109,7 @@
 	for i := range file.Classes {
 		s.Classes = append(s.Classes, file.class(i))
 	}
-	return s, Loads(file.LoadReports.Fields), nil
+	return s, LoadFields(file.LoadReports.Fields), nil
 }
 
 // settings converts all settings except the classes.
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -23,7 +23,7 @@
 	return b
 }
 
-func noLoads(uint32) Loads { return nil }
+func noLoadFields(uint32) LoadFields { return nil }
 
 // frame builds the content of a frame from a record count, a clock of 8.5 s and records, all hexadecimal.
 func frame(t testing.TB, count string, records ...string) []byte {
@@ -38,9 +38,9 @@
 )
 
 func TestDecodeRecords(t *testing.T) {
-	loads := func(uint32) Loads { return Loads{"inflight", "util", "new-value", "x1"} }
+	fieldOrder := func(uint32) LoadFields { return LoadFields{"inflight", "util", "new-value", "x1"} }
 	var got []control.Event
-	err := Decode(frame(t, "00000003", requestRecord, attemptResultRecord, endpointListRecord), loads,
+	err := Decode(frame(t, "00000003", requestRecord, attemptResultRecord, endpointListRecord), fieldOrder,
 		func(now time.Duration, r Record) error {
 			if now != 8500*time.Millisecond || r.Instance != 3 {
 				t.Errorf("clock %v, instance %d", now, r.Instance)
@@ -79,7 +79,7 @@
 		"clock is NaN":     unhex(t, "000000007ff8000000000001"),
 		"huge settings":    frame(t, "00000001", "01010000000300000000000000 01ffffffff"),
 	} {
-		err := Decode(b, noLoads, func(time.Duration, Record) error { return nil })
+		err := Decode(b, noLoadFields, func(time.Duration, Record) error { return nil })
 		var e *Error
 		if !errors.As(err, &e) {
 			t.Errorf("%s: error %v, want one with record and byte", name, err)
@@ -130,7 +130,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, loads, err := Settings([]byte(`{"az":3,"balancers":2,"not-known":[1],"quantum":0.002,"weights":"silent",
+	s, fields, err := Settings([]byte(`{"az":3,"balancers":2,"not-known":[1],"quantum":0.002,"weights":"silent",
 		"classes":[{"aim":0.4,"deadline":6,"repeat":"free","worth":2},{"deadline":1,"repeat":"guarded","group":"cell","key-ttl":2},
 		{"deadline":1,"repeat":"something new"}],"allowed":{"max-attempts":6,"parallel-tries":true},
 		"clients":{"marks-retry":true},"family-info":{"link-in-kb-per-s":[0,17871],"class-fresh":[0,5],"sideways":"any","says":"all","shield-kind":2},
@@ -148,8 +148,8 @@
 	if s.Classes[2].Idempotency != control.NonIdempotent {
 		t.Error("an unknown value of repeat must mean non-idempotent")
 	}
-	if s.PeerFillScope != control.PeerScopeAny || len(loads) != 1 {
-		t.Errorf("peer fill scope %v, load report fields %v", s.PeerFillScope, loads)
+	if s.PeerFillScope != control.PeerScopeAny || len(fields) != 1 {
+		t.Errorf("peer fill scope %v, load report fields %v", s.PeerFillScope, fields)
 	}
 	if _, _, err := Settings([]byte(`{"az":`)); err == nil {
 		t.Error("malformed settings were accepted")
@@ -161,10 +161,10 @@
 	f.Add(frame(f, "00000001", "0105000000030000000000000001"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		n := 0
-		err := Decode(b, noLoads, func(_ time.Duration, r Record) error {
+		err := Decode(b, noLoadFields, func(_ time.Duration, r Record) error {
 			n++
 			if r.Start != nil {
-				Settings(r.Start.Env)
+				Settings(r.Start.Settings)
 			}
 			return nil
 		})
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -30,8 +30,8 @@
 }
 
 // decodeAll returns all records of a frame; order names the load report values.
-func decodeAll(frame []byte, order Loads) (records []Record, err error) {
-	err = Decode(frame, func(uint32) Loads { return order }, func(_ time.Duration, r Record) error {
+func decodeAll(frame []byte, order LoadFields) (records []Record, err error) {
+	err = Decode(frame, func(uint32) LoadFields { return order }, func(_ time.Duration, r Record) error {
 		records = append(records, r)
 		return nil
 	})
@@ -61,7 +61,7 @@
 
 // recordCases cover all kinds of records.
 var recordCases = []recordCase{
-	{"start", 257, []any{uint64(5), uint32(2), []byte("{}")}, Record{Start: &Start{Seed: 5, Env: []byte("{}")}}},
+	{"start", 257, []any{uint64(5), uint32(2), []byte("{}")}, Record{Start: &Start{Seed: 5, Settings: []byte("{}")}}},
 	{"stop", 265, nil, Record{Stop: true}},
 	{"timer", 261, []any{uint64(9)}, Record{Event: control.TimerFired{Token: 9}}},
 	{"client gone", 259, []any{uint64(9)}, Record{Event: control.ClientGone{ID: 9}}},
@@ -99,7 +99,7 @@
 	for _, c := range recordCases {
 		t.Run(c.name, func(t *testing.T) {
 			record := encode(t, append([]any{c.code, uint32(3)}, c.fields...)...)
-			got, err := decodeAll(batch(t, 8.5, record), Loads{"inflight", "util", "x0", "x1", "unknown"})
+			got, err := decodeAll(batch(t, 8.5, record), LoadFields{"inflight", "util", "x0", "x1", "unknown"})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -261,7 +261,7 @@
 	check := func(t *testing.T, text string) {
 		t.Helper()
 		got, order, err := Settings([]byte(text))
-		if err != nil || !reflect.DeepEqual(got, want) || !reflect.DeepEqual(order, Loads{"inflight", "x0"}) {
+		if err != nil || !reflect.DeepEqual(got, want) || !reflect.DeepEqual(order, LoadFields{"inflight", "x0"}) {
 			t.Errorf("%v, order %v\ngot  %+v\nwant %+v", err, order, got, want)
 		}
 	}
