--- a/capacity/fleet_size_test.go
+++ b/capacity/fleet_size_test.go
@@ -87,18 +87,18 @@
 	pool := resp.New(poolOptions(), func(core.Event) {})
 	rest := resp.New(poolOptions(), func(core.Event) {})
 	endpoints := map[uint32]httpstore.Endpoint{}
-	httpStores := httpstore.New(httpstore.Options{Endpoints: endpoints, Clock: clock.System(), Log: zerolog.Nop()}, func(core.Event) {})
-	mux := &mux.Upstream{Primary: httpStores, Fallback: rest}
+	httpUpstream := httpstore.New(httpstore.Options{Endpoints: endpoints, Clock: clock.System(), Log: zerolog.Nop()}, func(core.Event) {})
+	mux := &mux.Upstream{Primary: httpUpstream, Fallback: rest}
 	g := newGateway(b, settings(900, 900), zerolog.Nop())
 	b.Cleanup(func() {
 		pool.Close()
 		rest.Close()
-		httpStores.Close()
+		httpUpstream.Close()
 	})
 	return map[string]func(core.EndpointList){
 		"core": func(s core.EndpointList) { g.core.Handle(s) },
 		"resp": pool.UpdateEndpoints,
-		"web":  httpStores.UpdateEndpoints,
+		"web":  httpUpstream.UpdateEndpoints,
 		"mux":  mux.UpdateEndpoints,
 	}
 }
--- a/capacity/start_test.go
+++ b/capacity/start_test.go
@@ -70,7 +70,7 @@
 // TestNodeConfig checks that the configuration used by BenchmarkStart is read completely.
 func TestNodeConfig(t *testing.T) {
 	node, err := config.Load(writeNodeConfig(t, 100), func(string) string { return "" })
-	if err != nil || len(node.Known) != 1 || node.Settings.Gateways != capacity.Planned.Gateways {
+	if err != nil || len(node.KnownEvents) != 1 || node.Settings.Gateways != capacity.Planned.Gateways {
 		t.Errorf("%+v, %v", node, err)
 	}
 }
--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -50,9 +50,9 @@
 		return core.Endpoint{Addr: addr, Info: info}
 	}
 	want := Node{
-		Name: "g", Listen: "127.0.0.1:9000", Console: "127.0.0.1:8444", Seed: 7, Cores: 2, MemoryMB: 192, Sockets: 1024,
-		Classes: []string{"firmware", "ride-end", "once"}, MaxOpen: 77, DialTimeout: 300, IdleClose: 20000, Streams: 100,
-		Known: []core.Event{core.EndpointList{Snapshot: true, Endpoints: []core.Endpoint{
+		Name: "g", Listen: "127.0.0.1:9000", AdminAddr: "127.0.0.1:8444", Seed: 7, Cores: 2, MemoryMB: 192, Sockets: 1024,
+		Classes: []string{"firmware", "ride-end", "once"}, MaxOpen: 77, DialTimeoutMs: 300, IdleTimeoutMs: 20000, StreamsPerConn: 100,
+		KnownEvents: []core.Event{core.EndpointList{Snapshot: true, Endpoints: []core.Endpoint{
 			endpoint("127.0.0.1:5051", control.Endpoint{ID: 1, Zone: 1, Kind: 0, Weight: 12}),
 			endpoint("127.0.0.1:5060", control.Endpoint{ID: 10, Zone: 0, Kind: 1, Weight: 10}),
 			endpoint("", control.Endpoint{ID: 20, Zone: 0, Kind: 2, Weight: 10}),
@@ -82,7 +82,7 @@
 	}
 	o := parseOperator(t, operatorText)
 	checkEqual(t, o.Node(7), want)
-	checkEqual(t, o.HTTPStores(), map[uint32]httpstore.Endpoint{20: {
+	checkEqual(t, o.HTTPEndpoints(), map[uint32]httpstore.Endpoint{20: {
 		Base:   "http://127.0.0.1:9000/rides",
 		Signer: &httpstore.Signer{AccessKey: "gateway", SecretKey: "s", Region: "kz-1", Service: "s3"},
 	}})
@@ -97,8 +97,8 @@
 // Keys that an operator's file leaves out take the expected defaults.
 func TestMinimalOperatorNode(t *testing.T) {
 	want := Node{
-		Seed: 7, Classes: []string{"a"}, DialTimeout: 400, IdleClose: 15000, Streams: 100,
-		Known: []core.Event{core.EndpointList{Snapshot: true, Endpoints: []core.Endpoint{{
+		Seed: 7, Classes: []string{"a"}, DialTimeoutMs: 400, IdleTimeoutMs: 15000, StreamsPerConn: 100,
+		KnownEvents: []core.Event{core.EndpointList{Snapshot: true, Endpoints: []core.Endpoint{{
 			Addr: "127.0.0.1:2", Info: control.Endpoint{ID: 1, Kind: 2, Weight: 10, State: control.Ready},
 		}}}},
 		Settings: control.Settings{
@@ -145,9 +145,9 @@
 		t.Fatal(err)
 	}
 	checkEqual(t, got, Node{
-		Name: "n3", Listen: "127.0.0.1:5050", Console: "127.0.0.1:5051", Seed: 0x8c1f30d27a5be964, Cores: 1.5, MemoryMB: 192,
-		Sockets: 1024, Flow: 1000, Changelog: "127.0.0.1:2379", Seq: 3, Classes: []string{"firmware", "pay"}, MaxOpen: 20000,
-		DialTimeout: 300, IdleClose: 15000, Streams: 7,
+		Name: "n3", Listen: "127.0.0.1:5050", AdminAddr: "127.0.0.1:5051", Seed: 0x8c1f30d27a5be964, Cores: 1.5, MemoryMB: 192,
+		Sockets: 1024, ClientBytesPerSecond: 1000, DiscoveryAddr: "127.0.0.1:2379", KnownSeq: 3, Classes: []string{"firmware", "pay"}, MaxOpen: 20000,
+		DialTimeoutMs: 300, IdleTimeoutMs: 15000, StreamsPerConn: 7,
 		Settings: control.Settings{
 			Kinds: 3, ParentKind: -1, OriginKind: 2, WeightsKnown: true, MaxAttempts: 8,
 			Classes: []control.Class{
@@ -191,7 +191,7 @@
 	}
 	getenv := func(key string) string { return env[key] }
 	n, err := Load(path, getenv)
-	if err != nil || n.Name != "n4" || n.Listen != "127.0.0.1:6050" || n.Console != "127.0.0.1:6051" || n.SocketFD != 3 {
+	if err != nil || n.Name != "n4" || n.Listen != "127.0.0.1:6050" || n.AdminAddr != "127.0.0.1:6051" || n.SocketFD != 3 {
 		t.Errorf("%+v, %v", n, err)
 	}
 	for _, c := range []struct{ name, path, key, value, want string }{
--- a/config/stores.go
+++ b/config/endpoints.go
@@ -7,8 +7,8 @@
 	"turnfork.dev/turnfork/upstream/httpstore"
 )
 
-// Store is an endpoint: a cache, a parent or the origin.
-type Store struct {
+// Endpoint is an endpoint: a cache, a parent or the origin.
+type Endpoint struct {
 	ID     uint32  `toml:"id"`
 	Kind   string  `toml:"kind"` // cache, parent or origin
 	Addr   string  `toml:"addr"` // of a RESP endpoint
@@ -21,7 +21,7 @@
 type NamedSigner struct {
 	Name string `toml:"name"`
 	httpstore.Signer
-	SecretFile string `toml:"secret_key_file"`
+	SecretKeyFile string `toml:"secret_key_file"`
 }
 
 // Kinds of endpoints in the file.
@@ -38,7 +38,7 @@
 	for i := range o.Signers {
 		s := &o.Signers[i]
 		section := fmt.Sprintf("signer[%d].", i)
-		if err := o.readSecret(section+"secret_key", &s.SecretKey, s.SecretFile); err != nil {
+		if err := o.readSecret(section+"secret_key", &s.SecretKey, s.SecretKeyFile); err != nil {
 			return err
 		}
 		if s.Name == "" || s.AccessKey == "" || s.SecretKey == "" || s.Region == "" || s.Service == "" {
@@ -49,12 +49,12 @@
 }
 
 func (o *Operator) checkStores() error {
-	if len(o.Stores) == 0 {
+	if len(o.Endpoints) == 0 {
 		return errors.New("store: none given")
 	}
 	var rules []rule
 	usedIDs := map[uint32]bool{}
-	for i, s := range o.Stores {
+	for i, s := range o.Endpoints {
 		section := fmt.Sprintf("store[%d].", i)
 		_, knownKind := kindNumbers[s.Kind]
 		validID := s.ID != 0 && !usedIDs[s.ID]
@@ -71,7 +71,7 @@
 }
 
 // addressRule requires exactly one address, in the form of the endpoint's protocol.
-func (s Store) addressRule(section string) rule {
+func (s Endpoint) addressRule(section string) rule {
 	switch {
 	case (s.Addr == "") == (s.Base == ""):
 		return rule{section + "addr", errors.New("exactly one of addr and base is required")}
@@ -93,18 +93,18 @@
 	return nil
 }
 
-// HTTPStores returns the HTTP endpoints by ID.
-func (o *Operator) HTTPStores() map[uint32]httpstore.Endpoint {
-	stores := map[uint32]httpstore.Endpoint{}
-	for _, s := range o.Stores {
+// HTTPEndpoints returns the HTTP endpoints by ID.
+func (o *Operator) HTTPEndpoints() map[uint32]httpstore.Endpoint {
+	endpoints := map[uint32]httpstore.Endpoint{}
+	for _, s := range o.Endpoints {
 		if s.Base == "" {
 			continue
 		}
-		store := httpstore.Endpoint{Base: s.Base}
+		endpoint := httpstore.Endpoint{Base: s.Base}
 		if s.Signer != "" {
-			store.Signer = o.signer(s.Signer)
+			endpoint.Signer = o.signer(s.Signer)
 		}
-		stores[s.ID] = store
+		endpoints[s.ID] = endpoint
 	}
-	return stores
+	return endpoints
 }
--- a/config/node.go
+++ b/config/node.go
@@ -12,24 +12,24 @@
 
 // Node is the configuration of one gateway.
 type Node struct {
-	Name        string
-	Listen      string // address of the platform's frontend
-	Console     string // address of the admin API; "": none
-	SocketFD    int    // inherited descriptor of a listening socket, used instead of Listen; 0: none
-	Seed        uint64
-	Cores       float64
-	MemoryMB    int
-	Sockets     int
-	Flow        float64      // maximum rate to one client in bytes per second; 0: unknown
-	Changelog   string       // address of the discovery service; "": none
-	Seq         uint64       // of the last event in Known
-	Known       []core.Event // discovery events known at the start
-	Settings    control.Settings
-	Classes     []string // names, in the order of Settings.Classes
-	MaxOpen     int
-	DialTimeout float64 // ms
-	IdleClose   float64 // ms
-	Streams     int     // concurrent requests on one connection
+	Name                 string
+	Listen               string // address of the platform's frontend
+	AdminAddr            string // address of the admin API; "": none
+	SocketFD             int    // inherited descriptor of a listening socket, used instead of Listen; 0: none
+	Seed                 uint64
+	Cores                float64
+	MemoryMB             int
+	Sockets              int
+	ClientBytesPerSecond float64      // maximum rate to one client in bytes per second; 0: unknown
+	DiscoveryAddr        string       // address of the discovery service; "": none
+	KnownSeq             uint64       // of the last event in KnownEvents
+	KnownEvents          []core.Event // discovery events known at the start
+	Settings             control.Settings
+	Classes              []string // names, in the order of Settings.Classes
+	MaxOpen              int
+	DialTimeoutMs        float64
+	IdleTimeoutMs        float64
+	StreamsPerConn       int // concurrent requests on one connection
 }
 
 // maxFileSize bounds a configuration file and each file that it names, in bytes.
@@ -53,7 +53,7 @@
 		if err := address(console); err != nil {
 			return Node{}, fmt.Errorf("config: NODE_CONSOLE: %w", err)
 		}
-		n.Console = console
+		n.AdminAddr = console
 	}
 	n.SocketFD, err = SocketFD(getenv)
 	if err != nil {
--- a/config/node_test.go
+++ b/config/node_test.go
@@ -17,8 +17,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n.Name != "n9" || n.Listen != "127.0.0.1:5050" || n.Seed != 0x8c1f30d27a5be964 || n.DialTimeout != 400 ||
-		n.IdleClose != 15000 || n.Seq != 3 || n.MemoryMB != 192 || len(n.Classes) != 1 {
+	if n.Name != "n9" || n.Listen != "127.0.0.1:5050" || n.Seed != 0x8c1f30d27a5be964 || n.DialTimeoutMs != 400 ||
+		n.IdleTimeoutMs != 15000 || n.KnownSeq != 3 || n.MemoryMB != 192 || len(n.Classes) != 1 {
 		t.Errorf("%+v", n)
 	}
 	for change, field := range map[string]string{
--- a/config/operator.go
+++ b/config/operator.go
@@ -25,7 +25,7 @@
 	Limits             MachineLimits `toml:"limits"`
 	Module             Module        `toml:"module"`
 	Classes            []Class       `toml:"class"`
-	Stores             []Store       `toml:"store"`
+	Endpoints          []Endpoint    `toml:"store"`
 	Signers            []NamedSigner `toml:"signer"`
 	Keys               []KeyEntry    `toml:"key"`
 	Replica            Replica       `toml:"replica"`
--- a/config/operator_node.go
+++ b/config/operator_node.go
@@ -77,19 +77,19 @@
 // Node converts the operator's file to the configuration of a node.
 func (o *Operator) Node(seed uint64) Node {
 	n := Node{
-		Name:        o.Name,
-		Listen:      o.FastCGI,
-		Console:     o.Console,
-		Seed:        seed,
-		Cores:       o.Limits.Cores,
-		MemoryMB:    o.Limits.MemoryMB,
-		Sockets:     o.Limits.Sockets,
-		Known:       []core.Event{o.endpointList()},
-		Settings:    o.settings(seed),
-		MaxOpen:     o.Module.MaxOpen,
-		DialTimeout: positiveOr(o.Module.DialTimeoutMs, defaultDialTimeoutMs),
-		IdleClose:   positiveOr(o.Module.IdleTimeoutS, defaultIdleTimeoutS) * 1000,
-		Streams:     defaultStreamsPerConn,
+		Name:           o.Name,
+		Listen:         o.FastCGI,
+		AdminAddr:      o.Console,
+		Seed:           seed,
+		Cores:          o.Limits.Cores,
+		MemoryMB:       o.Limits.MemoryMB,
+		Sockets:        o.Limits.Sockets,
+		KnownEvents:    []core.Event{o.endpointList()},
+		Settings:       o.settings(seed),
+		MaxOpen:        o.Module.MaxOpen,
+		DialTimeoutMs:  positiveOr(o.Module.DialTimeoutMs, defaultDialTimeoutMs),
+		IdleTimeoutMs:  positiveOr(o.Module.IdleTimeoutS, defaultIdleTimeoutS) * 1000,
+		StreamsPerConn: defaultStreamsPerConn,
 	}
 	for _, c := range o.Classes {
 		n.Classes = append(n.Classes, c.Name)
@@ -101,13 +101,13 @@
 // endpointList returns the configured endpoints in the form of a list from discovery.
 func (o *Operator) endpointList() core.EndpointList {
 	list := core.EndpointList{Snapshot: true}
-	for _, s := range o.Stores {
+	for _, s := range o.Endpoints {
 		list.Endpoints = append(list.Endpoints, core.Endpoint{Addr: s.Addr, Info: s.endpoint()})
 	}
 	return list
 }
 
-func (s Store) endpoint() control.Endpoint {
+func (s Endpoint) endpoint() control.Endpoint {
 	zone := hubZone
 	if s.Kind == cacheKind {
 		zone = localZone
@@ -160,7 +160,7 @@
 
 // parentKindNumber returns the kind of the parents; -1 if the site has none.
 func (o *Operator) parentKindNumber() int {
-	for _, s := range o.Stores {
+	for _, s := range o.Endpoints {
 		if s.Kind == parentKind {
 			return kindNumbers[parentKind]
 		}
--- a/config/operator_test.go
+++ b/config/operator_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	n := o.Node(1)
-	if len(o.HTTPStores()) != 1 || o.HTTPStores()[20].Signer == nil || len(n.Classes) != 3 || !n.Settings.Classes[2].Write {
+	if len(o.HTTPEndpoints()) != 1 || o.HTTPEndpoints()[20].Signer == nil || len(n.Classes) != 3 || !n.Settings.Classes[2].Write {
 		t.Errorf("%+v", n)
 	}
 	for change, field := range map[string]string{
@@ -80,7 +80,7 @@
 	dir := t.TempDir()
 	writeSecrets(t, dir)
 	o, err := ParseOperator(string(text), dir)
-	if err != nil || !o.Replica.Subscribe || len(o.Replica.Members) != 5 {
+	if err != nil || !o.Replica.Subscriber || len(o.Replica.Members) != 5 {
 		t.Fatalf("%v, %+v", err, o)
 	}
 	voters := string(text)[strings.Index(string(text), "[[replica.member]]"):]
--- a/config/platform.go
+++ b/config/platform.go
@@ -77,7 +77,7 @@
 	}
 	connections.apply(&n)
 	names := discovery.SettingNames{Zones: connections.Zones, Kinds: connections.Kinds}
-	n.Seq, n.Known, err = discovery.ParseKnown(file.KnownEvents, names)
+	n.KnownSeq, n.KnownEvents, err = discovery.ParseKnown(file.KnownEvents, names)
 	if err != nil {
 		return Node{}, err
 	}
@@ -102,15 +102,15 @@
 func (f platformFile) node() Node {
 	seed, _ := parseSeed(f.Seed) // validated by check
 	return Node{
-		Name:      f.Name,
-		Listen:    f.Listen,
-		Console:   f.AdminListen,
-		Seed:      seed,
-		Cores:     f.Limits.Cores,
-		MemoryMB:  f.Limits.MemoryMB,
-		Sockets:   f.Limits.Sockets,
-		Flow:      f.FlowBytesPerSecond,
-		Changelog: f.DiscoveryAddr,
+		Name:                 f.Name,
+		Listen:               f.Listen,
+		AdminAddr:            f.AdminListen,
+		Seed:                 seed,
+		Cores:                f.Limits.Cores,
+		MemoryMB:             f.Limits.MemoryMB,
+		Sockets:              f.Limits.Sockets,
+		ClientBytesPerSecond: f.FlowBytesPerSecond,
+		DiscoveryAddr:        f.DiscoveryAddr,
 	}
 }
 
@@ -161,7 +161,7 @@
 		n.Classes = append(n.Classes, class.Name)
 	}
 	n.MaxOpen = c.Allowed.MaxOpen
-	n.Streams = positiveOr(c.Allowed.Streams, defaultStreamsPerConn)
-	n.DialTimeout = positiveOr(c.Allowed.DialTimeoutS*1000, defaultDialTimeoutMs)
-	n.IdleClose = c.Allowed.IdleTimeoutS * 1000
+	n.StreamsPerConn = positiveOr(c.Allowed.Streams, defaultStreamsPerConn)
+	n.DialTimeoutMs = positiveOr(c.Allowed.DialTimeoutS*1000, defaultDialTimeoutMs)
+	n.IdleTimeoutMs = c.Allowed.IdleTimeoutS * 1000
 }
--- a/gateway.go
+++ b/gateway.go
@@ -78,8 +78,8 @@
 		Interface("settings", gw.node.Settings).
 		Strs("classes", gw.node.Classes).
 		Int("sockets", gw.node.Sockets).
-		Float64("dial_timeout_ms", gw.node.DialTimeout).
-		Float64("idle_close_ms", gw.node.IdleClose).
+		Float64("dial_timeout_ms", gw.node.DialTimeoutMs).
+		Float64("idle_close_ms", gw.node.IdleTimeoutMs).
 		Msg("settings loaded")
 }
 
@@ -128,7 +128,7 @@
 		Seed:                 gw.node.Seed,
 		MaxOpen:              gw.node.MaxOpen,
 		Clock:                gw.Clock,
-		ClientBytesPerSecond: gw.node.Flow,
+		ClientBytesPerSecond: gw.node.ClientBytesPerSecond,
 		Log:                  gw.Log,
 		MaxCopyAge:           gw.plane.CopyAgeBound(),
 	}
@@ -141,10 +141,10 @@
 // openPool opens the pool of connections to RESP endpoints.
 func (gw *gateway) openPool(post func(core.Event)) {
 	gw.pool = resp.New(resp.Options{
-		DialTimeout:         gw.node.DialTimeout,
-		IdleClose:           gw.node.IdleClose,
+		DialTimeout:         gw.node.DialTimeoutMs,
+		IdleClose:           gw.node.IdleTimeoutMs,
 		HealthCheckTimeout:  healthCheckTimeout,
-		MaxAttemptsPerConn:  gw.node.Streams,
+		MaxAttemptsPerConn:  gw.node.StreamsPerConn,
 		MaxConns:            gw.limits.upstream,
 		MaxRequestDuration:  clock.Ms(longestDeadline(gw.node)),
 		DisableHealthChecks: !gw.node.Settings.CanCheckHealth,
@@ -158,9 +158,9 @@
 // openHTTPEndpoints opens the upstream for HTTP endpoints.
 func (gw *gateway) openHTTPEndpoints(post func(core.Event)) *httpstore.Upstream {
 	httpUpstream := httpstore.New(httpstore.Options{
-		Endpoints:   gw.Operator.HTTPStores(),
-		DialTimeout: gw.node.DialTimeout,
-		IdleClose:   gw.node.IdleClose,
+		Endpoints:   gw.Operator.HTTPEndpoints(),
+		DialTimeout: gw.node.DialTimeoutMs,
+		IdleClose:   gw.node.IdleTimeoutMs,
 		MaxConns:    connsPerHTTPEndpoint,
 		Clock:       gw.Clock,
 		Log:         gw.Log,
@@ -179,13 +179,13 @@
 	gw.registry = openRegistry(gw.SharedDir, gw.files, gw.node, suffix, gw.Log)
 	gw.addCloser(func() { gw.registry.Close() })
 	gw.admin = newAdminState(gw.core, gw.registry, gw.Log)
-	if gw.node.Changelog != "" {
+	if gw.node.DiscoveryAddr != "" {
 		gw.admin.markNotReady(endpointsUnsynced)
 	}
 	if err := gw.admin.loadOverrides(); err != nil { // before any request is sent
 		return err
 	}
-	for _, event := range gw.node.Known {
+	for _, event := range gw.node.KnownEvents {
 		gw.core.Handle(event) // nothing else runs yet
 	}
 	return nil
@@ -226,10 +226,10 @@
 
 // openAdminAPI listens for admin calls if an address is configured.
 func (gw *gateway) openAdminAPI(ctx context.Context) (err error) {
-	if gw.node.Console == "" {
+	if gw.node.AdminAddr == "" {
 		return nil
 	}
-	gw.adminListener, err = (&net.ListenConfig{}).Listen(ctx, "tcp", gw.node.Console)
+	gw.adminListener, err = (&net.ListenConfig{}).Listen(ctx, "tcp", gw.node.AdminAddr)
 	if err != nil {
 		return fmt.Errorf("console: %w", err)
 	}
@@ -248,7 +248,7 @@
 		group.Go(func() error { return gw.server.Serve(ctx, gw.adminListener) })
 	}
 	group.Go(func() error { return gw.core.Run(ctx) })
-	if gw.node.Changelog != "" {
+	if gw.node.DiscoveryAddr != "" {
 		watcher := gw.newWatcher(ctx)
 		group.Go(func() error { return watcher.Run(ctx) })
 	}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -48,11 +48,11 @@
 }
 
 // subscribes tells whether the gateway has a copy of the state without a vote.
-func (p *Plane) subscribes() bool { return p.operator != nil && p.operator.Replica.Subscribe }
+func (p *Plane) subscribes() bool { return p.operator != nil && p.operator.Replica.Subscriber }
 
 // votes tells whether the gateway is one of several members.
 func (p *Plane) votes() bool {
-	return p.operator != nil && !p.operator.Replica.Subscribe && len(p.operator.Replica.Members) > 0
+	return p.operator != nil && !p.operator.Replica.Subscriber && len(p.operator.Replica.Members) > 0
 }
 
 // CopyAgeBound gives the core's bound on copies' age; nil where there is never one, as changes come from nowhere else.
@@ -119,7 +119,7 @@
 	}
 	opt := p.storeOptions()
 	opt.ID, opt.Members, opt.Listener, opt.TLS, opt.Dir = r.ID, r.Members, listener, certificates, p.operator.Path(r.Dir)
-	opt.Join = r.Join
+	opt.Join = r.Joining
 	opt.OwnLease, opt.FreshnessChanged = true, p.freshnessChanged
 	opt.OpenLogs = p.OpenLogs
 	p.store, err = replica.Open(opt)
--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("hollow: keys: %w", err)
 	}
-	for _, event := range node.Known {
+	for _, event := range node.KnownEvents {
 		gatewayCore.Handle(event) // called directly, as the core is not running yet
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/production_test.go
+++ b/production_test.go
@@ -360,11 +360,11 @@
 	for range 8 {
 		next := newFakeDiscovery(t)
 		next.events = slices.Clone(former.events)
-		node.Changelog = next.addr
+		node.DiscoveryAddr = next.addr
 		r.reloads <- node
 		r.reloads <- node // reloaded unchanged
 		missing := node
-		missing.Changelog = ""
+		missing.DiscoveryAddr = ""
 		r.reloads <- missing // rejected: the previous configuration stays in effect
 		r.discovery = next
 	}
--- a/reload.go
+++ b/reload.go
@@ -27,28 +27,28 @@
 func (gw *gateway) reload(ctx context.Context, node config.Node) {
 	SetRuntimeLimits(node.Cores, node.MemoryMB)
 	switch {
-	case gw.node.Changelog == "":
-		for _, event := range node.Known {
+	case gw.node.DiscoveryAddr == "":
+		for _, event := range node.KnownEvents {
 			gw.core.Post(event)
 		}
-	case node.Changelog == "":
+	case node.DiscoveryAddr == "":
 		gw.Log.Error().Str("field", "changelog").Str("reason", "missing").Msg("reload rejected")
 		return
 	default:
 		select {
-		case gw.addressChanges <- discovery.AddressChange{Addr: node.Changelog}:
+		case gw.addressChanges <- discovery.AddressChange{Addr: node.DiscoveryAddr}:
 		case <-ctx.Done():
 			return
 		}
 	}
-	gw.Log.Info().Str("changelog", node.Changelog).Msg("configuration reloaded")
+	gw.Log.Info().Str("changelog", node.DiscoveryAddr).Msg("configuration reloaded")
 }
 
 // newWatcher creates the watcher of the endpoint list. Once the watcher has caught up for the first time, the gateway is marked
 // as ready in this respect.
 func (gw *gateway) newWatcher(ctx context.Context) *discovery.Watcher {
 	watcher := &discovery.Watcher{
-		Addr: gw.node.Changelog, Seq: gw.node.Seq, AddressChanges: gw.addressChanges, Post: gw.core.Post, Log: gw.Log,
+		Addr: gw.node.DiscoveryAddr, Seq: gw.node.KnownSeq, AddressChanges: gw.addressChanges, Post: gw.core.Post, Log: gw.Log,
 	}
 	var once sync.Once
 	watcher.OnSynced = func() { once.Do(func() { gw.awaitEndpoints(ctx) }) }
--- a/storage_test.go
+++ b/storage_test.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	node.Console = "127.0.0.1:0"
+	node.AdminAddr = "127.0.0.1:0"
 	ctx, stop := context.WithCancel(context.Background())
 	ready, ended := make(chan Addrs, 1), make(chan error, 1)
 	go func() {
