--- a/distribution/admission.go
+++ b/distribution/admission.go
@@ -8,7 +8,7 @@
 // The admissions.
 const (
 	AdmitResume   Admission = "resume"   // changes follow from its position on
-	AdmitSnapshot Admission = "snapshot" // it needs a snapshot first, which counts for Limits.Snapshots until SnapshotSent
+	AdmitSnapshot Admission = "snapshot" // it needs a snapshot first, which counts for Limits.ConcurrentSnapshots until SnapshotSent
 	AdmitReject   Admission = "refuse"   // it has to retry, at this voter or another one
 )
 
@@ -17,9 +17,9 @@
 
 // The reasons.
 const (
-	RejectFull   Rejection = "full"   // Limits.Subscribers is reached
-	RejectBusy   Rejection = "busy"   // Limits.Snapshots is reached
-	RejectBehind Rejection = "behind" // this voter has not applied the subscriber's position yet
+	RejectFull    Rejection = "full"   // Limits.Subscribers is reached
+	RejectBusy    Rejection = "busy"   // Limits.ConcurrentSnapshots is reached
+	RejectLagging Rejection = "behind" // this voter has not applied the subscriber's position yet
 )
 
 // Decision is the response to a subscription.
@@ -31,7 +31,7 @@
 }
 
 // Minimum Retry-After of rejections; the actual one is between the minimum and twice the minimum. A subscriber rejected as
-// RejectBehind retries after one to two heartbeat intervals, when a further confirmation round has ended.
+// RejectLagging retries after one to two heartbeat intervals, when a further confirmation round has ended.
 const (
 	fullRetryAfter = 5 * time.Second
 	busyRetryAfter = time.Second
@@ -39,17 +39,17 @@
 
 // admission is the state that decisions on subscribers depend on, besides the journal.
 type admission struct {
-	behindRetryAfter time.Duration
-	rejections       uint64
-	ahead            aheadPositions
+	laggingRetryAfter time.Duration
+	rejections        uint64
+	ahead             aheadPositions
 }
 
 func newAdmission(subscribers int, heartbeatInterval time.Duration) admission {
-	return admission{behindRetryAfter: heartbeatInterval, ahead: newAheadPositions(subscribers)}
+	return admission{laggingRetryAfter: heartbeatInterval, ahead: newAheadPositions(subscribers)}
 }
 
 // Subscribe decides on a subscriber whose copy is at a position. confirmed is the newest revision known to be confirmed by a
-// majority (0: none). A subscriber ahead of Last is rejected as RejectBehind until a confirmation shows that its position is
+// majority (0: none). A subscriber ahead of Last is rejected as RejectLagging until a confirmation shows that its position is
 // not in this history, and is then sent a snapshot.
 //
 // A confirmation proves this if its round began after the position was first received here and its revision is lower: the
@@ -67,10 +67,10 @@
 		if !p.divergenceShown(at, confirmed) {
 			p.admission.ahead.add(at, p.confirmations.begun)
 			p.confirmations.request()
-			return p.reject(RejectBehind, p.admission.behindRetryAfter)
+			return p.reject(RejectLagging, p.admission.laggingRetryAfter)
 		}
 	}
-	if p.snapshotsInProgress >= p.limits.Snapshots {
+	if p.snapshotsInProgress >= p.limits.ConcurrentSnapshots {
 		return p.reject(RejectBusy, busyRetryAfter)
 	}
 	p.snapshotsInProgress++
--- a/distribution/checker_test.go
+++ b/distribution/checker_test.go
@@ -168,7 +168,7 @@
 // checkRejection checks that a voter stops rejecting a position as ahead of its own state once confirmed rounds have proved
 // that the majority does not have the position.
 func (c *checker) checkRejection(v *voter, at Position, why Rejection) {
-	if why != RejectBehind {
+	if why != RejectLagging {
 		return
 	}
 	before, again := v.rejectedAhead[at]
@@ -281,7 +281,7 @@
 		c.reportViolation("%s exceeds its journal limits: %d changes of %d bytes", v.name, j.changes, j.bytes)
 	}
 	subscribers, snapshots := v.publisher.Subscribers()
-	if subscribers > simLimits.Subscribers || snapshots > simLimits.Snapshots || snapshots < 0 || subscribers > len(v.connections) {
+	if subscribers > simLimits.Subscribers || snapshots > simLimits.ConcurrentSnapshots || snapshots < 0 || subscribers > len(v.connections) {
 		c.reportViolation("%s has %d subscribers and %d snapshots in progress", v.name, subscribers, snapshots)
 	}
 	if len(v.publisher.admission.ahead.roundsBefore) > simLimits.Subscribers {
--- a/distribution/limits.go
+++ b/distribution/limits.go
@@ -2,11 +2,11 @@
 
 // Limits bounds a Publisher. Its zero fields take the defaults.
 type Limits struct {
-	JournalChanges int // changes in the journal, for subscribers that resume
-	JournalBytes   int // their size; the bytes cached by Batch.Encoded take about as much again
-	Subscribers    int
-	Snapshots      int // being sent at the same time
-	BatchBytes     int // of one batch; a larger change is a batch of its own
+	JournalChanges      int // changes in the journal, for subscribers that resume
+	JournalBytes        int // their size; the bytes cached by Batch.Encoded take about as much again
+	Subscribers         int
+	ConcurrentSnapshots int // being sent at the same time
+	BatchBytes          int // of one batch; a larger change is a batch of its own
 }
 
 // Defaults of Limits.
@@ -30,7 +30,7 @@
 	defaultIfZero(&l.JournalChanges, DefaultJournalChanges)
 	defaultIfZero(&l.JournalBytes, DefaultJournalBytes)
 	defaultIfZero(&l.Subscribers, DefaultSubscribers)
-	defaultIfZero(&l.Snapshots, DefaultSnapshots)
+	defaultIfZero(&l.ConcurrentSnapshots, DefaultSnapshots)
 	defaultIfZero(&l.BatchBytes, DefaultBatchBytes)
 	return l
 }
--- a/distribution/publisher.go
+++ b/distribution/publisher.go
@@ -144,7 +144,7 @@
 // BeginConfirmation begins a confirmation round, whose success covers the heartbeats recorded before.
 func (p *Publisher) BeginConfirmation() Confirmation { return p.confirmations.begin() }
 
-// NeedsConfirmation reports whether a heartbeat, or a subscriber rejected as RejectBehind, needs a round that has not begun.
+// NeedsConfirmation reports whether a heartbeat, or a subscriber rejected as RejectLagging, needs a round that has not begun.
 func (p *Publisher) NeedsConfirmation() bool { return p.confirmations.requested }
 
 // Confirm records the success of a round: every change that was acknowledged, or delivered by any voter, before the round
--- a/distribution/publisher_fuzz_test.go
+++ b/distribution/publisher_fuzz_test.go
@@ -18,7 +18,7 @@
 
 // fuzzLimits are small, so that inputs reach them.
 var fuzzLimits = Limits{
-	JournalChanges: 64, JournalBytes: 64 * 2 * changeOverhead, Subscribers: 5, Snapshots: 2, BatchBytes: 8 * changeOverhead,
+	JournalChanges: 64, JournalBytes: 64 * 2 * changeOverhead, Subscribers: 5, ConcurrentSnapshots: 2, BatchBytes: 8 * changeOverhead,
 }
 
 func FuzzPublisher(f *testing.F) {
@@ -170,8 +170,8 @@
 	case RejectFull:
 		valid = len(m.connections) == fuzzLimits.Subscribers
 	case RejectBusy:
-		valid = snapshots == fuzzLimits.Snapshots
-	case RejectBehind:
+		valid = snapshots == fuzzLimits.ConcurrentSnapshots
+	case RejectLagging:
 		valid = at.Revision > m.last().Revision
 	}
 	if !valid || d.RetryAfter <= 0 {
@@ -335,7 +335,7 @@
 		m.t.Fatalf("the journal exceeds its limits: %d changes of %d bytes", j.changes, j.bytes)
 	}
 	subscribers, snapshots := m.publisher.Subscribers()
-	if subscribers != len(m.connections) || snapshots != m.snapshots() || snapshots > fuzzLimits.Snapshots {
+	if subscribers != len(m.connections) || snapshots != m.snapshots() || snapshots > fuzzLimits.ConcurrentSnapshots {
 		m.t.Fatalf("%d subscribers, %d snapshots", subscribers, snapshots)
 	}
 	if m.publisher.Last() != m.last() {
--- a/distribution/publisher_test.go
+++ b/distribution/publisher_test.go
@@ -138,7 +138,7 @@
 	{
 		name:   "limits of subscribers and snapshots",
 		at:     "10",
-		limits: Limits{Subscribers: 3, Snapshots: 1},
+		limits: Limits{Subscribers: 3, ConcurrentSnapshots: 1},
 		script: `
 			subscribe a 1 => snapshot
 			subscribe b 1 => refuse busy
--- a/distribution/sim_gateway_test.go
+++ b/distribution/sim_gateway_test.go
@@ -80,7 +80,7 @@
 		g.heartbeat()
 	}
 	if g.sim.chance(0.01) {
-		g.view.Forget(g.sim.clock())
+		g.view.DropExpired(g.sim.clock())
 	}
 }
 
--- a/distribution/sim_test.go
+++ b/distribution/sim_test.go
@@ -31,7 +31,7 @@
 )
 
 // simLimits are small, so that simulations reach them.
-var simLimits = Limits{JournalChanges: 48, Subscribers: 7, Snapshots: 2, BatchBytes: 8 * changeOverhead}
+var simLimits = Limits{JournalChanges: 48, Subscribers: 7, ConcurrentSnapshots: 2, BatchBytes: 8 * changeOverhead}
 
 // simEpoch is the start of a simulation by the clock of the voters.
 var simEpoch = time.Unix(1_700_000_000, 0)
--- a/distribution/sim_voter_test.go
+++ b/distribution/sim_voter_test.go
@@ -22,7 +22,7 @@
 	memberLease *MemberLease // nil: none
 
 	confirmedRounds int              // since it was started
-	rejectedAhead   map[Position]int // positions rejected as RejectBehind, each with confirmedRounds at the first rejection
+	rejectedAhead   map[Position]int // positions rejected as RejectLagging, each with confirmedRounds at the first rejection
 
 	down              bool
 	isolated          bool          // partitioned from the other voters, not from gateways
--- a/distribution/view.go
+++ b/distribution/view.go
@@ -174,7 +174,7 @@
 	}
 	v.restoreRevocations(s.Revocations)
 	v.restoreConfig(s.Config)
-	v.Forget(now)
+	v.DropExpired(now)
 }
 
 // mayMissPurges reports whether there may be purges that neither the view nor a snapshot has.
@@ -243,9 +243,9 @@
 	return revoked
 }
 
-// Forget drops expired revocations and purges. A revocation expires revocationRetention after its end, by the clock, if it has
-// also ended by the times in the log; a purge expires DefaultPurgeRetention after its time.
-func (v *View) Forget(now time.Time) {
+// DropExpired drops expired revocations and purges. A revocation expires revocationRetention after its end, by the clock, if it
+// has also ended by the times in the log; a purge expires DefaultPurgeRetention after its time.
+func (v *View) DropExpired(now time.Time) {
 	revokedSince := now.Add(-revocationRetention).UnixMilli()
 	for name, until := range v.revocations {
 		// Digest covers the revocation until the log has a change of a later time.
--- a/distribution/view_test.go
+++ b/distribution/view_test.go
@@ -48,14 +48,14 @@
 
 func batch(after Position, changes ...Change) *Batch { return &Batch{After: after, Changes: changes} }
 
-// viewStep is one operation on a View (apply, restore or, if neither is set, forget) and its expected results.
+// viewStep is one operation on a View (apply, restore or, if neither is set, DropExpired) and its expected results.
 type viewStep struct {
-	apply   *Batch
-	restore *Snapshot
-	forget  time.Duration // after viewNowMs
-	err     string        // of apply
-	calls   []string
-	at      Position
+	apply       *Batch
+	restore     *Snapshot
+	dropExpired time.Duration // after viewNowMs
+	err         string        // of apply
+	calls       []string
+	at          Position
 }
 
 func TestView(t *testing.T) {
@@ -179,8 +179,8 @@
 					calls: []string{"purge 1/7 at -2000", "purge 2/7 at 10"},
 					at:    at(5, 1),
 				},
-				{forget: DefaultPurgeRetention, at: at(5, 1)},
-				{forget: revocationRetention + time.Second, at: at(5, 1)},
+				{dropExpired: DefaultPurgeRetention, at: at(5, 1)},
+				{dropExpired: revocationRetention + time.Second, at: at(5, 1)},
 			},
 			revoked:     []string{"y"},
 			notRevoked:  []string{"x", "z"},
@@ -240,7 +240,7 @@
 	case s.restore != nil:
 		v.Restore(s.restore, time.UnixMilli(viewNowMs))
 	default:
-		v.Forget(time.UnixMilli(viewNowMs).Add(s.forget))
+		v.DropExpired(time.UnixMilli(viewNowMs).Add(s.dropExpired))
 	}
 	return ""
 }
@@ -276,7 +276,7 @@
 		t.Error("a view restored from a snapshot has a different digest than one that applied the changes")
 	}
 	expired := apply(base...)
-	expired.Forget(time.UnixMilli(viewNowMs).Add(24 * time.Hour))
+	expired.DropExpired(time.UnixMilli(viewNowMs).Add(24 * time.Hour))
 	if expired.Digest() != want {
 		t.Error("the digest depends on the expired entries that were dropped")
 	}
--- a/replica/subscriber.go
+++ b/replica/subscriber.go
@@ -250,7 +250,7 @@
 		return
 	}
 	s.lastDropAt = now
-	s.view.Forget(s.steadyTime())
+	s.view.DropExpired(s.steadyTime())
 }
 
 // steadyTime returns the time by which revocations and purges expire: Unix time as of the start, advanced by the monotonic clock.
--- a/replica/subscriber_faults_test.go
+++ b/replica/subscriber_faults_test.go
@@ -358,7 +358,7 @@
 func TestManySubscribersReconnectAtOnce(t *testing.T) {
 	const all, back, transfers = 200, 20, 2
 	// The default timing, as a busy machine serves this number of subscribers slowly under the race detector.
-	c := newCluster(t, 3, distribution.Limits{JournalChanges: 64, Snapshots: transfers}, func(_ int, opt *Options) {
+	c := newCluster(t, 3, distribution.Limits{JournalChanges: 64, ConcurrentSnapshots: transfers}, func(_ int, opt *Options) {
 		opt.Timing, opt.HeartbeatTimeout = distribution.Timing{}, 2*time.Second
 	})
 	c.put("large", strings.Repeat("x", 256<<10))
--- a/replica/watch_server.go
+++ b/replica/watch_server.go
@@ -75,9 +75,9 @@
 	}
 	deadline := time.NewTimer(2 * w.timing.HeartbeatInterval)
 	defer deadline.Stop()
-	for decision.Rejection == distribution.RejectBehind {
+	for decision.Rejection == distribution.RejectLagging {
 		wake := w.feed.wakeChannel()
-		if decision, _ = w.feed.subscribe(at); decision.Rejection != distribution.RejectBehind {
+		if decision, _ = w.feed.subscribe(at); decision.Rejection != distribution.RejectLagging {
 			break
 		}
 		select {
