--- a/token/dialect.go
+++ b/token/dialect.go
@@ -32,16 +32,16 @@
 type FoundToken struct {
 	Text   string
 	Params []string // names of the query parameters that belong to the token
-	Source TokenSource
+	Source Source
 	Name   string // name of the header
 }
 
-// TokenSource is the part of a request that carries a token.
-type TokenSource uint8
+// Source is the part of a request that carries a token.
+type Source uint8
 
 // The token sources, in the order in which they are searched.
 const (
-	InQuery TokenSource = iota
+	InQuery Source = iota
 	InHeader
 	InCookie
 )
