--- a/capacity/fleet_size_test.go
+++ b/capacity/fleet_size_test.go
@@ -86,25 +86,25 @@
 func listConsumers(b *testing.B) map[string]func(core.EndpointList) {
 	pool := resp.New(poolOptions(), func(core.Event) {})
 	rest := resp.New(poolOptions(), func(core.Event) {})
-	endpoints := map[uint32]httpstore.Store{}
-	httpStores := httpstore.New(httpstore.Options{Stores: endpoints, Clock: clock.System(), Log: zerolog.Nop()}, func(core.Event) {})
-	mux := &mux.Upstream{Primary: httpStores, Fallback: rest}
+	endpoints := map[uint32]httpstore.Endpoint{}
+	httpUpstream := httpstore.New(httpstore.Options{Endpoints: endpoints, Clock: clock.System(), Log: zerolog.Nop()}, func(core.Event) {})
+	mux := &mux.Upstream{Primary: httpUpstream, Fallback: rest}
 	g := newGateway(b, settings(900, 900), zerolog.Nop())
 	b.Cleanup(func() {
 		pool.Close()
 		rest.Close()
-		httpStores.Close()
+		httpUpstream.Close()
 	})
 	return map[string]func(core.EndpointList){
 		"core": func(s core.EndpointList) { g.core.Handle(s) },
 		"resp": pool.UpdateEndpoints,
-		"web":  httpStores.UpdateEndpoints,
+		"web":  httpUpstream.UpdateEndpoints,
 		"mux":  mux.UpdateEndpoints,
 	}
 }
 
 func poolOptions() resp.Options {
-	return resp.Options{DialTimeout: 400, ProbeTimeout: 240, Streams: 100, MaxConns: 393, Clock: clock.System(), Log: zerolog.Nop()}
+	return resp.Options{DialTimeout: 400, HealthCheckTimeout: 240, MaxAttemptsPerConn: 100, MaxConns: 393, Clock: clock.System(), Log: zerolog.Nop()}
 }
 
 // measureDecoding measures reading the frames that encode the events, and reports their size.
@@ -210,7 +210,7 @@
 		}
 		g.serve(object, gap)
 		for _, s := range g.ports.sent {
-			asked[s.To] = true
+			asked[s.Endpoint] = true
 		}
 	}
 	return before, len(asked), g.ports.probes
--- a/capacity/gateway_test.go
+++ b/capacity/gateway_test.go
@@ -29,7 +29,7 @@
 )
 
 // endpointCounts are lengths of the list of endpoints: the current one, two in between, and the planned one.
-var endpointCounts = []int{35, 100, 300, capacity.Planned.Stores}
+var endpointCounts = []int{35, 100, 300, capacity.Planned.Endpoints}
 
 // ports replaces the frontend and the endpoints. It records the attempts sent; the benchmarks deliver their results.
 type ports struct {
@@ -56,7 +56,7 @@
 	return control.Settings{
 		Gateways: gateways, GatewaysByZone: byZone, HubOfZone: hubs, Kinds: 3, ParentKind: parentKind, OriginKind: originKind,
 		BatchInterval: 2 * time.Millisecond, ClientKBps: clientKBps, WeightsKnown: true, MaxAttempts: 8, CanCancel: true, CanCheckHealth: true,
-		CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, AnswersDetailed: true, PurgeCompletion: purgeCompletion,
+		CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, ResultsDetailed: true, PurgeCompletion: purgeCompletion,
 		SlowStartShare: 0.25, SlowStartDuration: slowStartDuration, CollapseMultiple: 2, CollapseWindow: time.Second,
 		ParentSlowStartShare: 0.25, ParentSlowStartDuration: slowStartDuration, ParentCollapseMultiple: 2,
 		Classes: []control.Class{{LatencyObjective: 600 * time.Millisecond, Deadline: 5 * time.Second, PriorityWeight: 1}},
@@ -104,7 +104,7 @@
 	g.lastID++
 	g.ports.sent = g.ports.sent[:0]
 	g.core.Handle(core.Request{
-		Frontend: g.ports, RequestTag: g.lastID, Txn: fmt.Sprintf("%016x", g.lastID), Class: "part", Object: object, Name: "7f3a9c21e0b4d655",
+		Frontend: g.ports, RequestTag: g.lastID, Txn: fmt.Sprintf("%016x", g.lastID), Class: "part", Object: object, ObjectName: "7f3a9c21e0b4d655",
 		SizeKB: partKB, ReceivedAt: g.clock.Now(), Remaining: 5000,
 	})
 	for _, s := range g.ports.sent {
@@ -115,7 +115,7 @@
 
 // requestGap returns the mean time between the requests of a gateway at the planned peak, in ms.
 func requestGap() float64 {
-	return 1000 / capacity.Planned.Mean(capacity.Planned.Gateways).RequestsPerSecond
+	return 1000 / capacity.Planned.MeanLoad(capacity.Planned.Gateways).RequestsPerSecond
 }
 
 // BenchmarkRequest measures the decisions on one request, without sockets, by the length of the list of endpoints. Objects are
@@ -184,7 +184,7 @@
 	for _, group := range []bool{false, true} {
 		b.Run(fmt.Sprintf("group=%v", group), func(b *testing.B) {
 			g := newGateway(b, settings(121, 3400), zerolog.Nop())
-			g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: endpointList(capacity.Planned.Stores)})
+			g.core.Handle(core.EndpointList{Snapshot: true, Endpoints: endpointList(capacity.Planned.Endpoints)})
 			object := uint64(1)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/capacity/voters_test.go
+++ b/capacity/voters_test.go
@@ -79,7 +79,7 @@
 	tb.Helper()
 	g := &group{tb: tb, stores: make([]*replica.Store, voters), ownLease: ownLease}
 	var err error
-	if g.certificate, err = fakestore.Authority(); err != nil {
+	if g.certificate, err = fakestore.NewAuthority(); err != nil {
 		tb.Fatal(err)
 	}
 	var listeners []net.Listener
@@ -136,7 +136,7 @@
 	}
 }
 
-// useToken records the complete use of a single-use token in its three steps (hold, send, settle), each a log entry.
+// useToken records the complete use of a single-use token in its three steps (hold, send, finish), each a log entry.
 func useToken(s *replica.Store) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
@@ -144,7 +144,7 @@
 	until := float64(time.Now().UnixMilli()) + 70000
 	for _, step := range []claims.Step{
 		{Op: claims.Hold, Owner: owner, Until: until}, {Op: claims.Send, Owner: owner},
-		{Op: claims.Settle, Owner: owner, To: claims.Ran, Outcome: "served 64 bytes"},
+		{Op: claims.Finish, Owner: owner, To: claims.Ran, Outcome: "served 64 bytes"},
 	} {
 		if _, ok, err := s.Step(ctx, name, step); err != nil || !ok {
 			return fmt.Errorf("%s: %v, %w", step.Op, ok, err)
@@ -385,7 +385,7 @@
 // listenTLS returns a listener and the TLS configurations of both sides, as package replica sets them.
 func listenTLS(b *testing.B) (l net.Listener, server, client *tls.Config) {
 	b.Helper()
-	certificate, err := fakestore.Authority()
+	certificate, err := fakestore.NewAuthority()
 	if err == nil {
 		server, err = certificate()
 	}
--- a/claims_test.go
+++ b/claims_test.go
@@ -29,7 +29,7 @@
 	members   []replica.Member
 	dirs      []string
 	stores    [3]*replica.Store
-	frontends [3]*signed.Front
+	frontends [3]*signed.Frontend
 	clock     *clock.Clock
 	keys      *ring.Ring
 	cert      func() (*tls.Config, error)
@@ -119,7 +119,7 @@
 	// Each member has its own address, so that no outgoing connection from 127.0.0.1 takes its port while it is down.
 	n := byte(groupCount.Add(1))
 	at := func(i int) net.IP { return net.IPv4(127, 77, n, byte(i+1)) }
-	if c.cert, err = fakestore.Authority(at(0), at(1), at(2)); err != nil {
+	if c.cert, err = fakestore.NewAuthority(at(0), at(1), at(2)); err != nil {
 		t.Fatal(err)
 	}
 	listeners := make([]net.Listener, 3)
@@ -171,18 +171,18 @@
 	c.frontends[i] = c.newFrontend(faultyMember{c.stores[i], c}, deadline, 20000)
 }
 
-// newFrontend returns a frontend that claims tokens at a member. A claim may take up to claimMost ms.
-func (c *gatewayGroup) newFrontend(member signed.Claims, deadline, claimMost float64) *signed.Front {
+// newFrontend returns a frontend that claims tokens at a member. A claim may take up to claimTimeout ms.
+func (c *gatewayGroup) newFrontend(member signed.Claims, deadline, claimTimeout float64) *signed.Frontend {
 	return signed.New(signed.Options{
-		Post: answeringCore(&c.runs), Clock: c.clock, Log: zerolog.Nop(), Ring: c.keys, Claims: member, Leeway: 10000,
-		Classes: []signed.Class{{Name: "ride-end", Deadline: deadline, Write: true}}, ClaimMost: claimMost,
+		Post: answeringCore(&c.runs), Clock: c.clock, Log: zerolog.Nop(), Ring: c.keys, Claims: member, MaxClockSkew: 10000,
+		Classes: []signed.Class{{Name: "ride-end", Deadline: deadline, Write: true}}, ClaimTimeout: claimTimeout,
 	})
 }
 
 // url returns a signed URL of a ride-end request.
 func (c *gatewayGroup) url(nonce string) string {
 	c.Helper()
-	u, err := c.keys.Issue("url", token.Terms{URI: rideEnd, Until: c.clock.Unix()/1000 + 600, ID: nonce})
+	u, err := c.keys.Issue("url", token.Terms{URI: rideEnd, Expires: c.clock.Unix()/1000 + 600, ID: nonce})
 	if err != nil {
 		c.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 }
 
 // endRide sends a ride-end request to a frontend over a pipe, and returns the status and the reported state of the claim.
-func (c *gatewayGroup) endRide(f *signed.Front, url string) (int, string) {
+func (c *gatewayGroup) endRide(f *signed.Frontend, url string) (int, string) {
 	c.Helper()
 	client, server := net.Pipe()
 	go f.Handle(server)
@@ -207,7 +207,7 @@
 // turn. The client must get one correct final response, the request must run at most once, and all members must report the same
 // state once the killed member is back.
 func TestLeaderKilledAtEachStep(t *testing.T) {
-	for _, op := range []claims.Op{claims.Hold, claims.Send, claims.Settle} {
+	for _, op := range []claims.Op{claims.Hold, claims.Send, claims.Finish} {
 		for _, after := range []bool{false, true} {
 			for _, atLeader := range []bool{false, true} { // at the leader's own gateway, or at another
 				t.Run(fmt.Sprintf("%s after=%v own=%v", op, after, atLeader), func(t *testing.T) {
@@ -251,7 +251,7 @@
 							}
 						}
 						// If the gateway's own member died before the outcome was committed, the claim stays in the state "sent".
-						if (sendOutcomeLost || ownMemberKilled && op == claims.Settle && !after) && claimCounts["sent"] == 3 || time.Now().After(waitUntil) {
+						if (sendOutcomeLost || ownMemberKilled && op == claims.Finish && !after) && claimCounts["sent"] == 3 || time.Now().After(waitUntil) {
 							break
 						}
 					}
--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -50,9 +50,9 @@
 		return core.Endpoint{Addr: addr, Info: info}
 	}
 	want := Node{
-		Name: "g", Listen: "127.0.0.1:9000", Console: "127.0.0.1:8444", Seed: 7, Cores: 2, MemoryMB: 192, Sockets: 1024,
-		Classes: []string{"firmware", "ride-end", "once"}, MaxOpen: 77, DialTimeout: 300, IdleClose: 20000, Streams: 100,
-		Known: []core.Event{core.EndpointList{Snapshot: true, Endpoints: []core.Endpoint{
+		Name: "g", Listen: "127.0.0.1:9000", AdminAddr: "127.0.0.1:8444", Seed: 7, Cores: 2, MemoryMB: 192, Sockets: 1024,
+		Classes: []string{"firmware", "ride-end", "once"}, MaxOpen: 77, DialTimeoutMs: 300, IdleTimeoutMs: 20000, StreamsPerConn: 100,
+		KnownEvents: []core.Event{core.EndpointList{Snapshot: true, Endpoints: []core.Endpoint{
 			endpoint("127.0.0.1:5051", control.Endpoint{ID: 1, Zone: 1, Kind: 0, Weight: 12}),
 			endpoint("127.0.0.1:5060", control.Endpoint{ID: 10, Zone: 0, Kind: 1, Weight: 10}),
 			endpoint("", control.Endpoint{ID: 20, Zone: 0, Kind: 2, Weight: 10}),
@@ -60,7 +60,7 @@
 		Settings: control.Settings{
 			Gateway: 1, Gateways: 3, Zone: 1, GatewaysByZone: []int{0, 3}, HubOfZone: []int{0, 0}, Kinds: 3, ParentKind: 1, OriginKind: 2,
 			BatchInterval: 2 * time.Millisecond, ClientKBps: 3400, WeightsKnown: true, MaxAttempts: 6, CanCancel: true,
-			CanRetryAfter: true, MaxRetryAfter: 700 * time.Millisecond, CanBypassCaches: true, AnswersDetailed: true,
+			CanRetryAfter: true, MaxRetryAfter: 700 * time.Millisecond, CanBypassCaches: true, ResultsDetailed: true,
 			DrainGrace: 250 * time.Millisecond, SlowStartShare: 0.2, SlowStartDuration: 16 * time.Second, CollapseMultiple: 3,
 			CollapseWindow: 2 * time.Second, ParentSlowStartShare: 0.2, ParentSlowStartDuration: 16 * time.Second,
 			ParentCollapseMultiple: 2, PurgeGrace: time.Second, PurgeCompletion: 7 * time.Second,
@@ -82,29 +82,29 @@
 	}
 	o := parseOperator(t, operatorText)
 	checkEqual(t, o.Node(7), want)
-	checkEqual(t, o.HTTPStores(), map[uint32]httpstore.Store{20: {
+	checkEqual(t, o.HTTPEndpoints(), map[uint32]httpstore.Endpoint{20: {
 		Base:   "http://127.0.0.1:9000/rides",
 		Signer: &httpstore.Signer{AccessKey: "gateway", SecretKey: "s", Region: "kz-1", Service: "s3"},
 	}})
 	checkEqual(t, o.Limit.Options(), limits.Options{
 		Grant: limits.Limit{
-			Requests: limits.Rate{PerSecond: 20, Burst: 40}, Bytes: limits.Rate{PerSecond: 7000}, AtOnce: 3,
+			Requests: limits.Rate{PerSecond: 20, Burst: 40}, Bytes: limits.Rate{PerSecond: 7000}, MaxInFlight: 3,
 		},
-		Client: limits.Limit{Bytes: limits.Rate{PerSecond: 20_000_000}, AtOnce: 200},
+		Client: limits.Limit{Bytes: limits.Rate{PerSecond: 20_000_000}, MaxInFlight: 200},
 	})
 }
 
 // Keys that an operator's file leaves out take the expected defaults.
 func TestMinimalOperatorNode(t *testing.T) {
 	want := Node{
-		Seed: 7, Classes: []string{"a"}, DialTimeout: 400, IdleClose: 15000, Streams: 100,
-		Known: []core.Event{core.EndpointList{Snapshot: true, Endpoints: []core.Endpoint{{
+		Seed: 7, Classes: []string{"a"}, DialTimeoutMs: 400, IdleTimeoutMs: 15000, StreamsPerConn: 100,
+		KnownEvents: []core.Event{core.EndpointList{Snapshot: true, Endpoints: []core.Endpoint{{
 			Addr: "127.0.0.1:2", Info: control.Endpoint{ID: 1, Kind: 2, Weight: 10, State: control.Ready},
 		}}}},
 		Settings: control.Settings{
 			Gateways: 1, Zone: 1, GatewaysByZone: []int{0, 1}, HubOfZone: []int{0, 0}, Kinds: 3, ParentKind: -1, OriginKind: 2,
 			BatchInterval: 2 * time.Millisecond, WeightsKnown: true, MaxAttempts: 8, CanCancel: true, CanCheckHealth: true,
-			CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, AnswersDetailed: true,
+			CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, ResultsDetailed: true,
 			DrainGrace: 250 * time.Millisecond, CollapseMultiple: 4, CollapseWindow: time.Second, ParentCollapseMultiple: 2,
 			PurgeGrace: time.Second, PurgeCompletion: 6 * time.Second,
 			Classes: []control.Class{{LatencyObjective: 250 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
@@ -145,9 +145,9 @@
 		t.Fatal(err)
 	}
 	checkEqual(t, got, Node{
-		Name: "n3", Listen: "127.0.0.1:5050", Console: "127.0.0.1:5051", Seed: 0x8c1f30d27a5be964, Cores: 1.5, MemoryMB: 192,
-		Sockets: 1024, Flow: 1000, Changelog: "127.0.0.1:2379", Seq: 3, Classes: []string{"firmware", "pay"}, MaxOpen: 20000,
-		DialTimeout: 300, IdleClose: 15000, Streams: 7,
+		Name: "n3", Listen: "127.0.0.1:5050", AdminAddr: "127.0.0.1:5051", Seed: 0x8c1f30d27a5be964, Cores: 1.5, MemoryMB: 192,
+		Sockets: 1024, ClientBytesPerSecond: 1000, DiscoveryAddr: "127.0.0.1:2379", KnownSeq: 3, Classes: []string{"firmware", "pay"}, MaxOpen: 20000,
+		DialTimeoutMs: 300, IdleTimeoutMs: 15000, StreamsPerConn: 7,
 		Settings: control.Settings{
 			Kinds: 3, ParentKind: -1, OriginKind: 2, WeightsKnown: true, MaxAttempts: 8,
 			Classes: []control.Class{
@@ -191,7 +191,7 @@
 	}
 	getenv := func(key string) string { return env[key] }
 	n, err := Load(path, getenv)
-	if err != nil || n.Name != "n4" || n.Listen != "127.0.0.1:6050" || n.Console != "127.0.0.1:6051" || n.SocketFD != 3 {
+	if err != nil || n.Name != "n4" || n.Listen != "127.0.0.1:6050" || n.AdminAddr != "127.0.0.1:6051" || n.SocketFD != 3 {
 		t.Errorf("%+v, %v", n, err)
 	}
 	for _, c := range []struct{ name, path, key, value, want string }{
--- a/core/rig_test.go
+++ b/core/rig_test.go
@@ -28,7 +28,7 @@
 	clock *clock.Clock
 	list  core.EndpointList // of the endpoints
 
-	endpoints       *fakestore.SlowStore
+	endpoints       *fakestore.SlowServer
 	allowConcurrent bool // concurrent attempts of a request are an error only at the same endpoint
 
 	mu      sync.Mutex
@@ -48,9 +48,9 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{T: t, clock: clock.Manual(1e12), answers: map[uint64][]core.Answer{}, list: core.EndpointList{Snapshot: true}}
 	var err error
-	r.endpoints, err = fakestore.NewSlowStore(5, func(c fakestore.Call, n int) fakestore.Behavior {
+	r.endpoints, err = fakestore.NewSlowServer(5, func(c fakestore.Command, n int) fakestore.Behavior {
 		if n > 0 {
-			return fakestore.Good
+			return fakestore.Succeed
 		}
 		return fakestore.Behavior(c.ID[0] - 'a')
 	})
@@ -63,7 +63,7 @@
 		Settings: control.Settings{
 			Gateways: 1, Zone: 1, GatewaysByZone: []int{0, 1}, HubOfZone: []int{0, 0}, Kinds: 3, ParentKind: 1, OriginKind: 2,
 			BatchInterval: 2 * time.Millisecond, ClientKBps: 1000, WeightsKnown: true, MaxAttempts: 8, CanCancel: true,
-			CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, AnswersDetailed: true, ClientsMarkRetries: true,
+			CanRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, CanBypassCaches: true, ResultsDetailed: true, ClientsMarkRetries: true,
 			Classes: []control.Class{
 				{LatencyObjective: 400 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 1},
 				{LatencyObjective: 700 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 3, Idempotency: control.IdempotentByKey, DedupWindow: dedupWindowMs * time.Millisecond, Write: true},
@@ -71,7 +71,7 @@
 		},
 	}
 	pool := resp.New(resp.Options{
-		DialTimeout: 5000, ProbeTimeout: 5000, Streams: 100, MaxConns: 40, Clock: r.clock, Log: zerolog.Nop(),
+		DialTimeout: 5000, HealthCheckTimeout: 5000, MaxAttemptsPerConn: 100, MaxConns: 40, Clock: r.clock, Log: zerolog.Nop(),
 	}, func(ev core.Event) { r.core.Post(ev) })
 	opt.MaxCopyAge = func() time.Duration { return time.Duration(r.maxCopyAge.Load()) }
 	if r.core, err = core.New(opt, pool); err != nil {
@@ -94,7 +94,7 @@
 func (r *rig) post(tag uint64, behavior fakestore.Behavior, part uint32) string {
 	txn := string(rune('a'+behavior)) + strings.Repeat("0", 15)
 	r.core.Post(core.Request{
-		Frontend: r, RequestTag: tag, Txn: txn, Class: "tile", Object: 7, Name: "0000000000000007", Part: part, SizeKB: 40,
+		Frontend: r, RequestTag: tag, Txn: txn, Class: "tile", Object: 7, ObjectName: "0000000000000007", Part: part, SizeKB: 40,
 		ReceivedAt: r.clock.Now(), Remaining: 2500,
 	})
 	return txn
@@ -111,7 +111,7 @@
 func (r *rig) waitFor(what string, ok func() bool) {
 	r.Helper()
 	for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
-		if r.endpoints.Twice() > 0 && !r.allowConcurrent || r.endpoints.TwiceAtOne() > 0 {
+		if r.endpoints.DuplicateGets() > 0 && !r.allowConcurrent || r.endpoints.DuplicateGetsAtSameEndpoint() > 0 {
 			r.Fatalf("a request had two concurrent attempts while waiting for: %s", what)
 		}
 		if time.Now().After(limit) {
@@ -156,7 +156,7 @@
 func (r *rig) postKeyed(behavior fakestore.Behavior, key string, remaining float64, retry bool) (txn string) {
 	txn = string(rune('a'+behavior)) + "mark"
 	r.core.Post(core.Request{
-		Frontend: r, RequestTag: 1, Txn: txn, Class: "mark", Object: 7, Name: "0000000000000007", SizeKB: 1, ReceivedAt: r.clock.Now(),
+		Frontend: r, RequestTag: 1, Txn: txn, Class: "mark", Object: 7, ObjectName: "0000000000000007", SizeKB: 1, ReceivedAt: r.clock.Now(),
 		Remaining: remaining, IdempotencyKey: key, Retry: retry,
 	})
 	return txn
--- a/front/signed/claim_test.go
+++ b/front/signed/claim_test.go
@@ -62,7 +62,7 @@
 	*testing.T
 	store     *claimStore
 	clock     *clock.Clock
-	frontends []*Front
+	frontends []*Frontend
 	addrs     []string
 	url       string
 	claimName string
@@ -79,7 +79,7 @@
 	}
 	clk := clock.Manual(1e12)
 	d := &gatewayPair{T: t, clock: clk, store: &claimStore{records: map[string]claims.Record{}, faults: map[claims.Op]string{}}, claimName: "k/n", submitted: make(chan core.Request, 16)}
-	got, err := keys.Issue("k", token.Terms{URI: "/v1/ride-end/00000000000000e1/0", Until: 1e9 + 600, ID: "n"})
+	got, err := keys.Issue("k", token.Terms{URI: "/v1/ride-end/00000000000000e1/0", Expires: 1e9 + 600, ID: "n"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 
 // waitIdle waits until the gateways have no open request and no pending step of a claim.
 func (d *gatewayPair) waitIdle() {
-	for limit := time.Now().Add(20 * time.Second); d.frontends[0].Open()+d.frontends[1].Open() > 0; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(20 * time.Second); d.frontends[0].OpenRequests()+d.frontends[1].OpenRequests() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			d.Fatal("requests or claim steps are still pending after 20 s")
 		}
@@ -150,7 +150,7 @@
 // request run at most once, and learns how it ended.
 func TestClaimRetriesRunAtMostOnce(t *testing.T) {
 	cases := 0
-	for _, op := range []claims.Op{"", claims.Hold, claims.Send, claims.Settle, claims.Release} {
+	for _, op := range []claims.Op{"", claims.Hold, claims.Send, claims.Finish, claims.Release} {
 		for _, when := range []string{"before", "after"} {
 			for name, answers := range map[string][]core.Answer{
 				"served": {served}, "rejected, then served": {rejected, served}, "failed": {failed}, "late": {timedOut}, "rejected twice": {rejected, rejected, served},
@@ -189,7 +189,7 @@
 					d.clock.Advance(6000)
 					code, claim, text = d.call(1) // a client that lost its response retries
 					stage := map[int]string{200: "ran", 502: "doubt", 504: "doubt"}[want]
-					if op == claims.Settle && when == "before" {
+					if op == claims.Finish && when == "before" {
 						stage = "sent" // the outcome was never recorded, as if the gateway had crashed
 					}
 					if code != 403 || claim != stage || !strings.Contains(text, "replayed") || d.runs != 1 {
@@ -205,7 +205,7 @@
 // A gateway that crashed leaves its claim in its last stage. Another request may take the token over only if the crashed gateway
 // had not sent its own.
 func TestClaimOfCrashedGateway(t *testing.T) {
-	for stage, want := range map[claims.Stage]int{claims.Held: 200, claims.Sent: 403, claims.Ran: 403, claims.Doubt: 403, "": 403} {
+	for stage, want := range map[claims.Stage]int{claims.Held: 200, claims.Sent: 403, claims.Ran: 403, claims.Unconfirmed: 403, "": 403} {
 		d := newGatewayPair(t)
 		d.answer = func() core.Answer { return served }
 		d.store.records[d.claimName] = claims.Record{Owner: "dead", Until: 2e12, Stage: stage}
--- a/front/signed/guard.go
+++ b/front/signed/guard.go
@@ -31,8 +31,8 @@
 
 // isForgery reports whether a rejection may be caused by a guessed token. An expired or a missing token is not guessed.
 func isForgery(err error) bool {
-	switch token.WhyOf(err) {
-	case token.BadSignature, token.BadKey, token.Malformed:
+	switch token.ReasonOf(err) {
+	case token.BadSignature, token.UnknownKey, token.Malformed:
 		return true
 	}
 	return false
@@ -66,7 +66,7 @@
 	for {
 		select {
 		case <-poll.C:
-			if front.HungUp(c.net) {
+			if front.PeerClosed(c.net) {
 				return false
 			}
 		case <-timer.C:
@@ -79,7 +79,7 @@
 
 // logSampled writes a log line that clients can cause. It limits the lines per second of each kind, and adds the number of
 // lines that were suppressed.
-func (f *Front) logSampled(e *zerolog.Event, kind string, addFields func(*zerolog.Event)) {
+func (f *Frontend) logSampled(e *zerolog.Event, kind string, addFields func(*zerolog.Event)) {
 	f.samplerMu.Lock()
 	ok, suppressed := f.sampler.Take(kind, f.opt.Clock.Now())
 	f.samplerMu.Unlock()
@@ -95,25 +95,25 @@
 // enterLimits counts a request in the limits of its grant, its key and its client, or rejects the request.
 func (c *conn) enterLimits(s *slot, g *token.Grant) bool {
 	f := c.frontend
-	if !f.limits.On() {
+	if !f.limits.Enabled() {
 		return true
 	}
-	limitNames := &limits.Who{Key: g.Key, Client: f.limits.Client(c.clientAddr)}
+	limitNames := &limits.Subject{Key: g.Key, Client: f.limits.Client(c.clientAddr)}
 	if g.ID != "" {
-		limitNames.Grant = g.Use()
+		limitNames.Grant = g.UseKey()
 	}
 	if r := f.limits.Enter(*limitNames, f.opt.Clock.Now()); r != nil {
-		c.fail(s, 429, "limited", "the limit of this "+r.By+" is reached", retryHeaders(r.Wait))
+		c.fail(s, 429, "limited", "the limit of this "+r.Limit+" is reached", retryHeaders(r.RetryAfter))
 		return false
 	}
-	s.limitNames = limitNames
+	s.limitSubject = limitNames
 	return true
 }
 
 // releaseLimits ends the request in its limits, and charges the bytes of its response.
-func (f *Front) releaseLimits(s *slot) {
-	if s.limitNames != nil {
-		f.limits.Release(*s.limitNames, float64(len(s.answer)), f.opt.Clock.Now())
-		s.limitNames = nil
+func (f *Frontend) releaseLimits(s *slot) {
+	if s.limitSubject != nil {
+		f.limits.Release(*s.limitSubject, float64(len(s.answer)), f.opt.Clock.Now())
+		s.limitSubject = nil
 	}
 }
--- a/front/signed/object.go
+++ b/front/signed/object.go
@@ -43,11 +43,11 @@
 
 // request builds the request for the core.
 func (o objectPath) request(q token.Query, m *http1.Message) (a core.Request, err error) {
-	a.Class, a.Name = o.class, o.object
+	a.Class, a.ObjectName = o.class, o.object
 	if a.Object, err = parseObjectID(o.object); err != nil {
 		return a, err
 	}
-	part, ok := token.Number(o.part, 32) // accepts one spelling for each part only
+	part, ok := token.ParseDecimal(o.part, 32) // accepts one spelling for each part only
 	if !ok {
 		return a, fmt.Errorf("the part is no number")
 	}
@@ -81,7 +81,7 @@
 // singleETag returns the tag of the client's copy if there is exactly one: it is sent to the endpoint. A list or a star is
 // compared when the response arrives.
 func singleETag(v string) string {
-	tags, ok := conditional.Tags(v)
+	tags, ok := conditional.ParseTags(v)
 	if !ok || len(tags) != 1 {
 		return ""
 	}
--- a/frontends.go
+++ b/frontends.go
@@ -21,8 +21,8 @@
 type frontend interface {
 	stoppableServer
 	Serve(ctx context.Context, l net.Listener) error
-	// Open returns the number of unanswered requests.
-	Open() int
+	// OpenRequests returns the number of unanswered requests.
+	OpenRequests() int
 	// Drain starts the drain of the frontend's connections if on is true, and ends it otherwise.
 	Drain(on bool)
 	// HandOver hands the connections over to the process that successor dials, or closes each between requests.
@@ -45,20 +45,20 @@
 		return nil
 	}
 	f := fastcgi.New(fastcgi.Options{
-		Post:       gw.core.Post,
-		Clock:      gw.Clock,
-		Log:        gw.Log,
-		MaxConns:   gw.limits.frontend,
-		Tap:        gw.tap("fastcgi"),
-		RetryAfter: retryAfter(gw.node),
-		MaxBytes:   memoryBytes(responseShare, gw.node),
-		MaxTaken:   memoryBytes(requestShare, gw.node),
+		Post:             gw.core.Post,
+		Clock:            gw.Clock,
+		Log:              gw.Log,
+		MaxConns:         gw.limits.frontend,
+		Tap:              gw.connWrapper("fastcgi"),
+		RetryAfter:       retryAfter(gw.node),
+		MaxResponseBytes: memoryBytes(responseShare, gw.node),
+		MaxRequestBytes:  memoryBytes(requestShare, gw.node),
 	})
 	gw.addrs.FastCGI, err = gw.listen(ctx, "listen", gw.node.Listen, gw.node.SocketFD, f)
 	if err != nil {
 		return err
 	}
-	gw.addrs.Fronts.FastCGI = f.Handle
+	gw.addrs.Frontends.FastCGI = f.Handle
 	gw.acceptHandover = f.Adopt
 	return nil
 }
@@ -79,35 +79,35 @@
 		fd = 0
 	}
 	f := signed.New(gw.signedOptions(keys))
-	gw.plane.Configure(f.Changed, signed.ConfigKeys, signed.ConfigPolicy)
+	gw.plane.Configure(f.ApplyConfig, signed.ConfigKeys, signed.ConfigPolicy)
 	gw.addrs.Signed, err = gw.listen(ctx, "listen", operator.Listen, fd, f)
 	if err != nil {
 		return err
 	}
-	gw.addrs.Fronts.Signed = f.Handle
+	gw.addrs.Frontends.Signed = f.Handle
 	return nil
 }
 
 func (gw *gateway) signedOptions(keys *ring.Ring) signed.Options {
 	operator := gw.Operator
 	return signed.Options{
-		Post:       gw.core.Post,
-		Clock:      gw.Clock,
-		Log:        gw.Log,
-		Classes:    signedClasses(gw.node),
-		Ring:       keys,
-		Claims:     gw.plane,
-		State:      gw.plane,
-		Leeway:     operator.LeewayS * 1000,
-		Scheme:     operator.Scheme,
-		Operator:   operator.OperatorSecret,
-		TokenMost:  operator.TokenS,
-		MaxConns:   gw.limits.frontend,
-		Tap:        gw.tap("signed"),
-		Limits:     operator.Limit.Options(),
-		CORS:       signed.CORS{Origins: operator.Cors.Origins, Headers: operator.Cors.Headers, MaxAge: operator.Cors.MaxAgeS},
-		RetryAfter: retryAfter(gw.node),
-		MaxBytes:   memoryBytes(responseShare, gw.node),
+		Post:             gw.core.Post,
+		Clock:            gw.Clock,
+		Log:              gw.Log,
+		Classes:          signedClasses(gw.node),
+		Ring:             keys,
+		Claims:           gw.plane,
+		State:            gw.plane,
+		MaxClockSkew:     operator.LeewayS * 1000,
+		Scheme:           operator.Scheme,
+		OperatorSecret:   operator.OperatorSecret,
+		MaxTokenSeconds:  operator.TokenS,
+		MaxConns:         gw.limits.frontend,
+		Tap:              gw.connWrapper("signed"),
+		Limits:           operator.Limit.Options(),
+		CORS:             signed.CORS{Origins: operator.Cors.Origins, Headers: operator.Cors.Headers, MaxAge: operator.Cors.MaxAgeS},
+		RetryAfter:       retryAfter(gw.node),
+		MaxResponseBytes: memoryBytes(responseShare, gw.node),
 	}
 }
 
@@ -116,7 +116,7 @@
 		classes = append(classes, signed.Class{
 			Name:     node.Classes[i],
 			Deadline: clock.Ms(class.Deadline),
-			Fresh:    clock.Ms(class.FreshFor),
+			FreshMs:  clock.Ms(class.FreshFor),
 			Write:    class.Write,
 		})
 	}
@@ -131,12 +131,12 @@
 	return clock.Ms(node.Settings.MaxRetryAfter)
 }
 
-// tap returns the function that wraps a frontend's connections for recording; nil: no recording.
-func (gw *gateway) tap(name string) func(net.Conn) net.Conn {
-	if gw.Tap == nil {
+// connWrapper returns the function that wraps a frontend's connections for recording; nil: no recording.
+func (gw *gateway) connWrapper(name string) func(net.Conn) net.Conn {
+	if gw.WrapConn == nil {
 		return nil
 	}
-	return func(conn net.Conn) net.Conn { return gw.Tap(name, conn) }
+	return func(conn net.Conn) net.Conn { return gw.WrapConn(name, conn) }
 }
 
 // listen opens a frontend's listener and registers both.
@@ -182,7 +182,7 @@
 // openRequests returns the number of unanswered requests.
 func (gw *gateway) openRequests() (count int) {
 	for _, f := range gw.frontends {
-		count += f.Open()
+		count += f.OpenRequests()
 	}
 	return count
 }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -34,9 +34,9 @@
 	operator   *config.Operator
 	clock      *clock.Clock
 	log        zerolog.Logger
-	events     front.Mailbox[core.Event] // queues events, as callbacks of package replica must not block
-	subscriber *replica.Subscriber       // nil: voter or standalone
-	store      *replica.Store            // nil: subscriber or standalone
+	events     front.EventQueue[core.Event] // queues events, as callbacks of package replica must not block
+	subscriber *replica.Subscriber          // nil: voter or standalone
+	store      *replica.Store               // nil: subscriber or standalone
 
 	mu       sync.Mutex
 	onConfig func(name string, value json.RawMessage)
@@ -48,11 +48,11 @@
 }
 
 // isSubscriber reports whether the gateway follows the replicated state without voting.
-func (p *Plane) isSubscriber() bool { return p.operator != nil && p.operator.Replica.Subscribe }
+func (p *Plane) isSubscriber() bool { return p.operator != nil && p.operator.Replica.Subscriber }
 
 // isVoter reports whether the gateway is a voting member of a group.
 func (p *Plane) isVoter() bool {
-	return p.operator != nil && !p.operator.Replica.Subscribe && len(p.operator.Replica.Members) > 0
+	return p.operator != nil && !p.operator.Replica.Subscriber && len(p.operator.Replica.Members) > 0
 }
 
 // CopyAgeBound returns a function for core.Options.MaxCopyAge: it bounds the age of copies unless the state is fresh. It is
@@ -120,7 +120,7 @@
 	}
 	opt := p.storeOptions()
 	opt.ID, opt.Members, opt.Listener, opt.TLS, opt.Dir = r.ID, r.Members, listener, certificates, p.operator.Path(r.Dir)
-	opt.Join = r.Join
+	opt.Join = r.Joining
 	opt.OwnLease, opt.FreshnessChanged = true, p.freshnessChanged
 	opt.OpenLogs = p.OpenLogs
 	p.store, err = replica.Open(opt)
@@ -170,7 +170,7 @@
 // Purged passes a purge to the core, dated with the time of its receipt. The purge was made before that, so that the copies
 // it invalidates are all older than this date; the proposer's date would be too early if its clock is behind.
 func (p *Plane) Purged(c distribution.Change) {
-	p.events.Put(core.Purge{Object: c.Object, Group: c.Group, At: p.clock.Unix()})
+	p.events.Push(core.Purge{Object: c.Object, Group: c.Group, At: p.clock.Unix()})
 }
 
 // PurgesMissed logs that purges proposed before a Unix time in ms may never be received. There are no copies to drop here: the
@@ -188,7 +188,7 @@
 		return
 	}
 	p.log.Warn().Dur("max_copy_age", p.Timing.StaleCopyAge()).Msg("replicated state became stale")
-	p.events.Put(core.CopyAgeBounded{})
+	p.events.Push(core.CopyAgeLimited{})
 }
 
 // Subscription returns the status of a subscriber's or a voter's copy of the state; nil: the gateway is standalone.
@@ -204,7 +204,7 @@
 	}
 	out := &adminapi.Subscription{
 		Fresh: status.Fresh, AgeMS: -1, MaxCopyAgeMS: clock.Ms(p.CopyAgeBound()()),
-		Revision: uint64(status.Position.Revision), Votes: p.store != nil, Voter: status.Voter, Reconnects: status.Reconnects,
+		Revision: uint64(status.Position.Revision), IsVoter: p.store != nil, Voter: status.Voter, Reconnects: status.Reconnects,
 	}
 	if !status.CompleteAt.IsZero() {
 		out.AgeMS = clock.Ms(status.CompleteAge)
--- a/internal/controlplane/controlplane_test.go
+++ b/internal/controlplane/controlplane_test.go
@@ -21,7 +21,7 @@
 		"gateway's clock was set back": {-hour, now},
 	} {
 		clk := clock.Manual(now)
-		clk.Step(test.clockStep)
+		clk.StepUnix(test.clockStep)
 		got := make(chan core.Event, 1)
 		p := New(nil, clk, zerolog.Nop())
 		p.events.Post = func(e core.Event) { got <- e }
--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -25,10 +25,10 @@
 
 // Observer is notified when purges and configuration take effect at a gateway. Its methods must not block for long.
 type Observer interface {
-	// PurgeInForce reports that the core has handled a purge.
-	PurgeInForce(object uint64, group uint16, at time.Time)
-	// ConfigInForce reports that a configuration value has been applied.
-	ConfigInForce(name string, value []byte, at time.Time)
+	// PurgeApplied reports that the core has handled a purge.
+	PurgeApplied(object uint64, group uint16, at time.Time)
+	// ConfigApplied reports that a configuration value has been applied.
+	ConfigApplied(name string, value []byte, at time.Time)
 }
 
 // Options configure a hollow gateway.
@@ -46,7 +46,7 @@
 	log      zerolog.Logger
 	plane    *controlplane.Plane
 	core     *core.Core
-	frontend *signed.Front
+	frontend *signed.Frontend
 	cancel   context.CancelFunc
 	done     chan struct{}
 
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("hollow: keys: %w", err)
 	}
-	for _, event := range node.Known {
+	for _, event := range node.KnownEvents {
 		gatewayCore.Handle(event) // called directly, as the core is not running yet
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -90,7 +90,7 @@
 	}
 	g.frontend = signed.New(signed.Options{
 		Post: gatewayCore.Post, Clock: opt.Clock, Log: opt.Log, Ring: ring, Claims: plane, Scheme: opt.Operator.Scheme,
-		Leeway: opt.Operator.LeewayS * 1000, TokenMost: opt.Operator.TokenS, Limits: opt.Operator.Limit.Options(),
+		MaxClockSkew: opt.Operator.LeewayS * 1000, MaxTokenSeconds: opt.Operator.TokenS, Limits: opt.Operator.Limit.Options(),
 	})
 	go g.run(ctx)
 	if err := plane.Open(g.post); err != nil {
@@ -127,13 +127,13 @@
 
 // applyConfig applies a configuration value in the same way as the signed frontend of a production gateway.
 func (g *Gateway) applyConfig(name string, value json.RawMessage) {
-	if name == ConfigStores {
+	if name == ConfigEndpoints {
 		g.updateEndpoints(value)
 	} else {
-		g.frontend.Changed(name, value)
+		g.frontend.ApplyConfig(name, value)
 	}
 	if g.observer != nil {
-		g.observer.ConfigInForce(name, value, time.Now())
+		g.observer.ConfigApplied(name, value, time.Now())
 	}
 }
 
@@ -147,7 +147,7 @@
 	}
 	g.core.Post(event)
 	if isPurge && g.observer != nil {
-		g.callWhenProcessed(func(at time.Time) { g.observer.PurgeInForce(purge.Object, purge.Group, at) })
+		g.callWhenProcessed(func(at time.Time) { g.observer.PurgeApplied(purge.Object, purge.Group, at) })
 	}
 }
 
--- a/replica/accept_test.go
+++ b/replica/accept_test.go
@@ -34,7 +34,7 @@
 	defer conn.Close()
 	io.WriteString(conn, "no TLS\n") // rejected, so that the connection is closed
 	io.Copy(io.Discard, conn)
-	if n := faulty.Failed(); n != len(faulty.Errors) {
+	if n := faulty.FailedAccepts(); n != len(faulty.Errors) {
 		t.Errorf("accept failed %d times, want %d", n, len(faulty.Errors))
 	}
 }
--- a/replica/clock_step_test.go
+++ b/replica/clock_step_test.go
@@ -118,7 +118,7 @@
 				stepped = leader
 			}
 			c.checkRecordsSurvive((leader+2)%3, func() {
-				c.clocks[stepped].Step(x.step)
+				c.clocks[stepped].StepUnix(x.step)
 				c.propose(stepped)
 				if x.newLeader {
 					c.stop(leader)
@@ -135,7 +135,7 @@
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			c := newSteppedCluster(t)
 			leader := c.leader()
-			c.clocks[leader].Step(step)
+			c.clocks[leader].StepUnix(step)
 			c.propose(leader)
 			honest := (leader + 1) % 3
 			until := c.clocks[honest].Unix() + 10*minute
@@ -159,7 +159,7 @@
 	c.checkRecordsSurvive(c.leader(), func() {
 		for voter := range c.stores {
 			c.stop(voter)
-			c.clocks[voter].Step(hour)
+			c.clocks[voter].StepUnix(hour)
 		}
 		for voter := range c.stores {
 			c.start(voter, nil)
@@ -187,7 +187,7 @@
 		if n := len(c.stores[leader].state.clone().Claims); n != 0 {
 			t.Fatalf("%d claims are kept 19 minutes after their end", n)
 		}
-		c.clocks[stepped].Step(-hour)
+		c.clocks[stepped].StepUnix(-hour)
 		if c.useToken(stepped, "token", "second", until) {
 			t.Errorf("leader stepped %v: a single-use token was granted twice", leads)
 		}
@@ -204,7 +204,7 @@
 		c := newSteppedCluster(t)
 		leader := c.leader()
 		other := (leader + 1) % 3
-		c.clocks[other].Step(step)
+		c.clocks[other].StepUnix(step)
 		until := startMS + 10*minute
 		if !c.useToken(leader, "token", "first", until) {
 			t.Fatal("the first use was rejected")
@@ -248,7 +248,7 @@
 		{"no time elapsed", 0, 0, 0, 0, 0},
 	} {
 		before := a.advance(0)
-		clk.Step(x.step)
+		clk.StepUnix(x.step)
 		clk.Advance(x.pass)
 		advanced := a.advance(clk.Unix()+x.proposedAhead) - before
 		if advanced < x.advanced || advanced > x.maxAdvance {
@@ -291,7 +291,7 @@
 		clk := clock.Manual(startMS)
 		a := &agreedClock{clock: clk}
 		a.observe(startMS - x.lag)
-		clk.Step(x.step)
+		clk.StepUnix(x.step)
 		if got := startMS - a.advance(clk.Unix()+x.proposedAhead); got != x.want {
 			t.Errorf("%s: a lag of %v ms, want %v", x.name, got, x.want)
 		}
@@ -305,7 +305,7 @@
 	a.observe(5000)
 	clk.Advance(minute)
 	a.observe(5000) // from a snapshot, or from an entry that was applied late
-	clk.Step(hour)
+	clk.StepUnix(hour)
 	clk.Advance(minute)
 	if got := a.advance(0); got != 5000+2*minute {
 		t.Errorf("%v, want %v", got, 5000+2*minute)
@@ -382,7 +382,7 @@
 		c := []command{
 			{Op: string(claims.Hold), Name: name, Owner: owner, Until: proposedAt + minute},
 			{Op: string(claims.Send), Name: name, Owner: owner},
-			{Op: string(claims.Settle), Name: name, Owner: owner, To: claims.Ran, Outcome: "200"},
+			{Op: string(claims.Finish), Name: name, Owner: owner, To: claims.Ran, Outcome: "200"},
 			{Op: string(claims.Release), Name: name, Owner: owner},
 			{Op: opRevoke, Name: name, Until: proposedAt + minute},
 			{Op: opPut, Name: name, Value: json.RawMessage(`1`)},
@@ -447,7 +447,7 @@
 		clk := clock.Manual(startMS)
 		leader := &agreedClock{clock: clk}
 		leader.observe(startMS - hour)
-		clk.Step(step)
+		clk.StepUnix(step)
 		old, present := newStateMachine(), newStateMachine()
 		apply := func(c command, by *agreedClock) (res result) {
 			c.At += clk.Unix()
@@ -479,7 +479,7 @@
 	leader := c.leader()
 	other := (leader + 1) % 3
 	c.propose(leader)
-	c.clocks[other].Step(-hour)
+	c.clocks[other].StepUnix(-hour)
 	if err := c.stores[other].Revoke(testContext(t), "use", c.clocks[other].Unix()+10*minute); err != nil {
 		t.Fatal(err)
 	}
@@ -574,7 +574,7 @@
 	all, one := s.random.IntN(4) == 0, s.random.IntN(len(s.members))
 	for i, m := range s.members {
 		if all || i == one {
-			m.clock.Step(offset - s.stepped[i])
+			m.clock.StepUnix(offset - s.stepped[i])
 			s.stepped[i] = offset
 		}
 	}
@@ -644,7 +644,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		clk.Step(step)
+		clk.StepUnix(step)
 		for _, x := range []struct {
 			elapsed float64
 			revoked bool
@@ -667,7 +667,7 @@
 		last := c.stores[c.leader()].raft.LastIndex()
 		for voter := range c.stores {
 			c.stop(voter)
-			c.clocks[voter].Step(hour)
+			c.clocks[voter].StepUnix(hour)
 		}
 		for voter := range c.stores {
 			c.start(voter, nil)
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -17,7 +17,7 @@
 // authority returns a function that creates TLS settings with a certificate issued by the test's own authority.
 func authority(t testing.TB) func() *tls.Config {
 	t.Helper()
-	make, err := fakestore.Authority()
+	make, err := fakestore.NewAuthority()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/shutdown.go
+++ b/shutdown.go
@@ -71,7 +71,7 @@
 	}
 	pollUntilZero(ctx, handoverPollInterval, func() (left int) {
 		for _, f := range gw.frontends {
-			left += f.Conns() + f.Open()
+			left += f.Conns() + f.OpenRequests()
 		}
 		return left
 	})
@@ -88,7 +88,7 @@
 	for _, s := range servers {
 		s.Stop()
 	}
-	if gw.core.Order(ctx, core.Abort{}) != nil {
+	if gw.core.PostUrgent(ctx, core.Abort{}) != nil {
 		return
 	}
 	pollUntilZero(ctx, abortPollInterval, func() int {
--- a/subscribe_test.go
+++ b/subscribe_test.go
@@ -54,7 +54,7 @@
 // replicatedGateway is a gateway that uses the replicated state of a group.
 type replicatedGateway struct {
 	*gatewayGroup
-	endpoint *fakestore.Store
+	endpoint *fakestore.Endpoint
 	addrs    Addrs
 }
 
@@ -81,7 +81,7 @@
 func newReplicatedGateway(t *testing.T, c *gatewayGroup, part string) *replicatedGateway {
 	s := &replicatedGateway{gatewayGroup: c}
 	var err error
-	s.endpoint, err = fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) {
+	s.endpoint, err = fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,why=local,minted=1", []byte("piece"), true
 	})
 	if err != nil {
@@ -173,18 +173,18 @@
 func (s *replicatedGateway) get(keys *ring.Ring, key, class string, object uint64) (status, fresh int) {
 	s.Helper()
 	path := fmt.Sprintf("/v1/%s/%016x/0", class, object)
-	issued, err := keys.Issue(key, token.Terms{URI: path, Until: s.clock.Unix()/1000 + 600, ID: fmt.Sprint("n", object)})
+	issued, err := keys.Issue(key, token.Terms{URI: path, Expires: s.clock.Unix()/1000 + 600, ID: fmt.Sprint("n", object)})
 	if err != nil {
 		s.Fatal(err)
 	}
-	before := len(s.endpoint.Calls("GET"))
+	before := len(s.endpoint.Commands("GET"))
 	resp, err := http.Get("http://" + s.addrs.Signed.String() + issued.URL)
 	if err != nil {
 		s.Fatal(err)
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
-	calls := s.endpoint.Calls("GET")
+	calls := s.endpoint.Commands("GET")
 	if len(calls) == before {
 		return resp.StatusCode, -1
 	}
@@ -260,8 +260,8 @@
 	if status, fresh := s.get(keys, "next", "app-assets", 5); status != http.StatusOK || fresh != 3000 {
 		t.Errorf("stale, class with a freshness of 3 s: status %d, copies of %d ms", status, fresh)
 	}
-	ends := len(s.endpoint.Calls("GET"))
-	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Calls("GET")) != ends {
+	ends := len(s.endpoint.Commands("GET"))
+	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Commands("GET")) != ends {
 		t.Errorf("stale: ride-end has status %d, or was sent to the endpoint", status)
 	}
 
@@ -348,7 +348,7 @@
 func TestVotingGateway(t *testing.T) {
 	s := newVotingGateway(t)
 	s.await("fresh", func() bool { return s.subscription().Fresh })
-	if got := s.subscription(); !got.Votes || got.AgeMS < 0 || got.MaxCopyAgeMS != 0 {
+	if got := s.subscription(); !got.IsVoter || got.AgeMS < 0 || got.MaxCopyAgeMS != 0 {
 		t.Errorf("fresh: %+v", got)
 	}
 	if status, fresh := s.get(s.keys, "url", "firmware", 1); status != http.StatusOK || fresh != -1 {
@@ -369,8 +369,8 @@
 	if status, fresh := s.get(s.keys, "url", "firmware", 2); status != http.StatusOK || fresh != bound {
 		t.Errorf("stale: status %d, copies of %d ms", status, fresh)
 	}
-	sent := len(s.endpoint.Calls("GET"))
-	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Calls("GET")) != sent {
+	sent := len(s.endpoint.Commands("GET"))
+	if status := s.postRideEnd("stale"); status != http.StatusServiceUnavailable || len(s.endpoint.Commands("GET")) != sent {
 		t.Errorf("stale: ride-end has status %d, or was sent to the endpoint", status)
 	}
 
--- a/upstream/resp/conn.go
+++ b/upstream/resp/conn.go
@@ -100,7 +100,7 @@
 // forgetExpiredIDs deletes the retired IDs for which no response can arrive any more.
 func (c *conn) forgetExpiredIDs(now float64) {
 	for id, since := range c.retiredIDs {
-		if now-since > max(retiredIDTTL, c.pool.opt.Longest) {
+		if now-since > max(retiredIDTTL, c.pool.opt.MaxRequestDuration) {
 			delete(c.retiredIDs, id)
 		}
 	}
@@ -139,7 +139,7 @@
 // are in flight.
 func (c *conn) addBarrier(drops []core.AttemptKey) (id string) {
 	_, excluded := c.pool.excluded[c.peer.id]
-	if len(drops) == 0 || excluded || !c.peer.ready || len(c.barriers) >= maxBarriers || c.pool.opt.NoProbes {
+	if len(drops) == 0 || excluded || !c.peer.ready || len(c.barriers) >= maxBarriers || c.pool.opt.DisableHealthChecks {
 		return ""
 	}
 	c.pool.lastProbeID++
@@ -151,7 +151,7 @@
 // failBarriers ends the PINGs behind DROPs that have no response yet: their attempts stay unconfirmed.
 func (c *conn) failBarriers() (ended []core.Event) {
 	for _, keys := range c.barriers {
-		ended = append(ended, core.BarrierAnswered{Keys: keys, Silent: true})
+		ended = append(ended, core.BarrierResult{Keys: keys, NoResponse: true})
 	}
 	clear(c.barriers)
 	return ended
@@ -525,7 +525,7 @@
 // were not sent, and of those that may have run. A failure local to this host, or a client's cancellation in the middle of
 // writing its request, is not counted against the endpoint.
 func (c *conn) closeOutcomes(readErr error) (notSent, mayHaveRun control.Outcome) {
-	if neterr.Local(readErr) || neterr.Local(c.writeErr) || errors.Is(c.writeErr, errClientCanceled) {
+	if neterr.IsLocal(readErr) || neterr.IsLocal(c.writeErr) || errors.Is(c.writeErr, errClientCanceled) {
 		return control.LocalFailure, control.Canceled
 	}
 	return control.ConnectFailed, control.ConnectionLost
@@ -593,7 +593,7 @@
 	f = append(f, "lane="...)
 	f = append(f, s.Class...)
 	f = append(f, ",name="...)
-	f = append(f, s.Name...)
+	f = append(f, s.ObjectName...)
 	f = append(f, ",piece="...)
 	f = strconv.AppendUint(f, uint64(s.Part), 10)
 	if s.Deadline > 0 { // rounded down: never more than the client has left
--- a/upstream/resp/resp.go
+++ b/upstream/resp/resp.go
@@ -20,17 +20,17 @@
 
 // Options set the limits of an upstream.
 type Options struct {
-	DialTimeout  float64 // ms
-	IdleClose    float64 // ms after which endpoints close idle connections; the pool closes them somewhat earlier
-	ProbeTimeout float64 // ms, of health checks and PINGs
-	Streams      int     // maximum number of attempts in flight on one connection
-	MaxConns     int     // to all endpoints together
-	Longest      float64 // ms, the maximum duration of a request
-	NoProbes     bool    // health checks are disabled, and with them PINGs: only time resolves an unconfirmed cancellation
-	NoDrops      bool    // cancellation is disabled: no DROP is sent, and a canceled attempt runs to its end at the endpoint
-	Clock        *clock.Clock
-	Log          zerolog.Logger
-	Dial         func(ctx context.Context, network, addr string) (net.Conn, error) // nil: net.Dialer
+	DialTimeout         float64 // ms
+	IdleClose           float64 // ms after which endpoints close idle connections; the pool closes them somewhat earlier
+	HealthCheckTimeout  float64 // ms, of health checks and PINGs
+	MaxAttemptsPerConn  int     // maximum number of attempts in flight on one connection
+	MaxConns            int     // to all endpoints together
+	MaxRequestDuration  float64 // ms, the maximum duration of a request
+	DisableHealthChecks bool    // health checks are disabled, and with them PINGs: only time resolves an unconfirmed cancellation
+	DisableCancel       bool    // cancellation is disabled: no DROP is sent, and a canceled attempt runs to its end at the endpoint
+	Clock               *clock.Clock
+	Log                 zerolog.Logger
+	Dial                func(ctx context.Context, network, addr string) (net.Conn, error) // nil: net.Dialer
 }
 
 const (
@@ -159,8 +159,8 @@
 	}
 }
 
-// Limit changes the maximum number of connections. Existing connections above it stay open until they are idle.
-func (p *Pool) Limit(maxConns int) {
+// SetMaxConns changes the maximum number of connections. Existing connections above it stay open until they are idle.
+func (p *Pool) SetMaxConns(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.opt.MaxConns = max(1, maxConns)
@@ -197,7 +197,7 @@
 		}
 	}
 	for _, a := range p.attempts {
-		if (a.To == id || a.Fill && a.Source == id) && !a.mayBeSent && !a.cancelRequested {
+		if (a.Endpoint == id || a.Fill && a.Source == id) && !a.mayBeSent && !a.cancelRequested {
 			cancel(a)
 		}
 	}
@@ -292,9 +292,9 @@
 
 // Send makes an attempt.
 func (p *Pool) Send(s core.AttemptRequest) {
-	a := &attempt{AttemptRequest: s, wireID: s.Txn, endpoint: s.To}
+	a := &attempt{AttemptRequest: s, wireID: s.Txn, endpoint: s.Endpoint}
 	p.mu.Lock()
-	q := p.peers[s.To]
+	q := p.peers[s.Endpoint]
 	if p.attempts[s.AttemptKey] != nil || !p.maySend(a) {
 		p.mu.Unlock()
 		p.postAsync(core.AttemptResult{AttemptKey: s.AttemptKey, Outcome: control.NotSent})
@@ -351,20 +351,20 @@
 	for _, ev := range ended {
 		p.postAsync(ev)
 	}
-	p.after(p.opt.ProbeTimeout, func() { p.cancelAndPost(a, control.TimedOut) })
+	p.after(p.opt.HealthCheckTimeout, func() { p.cancelAndPost(a, control.TimedOut) })
 }
 
 // ConfirmCancel has an endpoint confirm that it reads what is written to it now: with the PING behind the attempt's DROP if
 // that is in flight, else with a separate PING. Calls made before that PING is written share it.
 func (p *Pool) ConfirmCancel(k core.AttemptKey, endpoint uint32) bool {
-	if p.opt.NoProbes {
+	if p.opt.DisableHealthChecks {
 		return false
 	}
 	p.mu.Lock()
 	q := p.peers[endpoint]
 	if q == nil {
 		p.mu.Unlock()
-		p.postAsync(core.BarrierAnswered{Keys: []core.AttemptKey{k}, Silent: true})
+		p.postAsync(core.BarrierResult{Keys: []core.AttemptKey{k}, NoResponse: true})
 		return true
 	}
 	if q.barrierInFlight(k) {
@@ -452,7 +452,7 @@
 			return p.endAttempt(a, outcome)
 		}
 		return p.endAttempt(a, control.NotSent)
-	case a.probe || p.opt.NoDrops:
+	case a.probe || p.opt.DisableCancel:
 		if a.conn.markIfUnresponsive(a); !a.probe { // its response may still arrive
 			a.conn.retireID(a.wireID)
 		}
@@ -481,7 +481,7 @@
 		c.closeIfDone()
 	}
 	if a.confirms != nil {
-		return core.BarrierAnswered{Keys: a.confirms, Silent: outcome != control.OK}
+		return core.BarrierResult{Keys: a.confirms, NoResponse: outcome != control.OK}
 	}
 	if a.probe {
 		return core.HealthCheckResult{Endpoint: a.endpoint, Outcome: outcome}
@@ -501,7 +501,7 @@
 		go p.dial(q, q.addr, a)
 		return nil
 	}
-	c := q.pickConn(a.wireID, p.opt.Streams)
+	c := q.pickConn(a.wireID, p.opt.MaxAttemptsPerConn)
 	needsDial := c == nil || len(c.open) >= dialThreshold && p.now() > q.dialFailedAt+redialDelay
 	if needsDial && !q.dialing && p.conns < p.opt.MaxConns && q.countConns() < p.peerConnLimit() {
 		q.dialing = true
@@ -617,7 +617,7 @@
 
 // dialOutcome returns the outcome of a failed dial. A failure local to this host is not counted against the endpoint.
 func dialOutcome(err error) control.Outcome {
-	if neterr.Local(err) {
+	if neterr.IsLocal(err) {
 		return control.LocalFailure
 	}
 	return control.ConnectFailed
--- a/upstream/resp/unsent_test.go
+++ b/upstream/resp/unsent_test.go
@@ -49,11 +49,11 @@
 		for _, ev := range events {
 			t.Run(delay+"/"+ev.name, func(t *testing.T) {
 				begun, resume := make(chan struct{}), make(chan struct{})
-				s, err := fakestore.ListenLate("127.0.0.1:0", func(r *bufio.Reader) {
+				s, err := fakestore.ListenWithHook("127.0.0.1:0", func(r *bufio.Reader) {
 					r.Peek(1)
 					close(begun)
 					<-resume
-				}, func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+				}, func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -88,7 +88,7 @@
 				if want := map[bool]control.Outcome{true: control.OK, false: control.NotSent}[ev.sent]; e.Outcome != want || e.Unconfirmed {
 					t.Errorf("ended as %+v, want %v and Unconfirmed false", e, want)
 				}
-				for _, c := range s.Calls("GET") {
+				for _, c := range s.Commands("GET") {
 					switch {
 					case c.ID != second.Txn:
 					case !ev.sent:
@@ -107,11 +107,11 @@
 func TestClientCancelsDuringWrite(t *testing.T) {
 	for _, completes := range []bool{true, false} {
 		begun, resume := make(chan struct{}), make(chan struct{})
-		s, err := fakestore.ListenLate("127.0.0.1:0", func(r *bufio.Reader) {
+		s, err := fakestore.ListenWithHook("127.0.0.1:0", func(r *bufio.Reader) {
 			r.Peek(1)
 			close(begun)
 			<-resume
-		}, func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+		}, func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -134,7 +134,7 @@
 		if e := b.awaitResult(request.AttemptKey); completes != (e.Outcome == control.OK) || e.Unconfirmed {
 			t.Errorf("completes %t: ended as %+v", completes, e)
 		}
-		if got := len(s.Calls("GET")) == 1; got != completes {
+		if got := len(s.Commands("GET")) == 1; got != completes {
 			t.Errorf("completes %t: arrived completely: %t", completes, got)
 		}
 	}
@@ -144,18 +144,18 @@
 // request duration of the settings.
 func TestIDsAreNotReusedWithinLongestRequest(t *testing.T) {
 	for _, c := range []struct {
-		longest, after float64
-		used           bool
+		maxDuration, after float64
+		used               bool
 	}{{500, 9999, true}, {500, 10001, false}, {60000, 10001, true}, {60000, 59999, true}, {60000, 60001, false}} {
 		b := newTestPool(t)
-		b.pool.opt.Longest = c.longest
+		b.pool.opt.MaxRequestDuration = c.maxDuration
 		near, far := net.Pipe()
 		defer far.Close()
 		conn := newConn(b.pool, &peer{}, near)
 		conn.retireID("a")
 		conn.forgetExpiredIDs(b.clock.Now() + c.after)
 		if conn.idInUse("a") != c.used {
-			t.Errorf("longest %v, after %v: in use %t", c.longest, c.after, !c.used)
+			t.Errorf("longest %v, after %v: in use %t", c.maxDuration, c.after, !c.used)
 		}
 	}
 }
@@ -163,8 +163,8 @@
 // A connection that its endpoint may be closing takes no new attempts, even before the next sweep.
 func TestIdleConnectionTakesNoAttempts(t *testing.T) {
 	conns := make(chan struct{}, 8)
-	s, err := fakestore.ListenLate("127.0.0.1:0", func(*bufio.Reader) { conns <- struct{}{} },
-		func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+	s, err := fakestore.ListenWithHook("127.0.0.1:0", func(*bufio.Reader) { conns <- struct{}{} },
+		func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,9 +185,9 @@
 }
 
 // newBlockingEndpoint starts an endpoint that responds to request 1 once hold is closed, and to all others immediately.
-func newBlockingEndpoint(t *testing.T) (s *fakestore.Store, hold chan struct{}) {
+func newBlockingEndpoint(t *testing.T) (s *fakestore.Endpoint, hold chan struct{}) {
 	hold = make(chan struct{})
-	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Call) (string, string, []byte, bool) {
+	s, err := fakestore.Listen("127.0.0.1:0", func(c fakestore.Command) (string, string, []byte, bool) {
 		if c.ID == newRequest(1, 0, 1).Txn {
 			<-hold
 		}
@@ -202,15 +202,15 @@
 // Commands that the settings disable are not written: no PING without health checks, and no DROP without cancellation.
 func TestDisabledCommandsAreNotWritten(t *testing.T) {
 	for _, x := range []struct {
-		noProbes, noDrops bool
-		pings, drops      int
+		disableHealthChecks, disableCancel bool
+		pings, drops                       int
 	}{{false, false, 1, 1}, {true, false, 0, 1}, {false, true, 0, 0}, {true, true, 0, 0}} {
 		s, hold := newBlockingEndpoint(t)
 		b := newTestPool(t, s.Addr())
-		b.pool.opt.NoProbes, b.pool.opt.NoDrops, b.pool.opt.MaxConns = x.noProbes, x.noDrops, 1
+		b.pool.opt.DisableHealthChecks, b.pool.opt.DisableCancel, b.pool.opt.MaxConns = x.disableHealthChecks, x.disableCancel, 1
 		k := newRequest(1, 0, 1).AttemptKey
 		b.pool.Send(newRequest(1, 0, 1))
-		b.waitUntil("the attempt arrives", func() bool { return len(s.Calls("GET")) == 1 })
+		b.waitUntil("the attempt arrives", func() bool { return len(s.Commands("GET")) == 1 })
 		b.pool.Cancel(k, control.TimedOut)
 		if e := b.awaitResult(k); e.Outcome != control.TimedOut || !e.Unconfirmed {
 			t.Errorf("%+v: %+v", x, e)
@@ -224,10 +224,10 @@
 		if e := b.awaitResult(newRequest(2, 0, 1).AttemptKey); e.Outcome != control.OK {
 			t.Errorf("%+v: %+v", x, e)
 		}
-		if p, d := len(s.Calls("PING")), len(s.Calls("DROP")); p != x.pings || d != x.drops {
+		if p, d := len(s.Commands("PING")), len(s.Commands("DROP")); p != x.pings || d != x.drops {
 			t.Errorf("%+v: %d PINGs and %d DROPs", x, p, d)
 		}
-		if got := b.pool.ConfirmCancel(core.AttemptKey{ID: 9}, 1); got == x.noProbes {
+		if got := b.pool.ConfirmCancel(core.AttemptKey{ID: 9}, 1); got == x.disableHealthChecks {
 			t.Errorf("%+v: cancellations can be confirmed: %t", x, got)
 		}
 		b.pool.Close()
@@ -237,7 +237,7 @@
 
 // All calls of ConfirmCancel made before the PING is sent share it, and each of them gets its result.
 func TestConfirmCancelSharesPing(t *testing.T) {
-	answers := func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true }
+	answers := func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true }
 	for name, silent := range map[string]bool{"it responds": false, "it refuses connections": true, "it drains": true, "it is not listed": true} {
 		t.Run(name, func(t *testing.T) {
 			s, err := fakestore.Listen("127.0.0.1:0", answers)
@@ -268,9 +268,9 @@
 			results := map[core.AttemptKey]bool{}
 			b.waitUntil("a result for each call", func() bool {
 				for _, ev := range b.events {
-					if c, ok := ev.(core.BarrierAnswered); ok {
+					if c, ok := ev.(core.BarrierResult); ok {
 						for _, k := range c.Keys {
-							results[k] = c.Silent
+							results[k] = c.NoResponse
 						}
 					}
 				}
@@ -281,7 +281,7 @@
 					t.Errorf("%v: silent %t, want %t", k, got, silent)
 				}
 			}
-			if n := len(s.Calls("PING")); n > 1 || n == 0 && !silent {
+			if n := len(s.Commands("PING")); n > 1 || n == 0 && !silent {
 				t.Errorf("%d PINGs", n)
 			}
 		})
@@ -326,7 +326,7 @@
 // Close waits until the writer releases the file descriptor, and the writer may wait for the pool's lock. The lock must not be
 // held during Close, or both deadlock.
 func TestCloseDoesNotHoldPoolLock(t *testing.T) {
-	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+	s, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -343,7 +343,7 @@
 	} {
 		w := &gatedConn{held: make(chan struct{}), resume: make(chan struct{}), closeCalled: make(chan struct{}, 1)}
 		ended := make(chan core.Event, 8)
-		p := New(Options{DialTimeout: 5000, Streams: 100, MaxConns: 40, Clock: clock.Manual(1e12), Log: zerolog.Nop(),
+		p := New(Options{DialTimeout: 5000, MaxAttemptsPerConn: 100, MaxConns: 40, Clock: clock.Manual(1e12), Log: zerolog.Nop(),
 			Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 				w.TCPConn, _ = c.(*net.TCPConn)
@@ -374,8 +374,8 @@
 func TestCancelDuringDial(t *testing.T) {
 	for _, dedicated := range []bool{false, true} {
 		conns := make(chan struct{}, 8)
-		s, err := fakestore.ListenLate("127.0.0.1:0", func(*bufio.Reader) { conns <- struct{}{} },
-			func(fakestore.Call) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
+		s, err := fakestore.ListenWithHook("127.0.0.1:0", func(*bufio.Reader) { conns <- struct{}{} },
+			func(fakestore.Command) (string, string, []byte, bool) { return "ACK", "tag=0a,minted=1", nil, true })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -398,7 +398,7 @@
 		if e := b.awaitResult(next.AttemptKey); e.Outcome != control.OK {
 			t.Errorf("dedicated %t: %+v", dedicated, e)
 		}
-		for _, c := range append(s.Calls("GET"), s.Calls("DROP")...) {
+		for _, c := range append(s.Commands("GET"), s.Commands("DROP")...) {
 			if c.ID == first.Txn {
 				t.Errorf("dedicated %t: %s of the canceled request was sent", dedicated, c.Verb)
 			}
@@ -415,7 +415,7 @@
 	b.pool.opt.IdleClose = 1000
 	b.setEndpoints(s.Addr())
 	b.pool.Send(newRequest(1, 0, 1))
-	b.waitUntil("the attempt arrives", func() bool { return len(s.Calls("GET")) == 1 })
+	b.waitUntil("the attempt arrives", func() bool { return len(s.Commands("GET")) == 1 })
 	b.pool.mu.Lock()
 	c := b.pool.peers[1].conns[0]
 	b.pool.mu.Unlock()
