--- a/cmd/turnfork/stored_test.go
+++ b/cmd/turnfork/stored_test.go
@@ -124,14 +124,14 @@
 }
 
 func startStored(t *testing.T) *storedGateway {
-	store, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) {
+	endpoint, err := fakestore.Listen("127.0.0.1:0", func(fakestore.Command) (string, string, []byte, bool) {
 		return "ACK", "tag=0a,why=local,minted=1", []byte("piece"), true
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { store.Close() })
-	storePort, ports := portOf(t, store.Addr()), freePorts(t, 3)
+	t.Cleanup(func() { endpoint.Close() })
+	storePort, ports := portOf(t, endpoint.Addr()), freePorts(t, 3)
 	dir := copyStored(t, map[string]string{
 		storedFrontendPort: ports[0], storedAdminPort: ports[1], storedReplicaPort: ports[2],
 		storedCachePort: storePort, storedOriginPort: storePort,
--- a/internal/simproto/doc.go
+++ b/internal/simproto/doc.go
@@ -38,7 +38,7 @@
 //	family-info.parent-starts-at               ParentSlowStartShare
 //	family-info.parent-warms-in                ParentSlowStartDuration
 //	family-info.purge-done                     PurgeCompletion
-//	family-info.says ("all")                   AnswersDetailed
+//	family-info.says ("all")                   ResultsDetailed
 //	family-info.seats-by-zone                  GatewaysByZone
 //	family-info.sideways                       PeerFillScope
 //	family-info.straight                       CanBypassCaches
