--- a/front/signed/operator_calls.go
+++ b/front/signed/operator_calls.go
@@ -142,7 +142,7 @@
 	switch {
 	case errors.Is(err, membership.ErrCatchingUp):
 		return nil, &unavailableError{code: "catching_up", err: err}
-	case errors.Is(err, membership.ErrRefused):
+	case errors.Is(err, membership.ErrRejected):
 		return nil, fmt.Errorf("the replacement can't be made: %w", err)
 	case err != nil:
 		return nil, asUnavailable(err)
--- a/frontends.go
+++ b/frontends.go
@@ -79,7 +79,7 @@
 		fd = 0
 	}
 	f := signed.New(gw.signedOptions(keys))
-	gw.plane.Configure(f.ApplyConfig, signed.ConfigKeys, signed.ConfigPolicy)
+	gw.plane.OnConfigChange(f.ApplyConfig, signed.ConfigKeys, signed.ConfigPolicy)
 	gw.addrs.Signed, err = gw.listen(ctx, "listen", operator.Listen, fd, f)
 	if err != nil {
 		return err
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -137,9 +137,9 @@
 	}
 }
 
-// Configure sets the function that is called with each change of the configuration, and calls it with the current values of
-// the given names.
-func (p *Plane) Configure(apply func(name string, value json.RawMessage), names ...string) {
+// OnConfigChange sets the function that is called with each change of the configuration, and calls it with the current values
+// of the given names.
+func (p *Plane) OnConfigChange(apply func(name string, value json.RawMessage), names ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock() // a concurrent change is passed on afterwards
 	p.onConfig = apply
@@ -151,7 +151,7 @@
 	}
 }
 
-// applyConfig passes a configuration value to the function set by Configure.
+// applyConfig passes a configuration value to the function set by OnConfigChange.
 func (p *Plane) applyConfig(name string, value json.RawMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -96,7 +96,7 @@
 	if err := plane.Open(g.post); err != nil {
 		return nil, errors.Join(fmt.Errorf("hollow: control side: %w", err), g.Close())
 	}
-	plane.Configure(g.applyConfig, signed.ConfigKeys, signed.ConfigPolicy)
+	plane.OnConfigChange(g.applyConfig, signed.ConfigKeys, signed.ConfigPolicy)
 	return g, nil
 }
 
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -29,34 +29,34 @@
 	Joining Member `json:"joining"`
 }
 
-// ErrRefused is matched by every RefusedError.
-var ErrRefused = errors.New("membership: refused")
+// ErrRejected is matched by every RejectedError.
+var ErrRejected = errors.New("membership: refused")
 
-// RefusedError is returned for a replacement that is impossible: retrying it is useless.
-type RefusedError struct {
+// RejectedError is returned for a replacement that is impossible: retrying it is useless.
+type RejectedError struct {
 	Reason   string
 	sentinel error // the package's error that this one adds a detail to; nil: none
 }
 
 // Error returns the reason.
-func (e *RefusedError) Error() string { return ErrRefused.Error() + ": " + e.Reason }
+func (e *RejectedError) Error() string { return ErrRejected.Error() + ": " + e.Reason }
 
-// Is reports whether target is ErrRefused or the package's error that e adds a detail to.
-func (e *RefusedError) Is(target error) bool {
-	return target == ErrRefused || e.sentinel != nil && target == e.sentinel
+// Is reports whether target is ErrRejected or the package's error that e adds a detail to.
+func (e *RejectedError) Is(target error) bool {
+	return target == ErrRejected || e.sentinel != nil && target == e.sentinel
 }
 
 // withDetail returns an error that matches e, with a detail added to its reason.
-func (e *RefusedError) withDetail(detail string) error {
-	return &RefusedError{Reason: e.Reason + ": " + detail, sentinel: e}
+func (e *RejectedError) withDetail(detail string) error {
+	return &RejectedError{Reason: e.Reason + ": " + detail, sentinel: e}
 }
 
 // Errors of Check and Next.
 var (
-	ErrIncomplete    = &RefusedError{Reason: "the lost member's name, and the joining one's name and address are needed"}
-	ErrSameName      = &RefusedError{Reason: "the joining member needs a name of its own"}
-	ErrUnknownMember = &RefusedError{Reason: "no member has the lost one's name"}
-	ErrConflict      = &RefusedError{Reason: "the joining member's name or address is a member's already"}
+	ErrIncomplete    = &RejectedError{Reason: "the lost member's name, and the joining one's name and address are needed"}
+	ErrSameName      = &RejectedError{Reason: "the joining member needs a name of its own"}
+	ErrUnknownMember = &RejectedError{Reason: "no member has the lost one's name"}
+	ErrConflict      = &RejectedError{Reason: "the joining member's name or address is a member's already"}
 )
 
 // ErrCatchingUp is returned by package replica while the joining member can't be reached or lacks log entries. The
@@ -80,11 +80,11 @@
 // The actions, in the order of a replacement. The lost member is removed before the new one becomes a voter: while both
 // count, a majority of a group of odd size needs one more member.
 const (
-	AddWithoutVote     Action = "add"      // add the joining member as a non-voter, which receives the log
+	AddNonvoter        Action = "add"      // add the joining member as a non-voter, which receives the log
 	AwaitCatchUp       Action = "await"    // wait until the joining member has caught up with the log
 	TransferLeadership Action = "transfer" // transfer leadership away from the lost member
 	RemoveLost         Action = "remove"   // remove the lost member
-	GiveVote           Action = "vote"     // make the joining member a voter
+	PromoteToVoter     Action = "vote"     // make the joining member a voter
 	Done               Action = "done"     // the replacement is complete
 )
 
@@ -102,7 +102,7 @@
 	case joining == nil && !lost:
 		return "", ErrUnknownMember.withDetail(r.Lost)
 	case joining == nil:
-		return AddWithoutVote, nil
+		return AddNonvoter, nil
 	case !joining.Votes && !caughtUp:
 		return AwaitCatchUp, nil
 	case lost && r.Lost == leader:
@@ -110,7 +110,7 @@
 	case lost:
 		return RemoveLost, nil
 	case !joining.Votes:
-		return GiveVote, nil
+		return PromoteToVoter, nil
 	}
 	return Done, nil
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -25,7 +25,7 @@
 			t.Fatalf("%v: %q, %v, want %q", servers, got, err, want)
 		}
 	}
-	expect(AddWithoutVote)
+	expect(AddNonvoter)
 	servers = append(servers, Server{replacement.Joining, false})
 	expect(AwaitCatchUp)
 	caughtUp = true
@@ -34,7 +34,7 @@
 	expect(TransferLeadership)
 	leader = "b"
 	servers = slices.DeleteFunc(servers, func(s Server) bool { return s.ID == "c" })
-	expect(GiveVote)
+	expect(PromoteToVoter)
 	caughtUp = false // it lags again; as a voter it would be needed for a majority of five
 	expect(AwaitCatchUp)
 	caughtUp = true
--- a/replica/member_replacement.go
+++ b/replica/member_replacement.go
@@ -41,7 +41,7 @@
 	case res.CatchingUp:
 		return nil, membership.ErrCatchingUp
 	case res.Rejected != "":
-		return nil, &membership.RefusedError{Reason: res.Rejected}
+		return nil, &membership.RejectedError{Reason: res.Rejected}
 	}
 	return res.Members, nil
 }
@@ -60,12 +60,12 @@
 	}
 	defer s.replacementMu.Unlock()
 	err := s.runReplacement(ctx, replacement)
-	var refused *membership.RefusedError
+	var rejected *membership.RejectedError
 	switch {
 	case errors.Is(err, membership.ErrCatchingUp):
 		return result{CatchingUp: true}, nil
-	case errors.As(err, &refused):
-		return result{Rejected: refused.Reason}, nil
+	case errors.As(err, &rejected):
+		return result{Rejected: rejected.Reason}, nil
 	case err != nil:
 		return result{}, err
 	}
@@ -114,9 +114,9 @@
 	const unconditional = 0 // Raft need not verify that the group is unchanged since an index of the log
 	id, addr := raft.ServerID(replacement.Joining.ID), raft.ServerAddress(replacement.Joining.Addr)
 	switch action {
-	case membership.AddWithoutVote:
+	case membership.AddNonvoter:
 		return s.raft.AddNonvoter(id, addr, unconditional, configurationChangeTimeout).Error()
-	case membership.GiveVote:
+	case membership.PromoteToVoter:
 		return s.raft.AddVoter(id, addr, unconditional, configurationChangeTimeout).Error()
 	case membership.RemoveLost:
 		return s.raft.RemoveServer(raft.ServerID(replacement.Lost), unconditional, configurationChangeTimeout).Error()
--- a/replica/member_replacement_test.go
+++ b/replica/member_replacement_test.go
@@ -150,7 +150,7 @@
 		"joining is a member":           {Lost: c.members[third].ID, Joining: Member{ID: c.members[leader].ID, Addr: "127.0.0.1:9"}},
 		"lost and joining are the same": {Lost: c.members[third].ID, Joining: Member{ID: c.members[third].ID, Addr: "127.0.0.1:9"}},
 	} {
-		if _, err := c.stores[follower].ReplaceMember(testContext(t), replacement); !errors.Is(err, membership.ErrRefused) {
+		if _, err := c.stores[follower].ReplaceMember(testContext(t), replacement); !errors.Is(err, membership.ErrRejected) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
